--- a/crates/core/benches/policy.rs
+++ b/crates/core/benches/policy.rs
@@ -24,9 +24,9 @@
 use sequoiastream_core::name::Name;
 use sequoiastream_core::policy::Policy;
 use sequoiastream_core::roles::Demand;
-use sequoiastream_core::roles::EngineSeen;
-use sequoiastream_core::roles::Evidence;
+use sequoiastream_core::roles::EngineStatus;
 use sequoiastream_core::roles::Planner;
+use sequoiastream_core::roles::PlannerInput;
 use sequoiastream_core::route::Ask;
 use sequoiastream_core::route::Report;
 use sequoiastream_core::route::Router;
@@ -161,7 +161,7 @@
 fn plan(c: &mut Criterion) {
     let mut group = c.benchmark_group("plan");
     for engines in ENGINES {
-        let seen = |index: u32| EngineSeen {
+        let seen = |index: u32| EngineStatus {
             name: name("e", index),
             role: if index.is_multiple_of(2) {
                 Role::Prefill
@@ -174,7 +174,7 @@
             speed: Speed::default(),
             age: Duration::from_millis(100),
         };
-        let evidence = Evidence {
+        let evidence = PlannerInput {
             engines: (0..engines).map(seen).collect(),
             weight: 0,
             lag: Duration::from_secs(1),
--- a/crates/core/src/authority/engine.rs
+++ b/crates/core/src/authority/engine.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::authority::Answer;
 use crate::authority::CallId;
 use crate::authority::Fence;
 use crate::authority::HoldAnswer;
 use crate::authority::Order;
+use crate::authority::OrderAnswer;
 use crate::authority::OrderRecord;
 use crate::authority::Report;
 use crate::authority::Settlement;
@@ -229,11 +229,11 @@
     }
 
     /// Takes the answer to `call`; a late answer to an earlier call is dropped.
-    pub fn on_answer(&mut self, call: CallId, answer: Answer) {
+    pub fn on_answer(&mut self, call: CallId, answer: OrderAnswer) {
         if matches!(self.raise, Raise::Sent(_, sent) if sent == call) {
             self.raise = match answer {
-                Answer::Applied => Raise::Done,
-                Answer::Stale(_) | Answer::Unsent | Answer::Unknown => Raise::Due,
+                OrderAnswer::Applied => Raise::Done,
+                OrderAnswer::Stale(_) | OrderAnswer::Unsent | OrderAnswer::Unknown => Raise::Due,
             };
         }
         let Some(own) = &mut self.own else { return };
@@ -241,12 +241,12 @@
             return;
         }
         own.fate = match answer {
-            Answer::Applied => Fate::Applied,
-            Answer::Stale(_) => Fate::Void,
-            Answer::Unsent => Fate::Unsent,
-            Answer::Unknown => Fate::Lost,
+            OrderAnswer::Applied => Fate::Applied,
+            OrderAnswer::Stale(_) => Fate::Void,
+            OrderAnswer::Unsent => Fate::Unsent,
+            OrderAnswer::Unknown => Fate::Lost,
         };
-        if answer == Answer::Applied {
+        if answer == OrderAnswer::Applied {
             self.raise = Raise::Done;
         }
     }
--- a/crates/core/src/authority/event.rs
+++ b/crates/core/src/authority/event.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::authority::Closing;
+use crate::authority::CloseReason;
 use crate::authority::Fence;
 use crate::authority::Incarnation;
 use crate::authority::Order;
@@ -23,7 +23,7 @@
 
 /// What the configuration says of an engine of the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EngineWish {
+pub struct EngineConfig {
     /// Its name.
     pub name: Name,
     /// Whether it checks fencing numbers.
@@ -60,7 +60,7 @@
 
 /// How a write of the record ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It took effect and made this version.
     Done(RecordVersion),
     /// Another write came first.
@@ -71,7 +71,7 @@
 
 /// How an order that was to be sent ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum OrderAnswer {
     /// The engine carried it out.
     Applied,
     /// The engine has seen this higher fencing number; the order has no effect.
@@ -127,7 +127,7 @@
         call: CallId,
     },
     /// The platform does not know the lease any more.
-    Lapsed {
+    Expired {
         /// Answer to this call.
         call: CallId,
     },
@@ -150,14 +150,14 @@
         /// Answer to this call.
         call: CallId,
         /// How.
-        written: Written,
+        written: WriteOutcome,
     },
     /// The configuration in force names these engines.
     Configured {
         /// The model that the service's engines shall have loaded.
         model: String,
         /// The engines.
-        engines: Vec<EngineWish>,
+        engines: Vec<EngineConfig>,
     },
     /// The planner wants an engine to be something.
     Proposed {
@@ -174,7 +174,7 @@
         report: Report,
     },
     /// All listed instances were asked to keep work from an engine.
-    Held {
+    HoldAnswered {
         /// The engine.
         engine: Name,
         /// When they were asked.
@@ -185,7 +185,7 @@
         answers: BTreeMap<Name, HoldAnswer>,
     },
     /// The weight store was asked for what an engine is to load.
-    Weights {
+    WeightsChecked {
         /// The engine.
         engine: Name,
         /// Whether it can be read now.
@@ -198,7 +198,7 @@
         /// The engine.
         engine: Name,
         /// How.
-        answer: Answer,
+        answer: OrderAnswer,
     },
     /// The process that opened an order was asked what became of it.
     Settled {
@@ -215,7 +215,7 @@
 
 /// An order on its way out. Whoever sends it checks the time right before.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Send {
+pub struct SendOrder {
     /// The call.
     pub call: CallId,
     /// The engine.
@@ -260,9 +260,9 @@
         model: String,
     },
     /// Send an order.
-    Send(Send),
+    Send(SendOrder),
     /// Ask the process that opened an order what became of it.
-    Ask {
+    AskSettlement {
         /// Its instance.
         holder: Name,
         /// Itself.
@@ -283,7 +283,7 @@
         /// The order's sequence number.
         sequence: u64,
         /// What showed it.
-        closing: Closing,
+        closing: CloseReason,
     },
     /// Tell operators: an engine gets no order until its last one is settled.
     Unsettled {
@@ -293,5 +293,5 @@
         sequence: u64,
     },
     /// Tell operators: an invariant was broken and the action dropped.
-    Broken(&'static str),
+    InvariantBroken(&'static str),
 }
--- a/crates/core/src/authority/lease.rs
+++ b/crates/core/src/authority/lease.rs
@@ -11,16 +11,16 @@
 /// because the platform counts from when it received the renewal, which is never before it was sent, and the
 /// margin covers how differently the two clocks run.
 #[derive(Debug, Clone)]
-pub struct LeaseBelief {
+pub struct LocalLease {
     ttl: Duration,
     margin: Duration,
     until: Option<Time>,
 }
 
-impl LeaseBelief {
+impl LocalLease {
     /// No belief, for a lease of `ttl` from which `margin` is taken off.
-    pub fn new(ttl: Duration, margin: Duration) -> LeaseBelief {
-        LeaseBelief {
+    pub fn new(ttl: Duration, margin: Duration) -> LocalLease {
+        LocalLease {
             ttl,
             margin,
             until: None,
--- a/crates/core/src/authority/machine.rs
+++ b/crates/core/src/authority/machine.rs
@@ -4,17 +4,17 @@
 
 use crate::authority::Action;
 use crate::authority::CallId;
-use crate::authority::EngineWish;
+use crate::authority::EngineConfig;
 use crate::authority::Event;
 use crate::authority::Fence;
 use crate::authority::Incarnation;
-use crate::authority::LeaseBelief;
+use crate::authority::LocalLease;
 use crate::authority::Order;
 use crate::authority::Record;
 use crate::authority::RecordVersion;
 use crate::authority::Settings;
 use crate::authority::Settlement;
-use crate::authority::Written;
+use crate::authority::WriteOutcome;
 use crate::authority::engine::EngineState;
 use crate::authority::engine::Fate;
 use crate::authority::engine::Own;
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone)]
 pub struct Authority {
     pub(super) settings: Settings,
-    pub(super) belief: LeaseBelief,
+    pub(super) belief: LocalLease,
     pub(super) record: Record,
     pub(super) engines: BTreeMap<Name, EngineState>,
     pub(super) model: String,
@@ -90,7 +90,7 @@
 impl Authority {
     /// A follower that knows no engines.
     pub fn new(settings: Settings) -> Authority {
-        let belief = LeaseBelief::new(settings.timing.ttl, settings.timing.margin);
+        let belief = LocalLease::new(settings.timing.ttl, settings.timing.margin);
         let record = Record {
             holder: settings.name.clone(),
             incarnation: settings.incarnation,
@@ -127,7 +127,7 @@
             Event::NotAcquired { call } => self.on_not_acquired(call),
             Event::Renewed { call, sent } => self.on_renewed(call, sent),
             Event::RenewFailed { call } => self.on_renew_failed(now, call),
-            Event::Lapsed { call } => self.on_lapsed(call, &mut actions),
+            Event::Expired { call } => self.on_lapsed(call, &mut actions),
             Event::Read {
                 call,
                 version,
@@ -280,15 +280,15 @@
         }
     }
 
-    fn on_wrote(&mut self, now: Time, call: CallId, written: Written, actions: &mut Vec<Action>) {
+    fn on_wrote(&mut self, now: Time, call: CallId, written: WriteOutcome, actions: &mut Vec<Action>) {
         let Stage::Writing(wait) = self.stage else { return };
         if wait.call != call {
             return;
         }
         match written {
-            Written::Done(version) => self.on_landed(now, version, actions),
+            WriteOutcome::Done(version) => self.on_landed(now, version, actions),
             // Even a conflict may be an earlier write of ours that came late.
-            Written::Conflict | Written::Unknown => self.check_record(now, actions),
+            WriteOutcome::Conflict | WriteOutcome::Unknown => self.check_record(now, actions),
         }
     }
 
@@ -317,7 +317,7 @@
         }
     }
 
-    fn on_configured(&mut self, model: String, wishes: Vec<EngineWish>, actions: &mut Vec<Action>) {
+    fn on_configured(&mut self, model: String, wishes: Vec<EngineConfig>, actions: &mut Vec<Action>) {
         self.model = model;
         let gone = self
             .changing
@@ -395,7 +395,7 @@
     {
         match held {
             Ok(()) => action(self, actions),
-            Err(broken) => actions.push(Action::Broken(broken.rule)),
+            Err(broken) => actions.push(Action::InvariantBroken(broken.rule)),
         }
     }
 
--- a/crates/core/src/authority/orders.rs
+++ b/crates/core/src/authority/orders.rs
@@ -1,16 +1,16 @@
 //! Which order an engine gets, and when.
 
 use crate::authority::Action;
-use crate::authority::Answer;
 use crate::authority::Authority;
 use crate::authority::CallId;
-use crate::authority::Closing;
+use crate::authority::CloseReason;
 use crate::authority::Event;
 use crate::authority::Fence;
 use crate::authority::Order;
+use crate::authority::OrderAnswer;
 use crate::authority::OrderRecord;
 use crate::authority::Phase;
-use crate::authority::Send;
+use crate::authority::SendOrder;
 use crate::authority::Settlement;
 use crate::authority::engine::Drain;
 use crate::authority::engine::EngineState;
@@ -37,7 +37,7 @@
                     e.report = Some(report);
                 }
             }),
-            Event::Held {
+            Event::HoldAnswered {
                 engine,
                 asked,
                 done,
@@ -47,7 +47,7 @@
                     drain.on_answers(asked, done, &answers, timing.absence);
                 }
             }),
-            Event::Weights { engine, ready } => self.with(&engine, |e| {
+            Event::WeightsChecked { engine, ready } => self.with(&engine, |e| {
                 e.weights = match ready {
                     true => Weights::Ready,
                     false => Weights::Ask(now + timing.retry),
@@ -77,18 +77,18 @@
         now: Time,
         call: CallId,
         name: &Name,
-        answer: Answer,
+        answer: OrderAnswer,
         actions: &mut Vec<Action>,
     ) {
         let retry = self.settings.timing.retry;
         self.with(name, |engine| {
             engine.on_answer(call, answer);
             match answer {
-                Answer::Applied => engine.since = now,
+                OrderAnswer::Applied => engine.since = now,
                 _ => engine.again = now + retry,
             }
         });
-        if let Answer::Stale(seen) = answer {
+        if let OrderAnswer::Stale(seen) = answer {
             self.floor = self.floor.max(seen);
             if self.is_settled() {
                 // Somebody may have taken over.
@@ -216,7 +216,7 @@
         self.guarded(held, actions, |authority, actions| {
             let call = authority.next_call();
             authority.with(name, |e| e.leave(now, call));
-            actions.push(Action::Send(Send {
+            actions.push(Action::Send(SendOrder {
                 call,
                 engine: name.clone(),
                 order,
@@ -275,7 +275,7 @@
         self.guarded(held, actions, |authority, actions| {
             let call = authority.next_call();
             authority.with(name, |e| e.raise = Raise::Sent(now, call));
-            actions.push(Action::Send(Send {
+            actions.push(Action::Send(SendOrder {
                 call,
                 engine: name.clone(),
                 order,
@@ -307,7 +307,7 @@
             }
             if !ours && now >= engine.again {
                 engine.again = now + retry;
-                actions.push(Action::Ask {
+                actions.push(Action::AskSettlement {
                     holder: record.holder.clone(),
                     incarnation: record.incarnation,
                     engine: name.clone(),
@@ -486,29 +486,29 @@
 }
 
 /// What shows that the open order of `record` is settled, if anything does.
-fn closing(engine: &EngineState, record: &OrderRecord, tenure: Fence) -> Option<Closing> {
+fn closing(engine: &EngineState, record: &OrderRecord, tenure: Fence) -> Option<CloseReason> {
     let order = &record.order;
     let reported = engine.report.as_ref();
     let fate = engine.fate(record);
     let said = engine.settled.filter(|(sequence, _)| *sequence == order.sequence);
     let repeated = engine.raise == Raise::Done && matches!(fate, None | Some(Fate::Lost));
     if fate == Some(Fate::Applied) || repeated {
-        return Some(Closing::Answered);
+        return Some(CloseReason::Answered);
     }
     if reported.is_some_and(|r| r.sequence == order.sequence && r.target == order.target) {
-        return Some(Closing::Reported);
+        return Some(CloseReason::Reported);
     }
     // Opened in a former tenure of this process and not sent: it won't be.
     let dropped = fate == Some(Fate::Unsent) && order.fence <= tenure;
     if dropped || fate == Some(Fate::Void) {
-        return Some(Closing::Unsent);
+        return Some(CloseReason::Unsent);
     }
     if engine.released == order.sequence && !matches!(fate, Some(Fate::Sent(_))) {
-        return Some(Closing::Released);
+        return Some(CloseReason::Released);
     }
     match said {
-        Some((_, Settlement::Applied)) => Some(Closing::Acknowledged),
-        Some((_, Settlement::Unsent)) => Some(Closing::Unsent),
+        Some((_, Settlement::Applied)) => Some(CloseReason::Acknowledged),
+        Some((_, Settlement::Unsent)) => Some(CloseReason::Unsent),
         Some((_, Settlement::Unknown)) | None => None,
     }
 }
--- a/crates/core/src/authority/record.rs
+++ b/crates/core/src/authority/record.rs
@@ -71,13 +71,13 @@
     /// It may leave, be on its way or have taken effect.
     Open,
     /// It is settled: it can't take effect any more, or did so and can't come a second time.
-    Closed(Closing),
+    Closed(CloseReason),
 }
 
 /// What showed that an order is settled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Closing {
+pub enum CloseReason {
     /// The engine answered that it carried the order out.
     Answered,
     /// The engine's report shows it.
@@ -90,14 +90,14 @@
     Released,
 }
 
-impl fmt::Display for Closing {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
-            Closing::Answered => "answered",
-            Closing::Reported => "reported",
-            Closing::Acknowledged => "acknowledged",
-            Closing::Unsent => "unsent",
-            Closing::Released => "released",
+            CloseReason::Answered => "answered",
+            CloseReason::Reported => "reported",
+            CloseReason::Acknowledged => "acknowledged",
+            CloseReason::Unsent => "unsent",
+            CloseReason::Released => "released",
         })
     }
 }
--- a/crates/core/src/relay/lead.rs
+++ b/crates/core/src/relay/lead.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::authority::LeaseBelief;
+use crate::authority::LocalLease;
 use crate::time::Time;
 
 /// Part of a lease's time after which it is renewed: a renewal may fail.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub struct Lead {
     lease: Duration,
-    belief: LeaseBelief,
+    belief: LocalLease,
     /// Fencing number and when calls may begin.
     held: Option<(u64, Time)>,
     /// Since when the store shows no holder.
@@ -65,7 +65,7 @@
     pub fn new(lease: Duration) -> Lead {
         Lead {
             lease,
-            belief: LeaseBelief::new(lease, lease.mul_f64(MARGIN)),
+            belief: LocalLease::new(lease, lease.mul_f64(MARGIN)),
             held: None,
             free: None,
             next: Time::ZERO,
--- a/crates/core/src/roles/mod.rs
+++ b/crates/core/src/roles/mod.rs
@@ -64,7 +64,7 @@
 
 /// An engine as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EngineSeen {
+pub struct EngineStatus {
     /// Its name.
     pub name: Name,
     /// The role that it reported last.
@@ -83,9 +83,9 @@
 
 /// What the planner decides on.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Evidence {
+pub struct PlannerInput {
     /// The service's engines that can be reached.
-    pub engines: Vec<EngineSeen>,
+    pub engines: Vec<EngineStatus>,
     /// Weight of one role change, 0 to 100.
     pub weight: u32,
     /// Age above which a report is no evidence.
@@ -96,7 +96,7 @@
 
 /// A change worth its price.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
+pub struct RoleChange {
     /// The engine.
     pub engine: Name,
     /// The role that it should have.
@@ -151,7 +151,7 @@
     }
 
     /// The change to propose now, if any is worth its price.
-    pub fn plan(&mut self, now: Time, evidence: &Evidence) -> Option<Change> {
+    pub fn plan(&mut self, now: Time, evidence: &PlannerInput) -> Option<RoleChange> {
         self.settle(now, evidence);
         let most = evidence.engines.len().div_ceil(PER_CHANGE);
         if now < self.rest || self.pending.len() >= most || !is_good(evidence) {
@@ -171,7 +171,7 @@
     }
 
     /// Drops proposals that took effect, and those that never did.
-    fn settle(&mut self, now: Time, evidence: &Evidence) {
+    fn settle(&mut self, now: Time, evidence: &PlannerInput) {
         let expiry = self.away * EXPIRY;
         let mut done = Vec::new();
         for (name, pending) in &self.pending {
@@ -190,12 +190,12 @@
         self.changed.retain(|_, at| now.since(*at) < rest);
     }
 
-    fn worthwhile(&self, now: Time, evidence: &Evidence) -> Option<Change> {
+    fn worthwhile(&self, now: Time, evidence: &PlannerInput) -> Option<RoleChange> {
         let speed = mean_speed(&evidence.engines);
         let counts = counts(&evidence.engines);
         let before = self.worth(counts, speed);
         let horizon = (self.away * HORIZON).as_secs_f64();
-        let mut best: Option<Change> = None;
+        let mut best: Option<RoleChange> = None;
         for (from, to) in moves() {
             let Some(engine) = self.candidate(now, evidence, from) else {
                 continue;
@@ -204,7 +204,7 @@
             let lost = before - self.worth(counts.minus(from), speed);
             let price = lost * (self.away.as_secs_f64() + DRAIN) + horizon * least_gain(evidence.weight);
             if gain > price && best.as_ref().is_none_or(|b| gain > b.gain) {
-                best = Some(Change {
+                best = Some(RoleChange {
                     engine: engine.name.clone(),
                     role: to,
                     gain,
@@ -221,9 +221,9 @@
     }
 
     /// The engine of role `from` that has least to drain.
-    fn candidate<'a>(&self, now: Time, evidence: &'a Evidence, from: Role) -> Option<&'a EngineSeen> {
+    fn candidate<'a>(&self, now: Time, evidence: &'a PlannerInput, from: Role) -> Option<&'a EngineStatus> {
         let rest = self.away * ENGINE_REST;
-        let rested = |e: &&EngineSeen| self.changed.get(&e.name).is_none_or(|at| now.since(*at) >= rest);
+        let rested = |e: &&EngineStatus| self.changed.get(&e.name).is_none_or(|at| now.since(*at) >= rest);
         let free = evidence
             .engines
             .iter()
@@ -233,7 +233,7 @@
     }
 
     /// Baseline: one pool is above a threshold, the other below another.
-    fn over_threshold(&self, evidence: &Evidence) -> Option<Change> {
+    fn over_threshold(&self, evidence: &PlannerInput) -> Option<RoleChange> {
         let speed = mean_speed(&evidence.engines);
         let counts = counts(&evidence.engines);
         let demand = self.fast.rate();
@@ -262,7 +262,7 @@
             .iter()
             .filter(|e| e.role == from && !e.fixed && !e.away);
         let engine = engines.min_by_key(|e| e.requests)?;
-        Some(Change {
+        Some(RoleChange {
             engine: engine.name.clone(),
             role: to,
             gain: 0.0,
@@ -281,7 +281,7 @@
 /// Failure guarded against: with late reports the planner would see roles and loads of before its last change, and
 /// change another engine for the same shift, back and forth; without the key-value service an order could not be
 /// opened, and would be carried out when the mix is long another.
-fn is_good(evidence: &Evidence) -> bool {
+fn is_good(evidence: &PlannerInput) -> bool {
     let fresh = evidence.engines.iter().filter(|e| e.age <= evidence.lag).count();
     evidence.platform && fresh as f64 >= FRESH * evidence.engines.len() as f64
 }
@@ -297,13 +297,13 @@
     ]
 }
 
-fn counts(engines: &[EngineSeen]) -> Counts {
+fn counts(engines: &[EngineStatus]) -> Counts {
     engines
         .iter()
         .fold(Counts::default(), |counts, engine| counts.plus(engine.role))
 }
 
-fn mean_speed(engines: &[EngineSeen]) -> Speed {
+fn mean_speed(engines: &[EngineStatus]) -> Speed {
     let count = engines.len().max(1) as f64;
     Speed {
         prefill: engines.iter().map(|e| e.speed.prefill).sum::<f64>() / count,
--- a/src/ops/control/authority/drain.rs
+++ b/src/ops/control/authority/drain.rs
@@ -55,7 +55,7 @@
         });
         let mut answers: BTreeMap<Name, HoldAnswer> = join_all(asks).await.into_iter().collect();
         answers.insert(self.shared.settings.name.clone(), HoldAnswer::InFlight(own));
-        Some(Event::Held {
+        Some(Event::HoldAnswered {
             engine,
             asked,
             done: clock::now(),
--- a/src/ops/control/authority/kv.rs
+++ b/src/ops/control/authority/kv.rs
@@ -6,7 +6,7 @@
 use sequoiastream_core::authority::Event;
 use sequoiastream_core::authority::Record;
 use sequoiastream_core::authority::RecordVersion;
-use sequoiastream_core::authority::Written;
+use sequoiastream_core::authority::WriteOutcome;
 use sequoiastream_core::log_event;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
@@ -113,12 +113,12 @@
 /// Renews the lease.
 pub async fn renew(kv: KvClient, call: CallId, lease: Option<LeaseId>) -> Event {
     let Some(lease) = lease else {
-        return Event::Lapsed { call };
+        return Event::Expired { call };
     };
     let sent = clock::now();
     match kv.renew(lease).await {
         Ok(()) => Event::Renewed { call, sent },
-        Err(KvError::LeaseLapsed) => Event::Lapsed { call },
+        Err(KvError::LeaseLapsed) => Event::Expired { call },
         Err(error) => {
             log_event!(warn, log_event::KV_FAILED, %error, call = "renew lease");
             Event::RenewFailed { call }
@@ -163,20 +163,20 @@
         Ok(value) => swap(&kv, &service, expect, &value).await,
         Err(error) => {
             log_event!(error, log_event::KV_FAILED, %error, call = "write authority");
-            Written::Unknown
+            WriteOutcome::Unknown
         }
     };
     Event::Wrote { call, written }
 }
 
-async fn swap(kv: &KvClient, service: &Name, expect: RecordVersion, value: &[u8]) -> Written {
+async fn swap(kv: &KvClient, service: &Name, expect: RecordVersion, value: &[u8]) -> WriteOutcome {
     let expect = Expect::from(KvVersion(expect.0));
     match kv.swap(&record_key(service), expect, value, None).await {
-        Ok(Swap::Done(version)) => Written::Done(RecordVersion(version.0)),
-        Ok(Swap::Conflict(_)) => Written::Conflict,
+        Ok(Swap::Done(version)) => WriteOutcome::Done(RecordVersion(version.0)),
+        Ok(Swap::Conflict(_)) => WriteOutcome::Conflict,
         Err(error) => {
             log_event!(warn, log_event::KV_FAILED, %error, call = "write authority");
-            Written::Unknown
+            WriteOutcome::Unknown
         }
     }
 }
@@ -190,7 +190,7 @@
     if let Err(error) = &asked {
         log_event!(warn, log_event::WEIGHTS_REFUSED, %engine, model, %error);
     }
-    Event::Weights {
+    Event::WeightsChecked {
         engine,
         ready: asked.is_ok(),
     }
--- a/src/ops/control/authority/mod.rs
+++ b/src/ops/control/authority/mod.rs
@@ -22,13 +22,13 @@
 use actix::WrapFuture;
 use futures_util::future::join_all;
 use sequoiastream_core::authority::Action;
-use sequoiastream_core::authority::Answer;
 use sequoiastream_core::authority::Authority;
-use sequoiastream_core::authority::EngineWish;
+use sequoiastream_core::authority::EngineConfig;
 use sequoiastream_core::authority::Event;
 use sequoiastream_core::authority::Incarnation;
+use sequoiastream_core::authority::OrderAnswer;
 use sequoiastream_core::authority::Report;
-use sequoiastream_core::authority::Send;
+use sequoiastream_core::authority::SendOrder;
 use sequoiastream_core::authority::Settings;
 use sequoiastream_core::authority::Settlement;
 use sequoiastream_core::authority::Timing;
@@ -278,7 +278,7 @@
                 self.later(service, kv::ask_weights(kv, engine, model), context);
             }
             Action::Send(send) => self.send(service, send, context),
-            Action::Ask {
+            Action::AskSettlement {
                 holder,
                 incarnation,
                 engine,
@@ -378,7 +378,7 @@
     /// Failure guarded against: the process was paused since the decision, and another holds the authority.
     /// The check is the last thing before the send; what a pause right after it can do is covered by the
     /// order's record, which stands open.
-    fn send(&mut self, service: &Name, send: Send, context: &mut Context<Self>) {
+    fn send(&mut self, service: &Name, send: SendOrder, context: &mut Context<Self>) {
         let address = self.address(&send.engine);
         let engines = self.engines.clone();
         let metrics = self.shared.metrics.authority.clone();
@@ -398,7 +398,7 @@
         let run = async move {
             let answer = match address {
                 Some(address) if clock::now() < send.until => answer(engines.order(address, &order).await),
-                _ => Answer::Unsent,
+                _ => OrderAnswer::Unsent,
             };
             metrics.count_order(answer);
             Event::Answered {
@@ -437,7 +437,7 @@
                 metrics.unsettled.inc();
                 log_event!(warn, log_event::ORDER_UNSETTLED, %engine, sequence);
             }
-            Action::Broken(rule) => log_event!(error, log_event::INVARIANT_BROKEN, %service, rule),
+            Action::InvariantBroken(rule) => log_event!(error, log_event::INVARIANT_BROKEN, %service, rule),
             _ => {}
         }
     }
@@ -468,10 +468,10 @@
     }
 }
 
-fn wishes(snapshot: &Snapshot, engines: &[sequoiastream_core::snapshot::EngineKey]) -> Vec<EngineWish> {
+fn wishes(snapshot: &Snapshot, engines: &[sequoiastream_core::snapshot::EngineKey]) -> Vec<EngineConfig> {
     let views = engines.iter().filter_map(|key| snapshot.engines.get(*key));
     views
-        .map(|view| EngineWish {
+        .map(|view| EngineConfig {
             name: view.name.clone(),
             fencing: view.fencing,
             role: view.role,
@@ -495,15 +495,15 @@
     }
 }
 
-fn answer(result: Result<(), UpstreamError>) -> Answer {
+fn answer(result: Result<(), UpstreamError>) -> OrderAnswer {
     match result {
-        Ok(()) => Answer::Applied,
-        Err(UpstreamError::Stale(fence)) => Answer::Stale(sequoiastream_core::authority::Fence(fence)),
+        Ok(()) => OrderAnswer::Applied,
+        Err(UpstreamError::Stale(fence)) => OrderAnswer::Stale(sequoiastream_core::authority::Fence(fence)),
         Err(error) => {
             log_event!(warn, log_event::ORDER_UNANSWERED, %error);
             match error.is_not_started() {
-                true => Answer::Unsent,
-                false => Answer::Unknown,
+                true => OrderAnswer::Unsent,
+                false => OrderAnswer::Unknown,
             }
         }
     }
--- a/src/ops/control/roles.rs
+++ b/src/ops/control/roles.rs
@@ -18,10 +18,10 @@
 use sequoiastream_core::log_event;
 use sequoiastream_core::membership::Standing;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::roles::Change;
-use sequoiastream_core::roles::EngineSeen;
-use sequoiastream_core::roles::Evidence;
+use sequoiastream_core::roles::EngineStatus;
 use sequoiastream_core::roles::Planner;
+use sequoiastream_core::roles::PlannerInput;
+use sequoiastream_core::roles::RoleChange;
 use sequoiastream_core::route::Router;
 use sequoiastream_core::snapshot::EngineView;
 use sequoiastream_core::snapshot::ServiceView;
@@ -121,7 +121,7 @@
         }));
     }
 
-    fn propose(&self, change: Change, body: LoadBody) {
+    fn propose(&self, change: RoleChange, body: LoadBody) {
         log_event!(
             info,
             log_event::ROLE_PROPOSED,
@@ -143,7 +143,7 @@
         });
     }
 
-    fn evidence(&self, snapshot: &Snapshot, service: &Name) -> Evidence {
+    fn evidence(&self, snapshot: &Snapshot, service: &Name) -> PlannerInput {
         let now = clock::now();
         let roster = self.shared.roster();
         let router = self.shared.router();
@@ -153,7 +153,7 @@
             .filter_map(|key| snapshot.engines.get(*key))
             .filter(|engine| !roster.leaving.contains(&engine.address))
             .filter_map(|engine| seen(now, &router, engine));
-        Evidence {
+        PlannerInput {
             engines: seen.collect(),
             weight: weight(snapshot),
             lag: self.shared.settings.poll * LAG_POLLS,
@@ -182,9 +182,9 @@
 }
 
 /// An engine as its last report shows it; `None` if there is none.
-fn seen(now: Time, router: &Router, engine: &EngineView) -> Option<EngineSeen> {
+fn seen(now: Time, router: &Router, engine: &EngineView) -> Option<EngineStatus> {
     let report = router.book(&engine.name)?.last()?;
-    Some(EngineSeen {
+    Some(EngineStatus {
         name: engine.name.clone(),
         role: report.role,
         fixed: engine.role.is_some() || engine.state != EngineState::Serving,
--- a/src/util/metrics/authority.rs
+++ b/src/util/metrics/authority.rs
@@ -5,7 +5,7 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
-use sequoiastream_core::authority::Answer;
+use sequoiastream_core::authority::OrderAnswer;
 
 /// How an order ended that was to be sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -29,12 +29,12 @@
 
 impl AuthorityMetrics {
     /// Counts an order that ended so.
-    pub fn count_order(&self, answer: Answer) {
+    pub fn count_order(&self, answer: OrderAnswer) {
         let answer = match answer {
-            Answer::Applied => "applied",
-            Answer::Stale(_) => "stale",
-            Answer::Unsent => "unsent",
-            Answer::Unknown => "unknown",
+            OrderAnswer::Applied => "applied",
+            OrderAnswer::Stale(_) => "stale",
+            OrderAnswer::Unsent => "unsent",
+            OrderAnswer::Unknown => "unknown",
         };
         let labels = AnswerLabels {
             answer: answer.to_string(),
--- a/tests/testsuite/authority/machine.rs
+++ b/tests/testsuite/authority/machine.rs
@@ -4,18 +4,18 @@
 use std::time::Duration;
 
 use sequoiastream_core::authority::Action;
-use sequoiastream_core::authority::Answer;
 use sequoiastream_core::authority::Authority;
 use sequoiastream_core::authority::CallId;
-use sequoiastream_core::authority::EngineWish;
+use sequoiastream_core::authority::EngineConfig;
 use sequoiastream_core::authority::Event;
 use sequoiastream_core::authority::HoldAnswer;
 use sequoiastream_core::authority::Incarnation;
+use sequoiastream_core::authority::OrderAnswer;
 use sequoiastream_core::authority::RecordVersion;
 use sequoiastream_core::authority::Report;
 use sequoiastream_core::authority::Settings;
 use sequoiastream_core::authority::Timing;
-use sequoiastream_core::authority::Written;
+use sequoiastream_core::authority::WriteOutcome;
 use sequoiastream_core::config::Fencing;
 use sequoiastream_core::config::Role;
 use sequoiastream_core::engine::Target;
@@ -50,7 +50,7 @@
             version: 0,
             sent: Vec::new(),
         };
-        let wish = EngineWish {
+        let wish = EngineConfig {
             name: name("e0"),
             fencing: Fencing::Ignored,
             role: Some(Role::Decode),
@@ -83,14 +83,14 @@
             }),
             Action::Write { call, .. } => {
                 self.version += 1;
-                let written = Written::Done(RecordVersion(self.version));
+                let written = WriteOutcome::Done(RecordVersion(self.version));
                 Some(Event::Wrote { call, written })
             }
             Action::Probe(engine) => Some(Event::Reported {
                 engine,
                 report: self.report(),
             }),
-            Action::Hold(engine) => Some(Event::Held {
+            Action::Hold(engine) => Some(Event::HoldAnswered {
                 engine,
                 asked: self.now,
                 done: self.now,
@@ -100,7 +100,7 @@
                 self.sent.push(send.call);
                 None
             }
-            Action::Broken(rule) => panic!("{rule}"),
+            Action::InvariantBroken(rule) => panic!("{rule}"),
             _ => None,
         }
     }
@@ -142,7 +142,7 @@
         self.give(Event::Answered {
             call,
             engine: name("e0"),
-            answer: Answer::Unsent,
+            answer: OrderAnswer::Unsent,
         });
     }
 }
--- a/tests/testsuite/authority/seeded.rs
+++ b/tests/testsuite/authority/seeded.rs
@@ -11,23 +11,23 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use sequoiastream_core::authority::Action;
-use sequoiastream_core::authority::Answer;
 use sequoiastream_core::authority::Authority;
 use sequoiastream_core::authority::CallId;
-use sequoiastream_core::authority::EngineWish;
+use sequoiastream_core::authority::EngineConfig;
 use sequoiastream_core::authority::Event;
 use sequoiastream_core::authority::Fence;
 use sequoiastream_core::authority::HoldAnswer;
 use sequoiastream_core::authority::Incarnation;
 use sequoiastream_core::authority::Order;
+use sequoiastream_core::authority::OrderAnswer;
 use sequoiastream_core::authority::Phase;
 use sequoiastream_core::authority::Record;
 use sequoiastream_core::authority::RecordVersion;
 use sequoiastream_core::authority::Report;
-use sequoiastream_core::authority::Send;
+use sequoiastream_core::authority::SendOrder;
 use sequoiastream_core::authority::Settings;
 use sequoiastream_core::authority::Timing;
-use sequoiastream_core::authority::Written;
+use sequoiastream_core::authority::WriteOutcome;
 use sequoiastream_core::config::Fencing;
 use sequoiastream_core::config::Role;
 use sequoiastream_core::engine::Target;
@@ -208,7 +208,7 @@
     }
 
     fn wishes(&self) -> Event {
-        let wish = |(name, engine): (&Name, &Engine)| EngineWish {
+        let wish = |(name, engine): (&Name, &Engine)| EngineConfig {
             name: name.clone(),
             fencing: engine.fencing,
             role: Some(engine.wish),
@@ -334,26 +334,26 @@
                 self.answer(node, incarnation, event);
             }
             Action::AskWeights { engine, .. } => {
-                self.answer(node, incarnation, Event::Weights { engine, ready: true });
+                self.answer(node, incarnation, Event::WeightsChecked { engine, ready: true });
             }
             Action::Send(send) => {
                 assert!(self.now < send.until, "seed {}: decided too late", self.seed);
                 self.send(node, send);
             }
-            Action::Ask {
+            Action::AskSettlement {
                 holder,
                 incarnation: opened,
                 engine,
                 sequence,
             } => self.ask(node, &holder, opened, engine, sequence),
-            Action::Broken(rule) => panic!("seed {}: {rule}", self.seed),
+            Action::InvariantBroken(rule) => panic!("seed {}: {rule}", self.seed),
             _ => {}
         }
     }
 
     /// An order leaves: mostly at once; now and then the connection is refused, or the order takes longer
     /// than its sender waits, or its sender is paused right between its check and its send.
-    fn send(&mut self, node: usize, send: Send) {
+    fn send(&mut self, node: usize, send: SendOrder) {
         let incarnation = self.nodes[node].incarnation;
         let answer = |answer| Event::Answered {
             call: send.call,
@@ -361,14 +361,14 @@
             answer,
         };
         if self.chance(10) {
-            return self.answer(node, incarnation, answer(Answer::Unsent));
+            return self.answer(node, incarnation, answer(OrderAnswer::Unsent));
         }
         let mut delay = self.delay();
         if self.chance(20) {
             delay = self.millis(3_000..60_000);
             match self.chance(50) {
                 true => self.nodes[node].paused = self.now + delay,
-                false => self.answer(node, incarnation, answer(Answer::Unknown)),
+                false => self.answer(node, incarnation, answer(OrderAnswer::Unknown)),
             }
         }
         let message = Message::Engine(node, incarnation, send.call, send.engine, send.order);
@@ -392,7 +392,7 @@
             };
             answers.insert(name(&format!("i{node}")), answer);
         }
-        Event::Held {
+        Event::HoldAnswered {
             engine,
             asked: self.now,
             done: self.now,
@@ -444,7 +444,11 @@
             }
             Message::Engine(node, incarnation, call, engine, order) => {
                 let answer = self.apply(&engine, order);
-                let answer = if self.chance(10) { Answer::Unknown } else { answer };
+                let answer = if self.chance(10) {
+                    OrderAnswer::Unknown
+                } else {
+                    answer
+                };
                 self.answer(node, incarnation, Event::Answered { call, engine, answer });
             }
         }
@@ -470,7 +474,7 @@
             }
             Call::Renew if out => Event::RenewFailed { call },
             Call::Renew => match owned {
-                None => Event::Lapsed { call },
+                None => Event::Expired { call },
                 Some(_) => {
                     self.kv.lease = Some((node, by, self.now + TTL));
                     match lost {
@@ -487,18 +491,18 @@
             },
             Call::Write(_, _) if out => Event::Wrote {
                 call,
-                written: Written::Unknown,
+                written: WriteOutcome::Unknown,
             },
             Call::Write(expect, record) => {
                 let written = match expect == self.kv.version {
                     true => {
                         self.kv.version += 1;
                         self.kv.record = Some(*record);
-                        Written::Done(RecordVersion(self.kv.version))
+                        WriteOutcome::Done(RecordVersion(self.kv.version))
                     }
-                    false => Written::Conflict,
+                    false => WriteOutcome::Conflict,
                 };
-                let written = if lost { Written::Unknown } else { written };
+                let written = if lost { WriteOutcome::Unknown } else { written };
                 Event::Wrote { call, written }
             }
         }
@@ -507,12 +511,12 @@
     /// An order reaches an engine. What must hold: an order that takes effect is the last recorded one, comes
     /// after all before it, and is the same whenever it comes again. A late copy of the one before may reach an
     /// engine that checks numbers while the next is not there yet; it must change nothing, not even the number.
-    fn apply(&mut self, name: &Name, order: Order) -> Answer {
+    fn apply(&mut self, name: &Name, order: Order) -> OrderAnswer {
         let (seed, now) = (self.seed, self.now);
         let recorded = self.kv.record.as_ref().and_then(|r| r.engines.get(name)).cloned();
         let engine = self.engines.get_mut(name).expect("known");
         if engine.fencing == Fencing::Checked && order.fence < engine.fence {
-            return Answer::Stale(engine.fence);
+            return OrderAnswer::Stale(engine.fence);
         }
         let recorded = recorded.expect("an order has a record").order;
         let copy = engine.fencing == Fencing::Checked
@@ -542,7 +546,7 @@
         }
         let state = (now, engine.target.clone(), engine.sequence, engine.away);
         engine.history.push(state);
-        Answer::Applied
+        OrderAnswer::Applied
     }
 
     fn check_end(&self) {
--- a/tests/testsuite/policy/roles.rs
+++ b/tests/testsuite/policy/roles.rs
@@ -3,11 +3,11 @@
 use sequoiastream_core::config::Role;
 use sequoiastream_core::engine::Speed;
 use sequoiastream_core::policy::Policy;
-use sequoiastream_core::roles::Change;
 use sequoiastream_core::roles::Demand;
-use sequoiastream_core::roles::EngineSeen;
-use sequoiastream_core::roles::Evidence;
+use sequoiastream_core::roles::EngineStatus;
 use sequoiastream_core::roles::Planner;
+use sequoiastream_core::roles::PlannerInput;
+use sequoiastream_core::roles::RoleChange;
 use sequoiastream_core::time::Time;
 
 use super::name;
@@ -25,8 +25,8 @@
     decode: 300.0,
 };
 
-fn evidence(weight: u32) -> Evidence {
-    let seen = |index: u32| EngineSeen {
+fn evidence(weight: u32) -> PlannerInput {
+    let seen = |index: u32| EngineStatus {
         name: name(&format!("e{index}")),
         role: if index < 2 { Role::Prefill } else { Role::Decode },
         fixed: false,
@@ -35,7 +35,7 @@
         speed: Speed::default(),
         age: Duration::from_millis(300),
     };
-    Evidence {
+    PlannerInput {
         engines: (0..8).map(seen).collect(),
         weight,
         lag: Duration::from_secs(1),
@@ -52,7 +52,7 @@
     (planner, Time::from_millis(180_000))
 }
 
-fn plan(demand: Demand, evidence: &Evidence) -> Option<Change> {
+fn plan(demand: Demand, evidence: &PlannerInput) -> Option<RoleChange> {
     let (mut planner, now) = planner(demand);
     planner.plan(now, evidence)
 }
@@ -84,7 +84,7 @@
 
 #[test]
 fn plan_platform_out() {
-    let out = Evidence {
+    let out = PlannerInput {
         platform: false,
         ..evidence(0)
     };
--- a/tests/testsuite/whole/engines.rs
+++ b/tests/testsuite/whole/engines.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sequoiastream_core::authority::Answer;
 use sequoiastream_core::authority::Fence;
 use sequoiastream_core::authority::Order;
+use sequoiastream_core::authority::OrderAnswer;
 use sequoiastream_core::authority::Report;
 use sequoiastream_core::config::Fencing;
 use sequoiastream_core::config::Role;
@@ -65,9 +65,9 @@
     /// same whenever it comes again. A late copy of the one before may reach an engine that checks numbers while
     /// the next is not there yet (seed 108); it must change nothing, not even the number. Gives the answer, and
     /// whether the engine changed.
-    pub fn apply(&mut self, now: Time, order: Order, recorded: &Order) -> (Answer, bool) {
+    pub fn apply(&mut self, now: Time, order: Order, recorded: &Order) -> (OrderAnswer, bool) {
         if self.fencing == Fencing::Checked && order.fence < self.fence {
-            return (Answer::Stale(self.fence), false);
+            return (OrderAnswer::Stale(self.fence), false);
         }
         let copy = self.fencing == Fencing::Checked
             && order.fence <= self.fence
@@ -92,7 +92,7 @@
             self.away = now + CHANGE;
         }
         self.note(now);
-        (Answer::Applied, changed)
+        (OrderAnswer::Applied, changed)
     }
 
     /// What a probe that lags shows.
--- a/tests/testsuite/whole/holders.rs
+++ b/tests/testsuite/whole/holders.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use sequoiastream_core::authority::Action;
-use sequoiastream_core::authority::Answer;
 use sequoiastream_core::authority::CallId;
-use sequoiastream_core::authority::EngineWish;
+use sequoiastream_core::authority::EngineConfig;
 use sequoiastream_core::authority::Event;
 use sequoiastream_core::authority::HoldAnswer;
 use sequoiastream_core::authority::Incarnation;
 use sequoiastream_core::authority::Order;
-use sequoiastream_core::authority::Send;
+use sequoiastream_core::authority::OrderAnswer;
+use sequoiastream_core::authority::SendOrder;
 use sequoiastream_core::name::Name;
 
 use super::kv::Call;
@@ -43,7 +43,7 @@
             return None;
         }
         let engines = config.engines.iter().filter(|(_, e)| e.service == name("model"));
-        let wish = |(name, engine): (&Name, &sequoiastream_core::config::Engine)| EngineWish {
+        let wish = |(name, engine): (&Name, &sequoiastream_core::config::Engine)| EngineConfig {
             name: name.clone(),
             fencing: engine.fencing,
             role: engine.role,
@@ -100,26 +100,26 @@
                 self.tell_later(to, event);
             }
             Action::AskWeights { engine, .. } => {
-                self.tell_later(to, Event::Weights { engine, ready: true });
+                self.tell_later(to, Event::WeightsChecked { engine, ready: true });
             }
             Action::Send(send) => {
                 assert!(self.now < send.until, "decided too late");
                 self.send_order(index, send);
             }
-            Action::Ask {
+            Action::AskSettlement {
                 holder,
                 incarnation,
                 engine,
                 sequence,
             } => self.ask_holder(to, &holder, incarnation, (engine, sequence)),
-            Action::Broken(rule) => panic!("{rule}"),
+            Action::InvariantBroken(rule) => panic!("{rule}"),
             _ => {}
         }
     }
 
     /// An order leaves: mostly at once; now and then the connection is refused, or the order takes longer
     /// than its sender waits, or the whole instance is paused right between its check and its send.
-    fn send_order(&mut self, index: usize, send: Send) {
+    fn send_order(&mut self, index: usize, send: SendOrder) {
         let from = self.process(index);
         let answer = |answer| Event::Answered {
             call: send.call,
@@ -127,14 +127,14 @@
             answer,
         };
         if self.chance(10) {
-            return self.tell_later(from, answer(Answer::Unsent));
+            return self.tell_later(from, answer(OrderAnswer::Unsent));
         }
         let mut delay = self.delay();
         if self.chance(20) {
             delay = self.millis(3_000..60_000);
             match self.chance(50) {
                 true => self.pause(index, 3_000..60_000),
-                false => self.tell_later(from, answer(Answer::Unknown)),
+                false => self.tell_later(from, answer(OrderAnswer::Unknown)),
             }
         }
         let message = Message::Order(from, send.call, send.engine, send.order);
@@ -148,7 +148,11 @@
         let reached = self.engines.get_mut(&engine).expect("known");
         let (answer, changed) = reached.apply(self.now, order, &recorded);
         self.applied += u64::from(changed);
-        let answer = if self.chance(10) { Answer::Unknown } else { answer };
+        let answer = if self.chance(10) {
+            OrderAnswer::Unknown
+        } else {
+            answer
+        };
         self.tell_later(from, Event::Answered { call, engine, answer });
     }
 
@@ -161,7 +165,7 @@
             };
             answers.insert(name(&format!("i{index}")), answer);
         }
-        Event::Held {
+        Event::HoldAnswered {
             engine,
             asked: self.now,
             done: self.now,
--- a/tests/testsuite/whole/kv.rs
+++ b/tests/testsuite/whole/kv.rs
@@ -7,7 +7,7 @@
 use sequoiastream_core::authority::CallId;
 use sequoiastream_core::authority::Incarnation;
 use sequoiastream_core::authority::RecordVersion;
-use sequoiastream_core::authority::Written;
+use sequoiastream_core::authority::WriteOutcome;
 use sequoiastream_core::claims;
 use sequoiastream_core::claims::Bucket;
 use sequoiastream_core::claims::BucketId;
@@ -59,7 +59,7 @@
             Call::ReadRecord(call) => Message::Authority(authority::Event::ReadFailed { call: *call }),
             Call::WriteRecord(call, ..) => Message::Authority(authority::Event::Wrote {
                 call: *call,
-                written: Written::Unknown,
+                written: WriteOutcome::Unknown,
             }),
             Call::ReadHead => Message::Keeper(config::Event::ReadFailed),
             Call::ReadSnapshot(_) => Message::Keeper(config::Event::Snapshot(None)),
@@ -174,7 +174,7 @@
     fn renew(&mut self, now: Time, by: (usize, Incarnation), call: CallId, sent: Time) -> Message {
         let owned = self.lease.is_some_and(|(i, b, end)| (i, b) == by && now < end);
         if !owned {
-            return Message::Authority(authority::Event::Lapsed { call });
+            return Message::Authority(authority::Event::Expired { call });
         }
         self.lease = Some((by.0, by.1, now + TTL));
         Message::Authority(authority::Event::Renewed { call, sent })
@@ -185,9 +185,9 @@
             true => {
                 self.version += 1;
                 self.record = Some(record);
-                Written::Done(RecordVersion(self.version))
+                WriteOutcome::Done(RecordVersion(self.version))
             }
-            false => Written::Conflict,
+            false => WriteOutcome::Conflict,
         };
         Message::Authority(authority::Event::Wrote { call, written })
     }
