--- a/crates/core/benches/policy.rs
+++ b/crates/core/benches/policy.rs
@@ -176,9 +176,9 @@
         };
         let evidence = PlannerInput {
             engines: (0..engines).map(seen).collect(),
-            weight: 0,
-            lag: Duration::from_secs(1),
-            platform: true,
+            change_weight: 0,
+            max_age: Duration::from_secs(1),
+            platform_reachable: true,
         };
         let now = Time::from_millis(60_000);
         let mut planner = Planner::new(Policy::Adaptive, Duration::from_secs(3));
--- a/crates/core/src/authority/engine.rs
+++ b/crates/core/src/authority/engine.rs
@@ -135,7 +135,7 @@
     pub fn until(&self, report: Option<&Report>, hold: Duration) -> Option<Time> {
         let clear = self.clear?;
         let report = report?;
-        let empty = report.idle && !report.away && report.taken >= clear.since;
+        let empty = report.idle && !report.away && report.taken_at >= clear.since;
         empty.then(|| clear.asked + hold.saturating_sub(hold / 5))
     }
 }
@@ -253,13 +253,15 @@
 
     /// The last report, if it was taken after the last thing that may have changed the engine.
     pub fn fresh(&self) -> Option<&Report> {
-        self.report.as_ref().filter(|report| report.taken >= self.since)
+        self.report
+            .as_ref()
+            .filter(|report| report.taken_at >= self.since)
     }
 
     /// Whether the engine has reported lately, so that it is worth waiting for.
     pub fn answers(&self, now: Time, timing: &Timing) -> bool {
         let limit = timing.ttl;
-        self.report.as_ref().is_some_and(|r| now <= r.taken + limit)
+        self.report.as_ref().is_some_and(|r| now <= r.taken_at + limit)
     }
 
     /// Until when an order that changes the engine may leave, if it is empty.
--- a/crates/core/src/authority/event.rs
+++ b/crates/core/src/authority/event.rs
@@ -31,7 +31,7 @@
     /// The role that an operator fixed.
     pub role: Option<Role>,
     /// Sequence number of its order that operators released last; 0 if none.
-    pub released: u64,
+    pub released_sequence: u64,
 }
 
 /// What an engine said of itself.
@@ -46,7 +46,7 @@
     /// Sequence number of the last order that took effect, 0 if none.
     pub sequence: u64,
     /// When the engine made the report, at the earliest.
-    pub taken: Time,
+    pub taken_at: Time,
 }
 
 /// What an instance answered when asked to keep work from an engine.
@@ -150,7 +150,7 @@
         /// Answer to this call.
         call: CallId,
         /// How.
-        written: WriteOutcome,
+        outcome: WriteOutcome,
     },
     /// The configuration in force names these engines.
     Configured {
@@ -223,7 +223,7 @@
     /// The order; its number is the one to send.
     pub order: Order,
     /// It may only leave before this time.
-    pub until: Time,
+    pub deadline: Time,
 }
 
 /// What to do.
@@ -283,7 +283,7 @@
         /// The order's sequence number.
         sequence: u64,
         /// What showed it.
-        closing: CloseReason,
+        reason: CloseReason,
     },
     /// Tell operators: an engine gets no order until its last one is settled.
     Unsettled {
--- a/crates/core/src/authority/lease.rs
+++ b/crates/core/src/authority/lease.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether the lease surely has not lapsed at `now`.
-    pub fn holds(&self, now: Time) -> bool {
+    pub fn is_valid(&self, now: Time) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
--- a/crates/core/src/authority/machine.rs
+++ b/crates/core/src/authority/machine.rs
@@ -92,7 +92,7 @@
     pub fn new(settings: Settings) -> Authority {
         let belief = LocalLease::new(settings.timing.ttl, settings.timing.margin);
         let record = Record {
-            holder: settings.name.clone(),
+            holder: settings.instance.clone(),
             incarnation: settings.incarnation,
             fence: Fence::default(),
             engines: BTreeMap::new(),
@@ -117,7 +117,7 @@
     }
 
     /// Takes an event; returns what to do.
-    pub fn on(&mut self, now: Time, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => {}
@@ -134,7 +134,7 @@
                 record,
             } => self.on_read(now, call, version, record, &mut actions),
             Event::ReadFailed { call } => self.on_read_failed(now, call),
-            Event::Wrote { call, written } => self.on_wrote(now, call, written, &mut actions),
+            Event::Wrote { call, outcome } => self.on_wrote(now, call, outcome, &mut actions),
             Event::Configured { model, engines } => self.on_configured(model, engines, &mut actions),
             Event::Resign => self.on_resign(&mut actions),
             event => self.on_engine_event(now, event, &mut actions),
@@ -145,11 +145,11 @@
 
     /// Whether this instance holds the authority and believes in its lease.
     pub fn is_holder(&self, now: Time) -> bool {
-        self.held && self.belief.holds(now)
+        self.held && self.belief.is_valid(now)
     }
 
     /// Until when this instance believes in its lease.
-    pub fn believes_until(&self) -> Time {
+    pub fn lease_expiry(&self) -> Time {
         self.belief.until()
     }
 
@@ -335,7 +335,7 @@
                 .or_insert_with(|| EngineState::new(wish.fencing));
             engine.fencing = wish.fencing;
             engine.wish.role = wish.role;
-            engine.released = wish.released;
+            engine.released = wish.released_sequence;
         }
     }
 
@@ -358,7 +358,7 @@
         self.version = version;
         let fence = before.as_ref().map_or(Fence::default(), |r| r.fence);
         let record = Record {
-            holder: self.settings.name.clone(),
+            holder: self.settings.instance.clone(),
             incarnation: self.settings.incarnation,
             fence: fence.max(self.floor).next(),
             engines: before.map(|r| r.engines).unwrap_or_default(),
@@ -472,7 +472,7 @@
             _ => {}
         }
         self.renew(now, actions);
-        if self.is_settled() && self.belief.holds(now) {
+        if self.is_settled() && self.belief.is_valid(now) {
             self.decide(now, actions);
         }
     }
--- a/crates/core/src/authority/orders.rs
+++ b/crates/core/src/authority/orders.rs
@@ -33,7 +33,7 @@
                 self.with(&engine, |e| e.wish.proposal = Some(target));
             }
             Event::Reported { engine, report } => self.with(&engine, |e| {
-                if e.report.as_ref().is_none_or(|r| r.taken <= report.taken) {
+                if e.report.as_ref().is_none_or(|r| r.taken_at <= report.taken_at) {
                     e.report = Some(report);
                 }
             }),
@@ -160,7 +160,7 @@
             tell.push(Action::Closed {
                 engine: name.clone(),
                 sequence: order.order.sequence,
-                closing,
+                reason: closing,
             });
         }
         let any = !tell.is_empty();
@@ -220,7 +220,7 @@
                 call,
                 engine: name.clone(),
                 order,
-                until,
+                deadline: until,
             }));
         });
     }
@@ -237,7 +237,7 @@
             "an order leaves only in the tenure that opened it",
         )?;
         check(
-            self.belief.holds(now),
+            self.belief.is_valid(now),
             "an order leaves only under a lease that is believed in",
         )?;
         let fate = self.engines.get(name).and_then(|e| e.own).map(|own| own.fate);
@@ -265,7 +265,7 @@
             .get(name)
             .is_some_and(|e| e.fencing == Fencing::Checked);
         let held = check(
-            checked && fence >= order.fence && self.belief.holds(now),
+            checked && fence >= order.fence && self.belief.is_valid(now),
             "an order is repeated only at an engine that checks the number, with one not lower",
         );
         let order = Order {
@@ -279,7 +279,7 @@
                 call,
                 engine: name.clone(),
                 order,
-                until,
+                deadline: until,
             }));
         });
     }
@@ -375,7 +375,7 @@
             OrderRecord {
                 order: order.clone(),
                 phase: Phase::Open,
-                holder: self.settings.name.clone(),
+                holder: self.settings.instance.clone(),
                 incarnation: self.settings.incarnation,
             },
         );
--- a/crates/core/src/authority/settings.rs
+++ b/crates/core/src/authority/settings.rs
@@ -54,7 +54,7 @@
     /// The service.
     pub service: Name,
     /// This instance.
-    pub name: Name,
+    pub instance: Name,
     /// This process.
     pub incarnation: Incarnation,
     /// Times.
--- a/crates/core/src/relay/lead.rs
+++ b/crates/core/src/relay/lead.rs
@@ -133,6 +133,6 @@
     /// The fencing number of a call that leaves now; `None` if none may leave.
     pub fn fence(&self, now: Time) -> Option<u64> {
         let (fence, from) = self.held?;
-        (now >= from && self.belief.holds(now)).then_some(fence)
+        (now >= from && self.belief.is_valid(now)).then_some(fence)
     }
 }
--- a/crates/core/src/roles/mod.rs
+++ b/crates/core/src/roles/mod.rs
@@ -87,11 +87,11 @@
     /// The service's engines that can be reached.
     pub engines: Vec<EngineStatus>,
     /// Weight of one role change, 0 to 100.
-    pub weight: u32,
+    pub change_weight: u32,
     /// Age above which a report is no evidence.
-    pub lag: Duration,
+    pub max_age: Duration,
     /// Whether the key-value service answers.
-    pub platform: bool,
+    pub platform_reachable: bool,
 }
 
 /// A change worth its price.
@@ -202,7 +202,8 @@
             };
             let gain = horizon * (self.worth(counts.minus(from).plus(to), speed) - before);
             let lost = before - self.worth(counts.minus(from), speed);
-            let price = lost * (self.away.as_secs_f64() + DRAIN) + horizon * least_gain(evidence.weight);
+            let price =
+                lost * (self.away.as_secs_f64() + DRAIN) + horizon * least_gain(evidence.change_weight);
             if gain > price && best.as_ref().is_none_or(|b| gain > b.gain) {
                 best = Some(RoleChange {
                     engine: engine.name.clone(),
@@ -227,7 +228,7 @@
         let free = evidence
             .engines
             .iter()
-            .filter(|e| e.role == from && !e.fixed && !e.away && e.age <= evidence.lag)
+            .filter(|e| e.role == from && !e.fixed && !e.away && e.age <= evidence.max_age)
             .filter(|e| !self.pending.contains_key(&e.name));
         free.filter(rested).min_by_key(|e| e.requests)
     }
@@ -282,8 +283,12 @@
 /// change another engine for the same shift, back and forth; without the key-value service an order could not be
 /// opened, and would be carried out when the mix is long another.
 fn is_good(evidence: &PlannerInput) -> bool {
-    let fresh = evidence.engines.iter().filter(|e| e.age <= evidence.lag).count();
-    evidence.platform && fresh as f64 >= FRESH * evidence.engines.len() as f64
+    let fresh = evidence
+        .engines
+        .iter()
+        .filter(|e| e.age <= evidence.max_age)
+        .count();
+    evidence.platform_reachable && fresh as f64 >= FRESH * evidence.engines.len() as f64
 }
 
 fn moves() -> [(Role, Role); 6] {
--- a/src/ops/control/authority/kv.rs
+++ b/src/ops/control/authority/kv.rs
@@ -166,7 +166,10 @@
             WriteOutcome::Unknown
         }
     };
-    Event::Wrote { call, written }
+    Event::Wrote {
+        call,
+        outcome: written,
+    }
 }
 
 async fn swap(kv: &KvClient, service: &Name, expect: RecordVersion, value: &[u8]) -> WriteOutcome {
--- a/src/ops/control/authority/mod.rs
+++ b/src/ops/control/authority/mod.rs
@@ -207,7 +207,7 @@
         let ttl = self.shared.settings.lease;
         let settings = Settings {
             service: service.clone(),
-            name: self.shared.settings.name.clone(),
+            instance: self.shared.settings.name.clone(),
             incarnation: self.incarnation,
             timing: Timing::new(ttl, kv::delay(ttl, service, &self.shared.settings.name)),
         };
@@ -245,7 +245,7 @@
         let Some(unit) = self.units.get_mut(service) else {
             return;
         };
-        for action in unit.machine.on(clock::now(), event) {
+        for action in unit.machine.handle_event(clock::now(), event) {
             self.perform(service, action, context);
         }
     }
@@ -397,7 +397,7 @@
         );
         let run = async move {
             let answer = match address {
-                Some(address) if clock::now() < send.until => answer(engines.order(address, &order).await),
+                Some(address) if clock::now() < send.deadline => answer(engines.order(address, &order).await),
                 _ => OrderAnswer::Unsent,
             };
             metrics.count_order(answer);
@@ -431,8 +431,8 @@
             Action::Closed {
                 engine,
                 sequence,
-                closing,
-            } => log_event!(info, log_event::ORDER_CLOSED, %engine, sequence, %closing),
+                reason,
+            } => log_event!(info, log_event::ORDER_CLOSED, %engine, sequence, closing = %reason),
             Action::Unsettled { engine, sequence } => {
                 metrics.unsettled.inc();
                 log_event!(warn, log_event::ORDER_UNSETTLED, %engine, sequence);
@@ -475,7 +475,7 @@
             name: view.name.clone(),
             fencing: view.fencing,
             role: view.role,
-            released: snapshot.released.get(&view.name).copied().unwrap_or_default(),
+            released_sequence: snapshot.released.get(&view.name).copied().unwrap_or_default(),
         })
         .collect()
 }
@@ -491,7 +491,7 @@
         away: body.away,
         idle: body.running == 0 && body.queued == 0,
         sequence: body.sequence,
-        taken: asked - Duration::from_millis(body.age),
+        taken_at: asked - Duration::from_millis(body.age),
     }
 }
 
--- a/src/ops/control/roles.rs
+++ b/src/ops/control/roles.rs
@@ -155,9 +155,9 @@
             .filter_map(|engine| seen(now, &router, engine));
         PlannerInput {
             engines: seen.collect(),
-            weight: weight(snapshot),
-            lag: self.shared.settings.poll * LAG_POLLS,
-            platform: roster.standing == Standing::Current,
+            change_weight: weight(snapshot),
+            max_age: self.shared.settings.poll * LAG_POLLS,
+            platform_reachable: roster.standing == Standing::Current,
         }
     }
 }
--- a/tests/testsuite/authority/machine.rs
+++ b/tests/testsuite/authority/machine.rs
@@ -40,7 +40,7 @@
     fn new() -> Bench {
         let settings = Settings {
             service: name("s"),
-            name: name("i0"),
+            instance: name("i0"),
             incarnation: Incarnation::default(),
             timing: Timing::new(TTL, Duration::from_millis(500)),
         };
@@ -54,7 +54,7 @@
             name: name("e0"),
             fencing: Fencing::Ignored,
             role: Some(Role::Decode),
-            released: 0,
+            released_sequence: 0,
         };
         bench.give(Event::Configured {
             model: "m".to_string(),
@@ -65,7 +65,7 @@
     }
 
     fn give(&mut self, event: Event) {
-        for action in self.machine.on(self.now, event) {
+        for action in self.machine.handle_event(self.now, event) {
             if let Some(event) = self.perform(action) {
                 self.give(event);
             }
@@ -84,7 +84,10 @@
             Action::Write { call, .. } => {
                 self.version += 1;
                 let written = WriteOutcome::Done(RecordVersion(self.version));
-                Some(Event::Wrote { call, written })
+                Some(Event::Wrote {
+                    call,
+                    outcome: written,
+                })
             }
             Action::Probe(engine) => Some(Event::Reported {
                 engine,
@@ -116,7 +119,7 @@
             away: false,
             idle: true,
             sequence: 0,
-            taken: self.now,
+            taken_at: self.now,
         }
     }
 
--- a/tests/testsuite/authority/seeded.rs
+++ b/tests/testsuite/authority/seeded.rs
@@ -162,7 +162,7 @@
         let delay = Duration::from_millis(300 * (index as u64 + 1));
         let settings = Settings {
             service: name("s"),
-            name: name(&format!("i{index}")),
+            instance: name(&format!("i{index}")),
             incarnation,
             timing: Timing::new(TTL, delay),
         };
@@ -212,7 +212,7 @@
             name: name.clone(),
             fencing: engine.fencing,
             role: Some(engine.wish),
-            released: engine.released,
+            released_sequence: engine.released,
         };
         Event::Configured {
             model: "m".to_string(),
@@ -308,7 +308,7 @@
     }
 
     fn feed(&mut self, node: usize, event: Event) {
-        let actions = self.nodes[node].machine.on(self.now, event);
+        let actions = self.nodes[node].machine.handle_event(self.now, event);
         for action in actions {
             self.perform(node, action);
         }
@@ -337,7 +337,7 @@
                 self.answer(node, incarnation, Event::WeightsChecked { engine, ready: true });
             }
             Action::Send(send) => {
-                assert!(self.now < send.until, "seed {}: decided too late", self.seed);
+                assert!(self.now < send.deadline, "seed {}: decided too late", self.seed);
                 self.send(node, send);
             }
             Action::AskSettlement {
@@ -491,7 +491,7 @@
             },
             Call::Write(_, _) if out => Event::Wrote {
                 call,
-                written: WriteOutcome::Unknown,
+                outcome: WriteOutcome::Unknown,
             },
             Call::Write(expect, record) => {
                 let written = match expect == self.kv.version {
@@ -503,7 +503,10 @@
                     false => WriteOutcome::Conflict,
                 };
                 let written = if lost { WriteOutcome::Unknown } else { written };
-                Event::Wrote { call, written }
+                Event::Wrote {
+                    call,
+                    outcome: written,
+                }
             }
         }
     }
@@ -570,7 +573,7 @@
             away: taken < *away,
             idle: true,
             sequence: *sequence,
-            taken,
+            taken_at: taken,
         }
     }
 }
--- a/tests/testsuite/policy/roles.rs
+++ b/tests/testsuite/policy/roles.rs
@@ -37,9 +37,9 @@
     };
     PlannerInput {
         engines: (0..8).map(seen).collect(),
-        weight,
-        lag: Duration::from_secs(1),
-        platform: true,
+        change_weight: weight,
+        max_age: Duration::from_secs(1),
+        platform_reachable: true,
     }
 }
 
@@ -85,7 +85,7 @@
 #[test]
 fn plan_platform_out() {
     let out = PlannerInput {
-        platform: false,
+        platform_reachable: false,
         ..evidence(0)
     };
     assert_eq!(plan(HEAVY, &out), None);
--- a/tests/testsuite/whole/engines.rs
+++ b/tests/testsuite/whole/engines.rs
@@ -105,7 +105,7 @@
             away: taken < past.away,
             idle: true,
             sequence: past.sequence,
-            taken,
+            taken_at: taken,
         }
     }
 }
--- a/tests/testsuite/whole/holders.rs
+++ b/tests/testsuite/whole/holders.rs
@@ -47,7 +47,7 @@
             name: name.clone(),
             fencing: engine.fencing,
             role: engine.role,
-            released: config.released.get(name).copied().unwrap_or_default(),
+            released_sequence: config.released.get(name).copied().unwrap_or_default(),
         };
         Some(Event::Configured {
             model: "m".to_string(),
@@ -56,7 +56,7 @@
     }
 
     pub fn tell_authority(&mut self, index: usize, event: Event) {
-        let actions = self.instances[index].authority.on(self.now, event);
+        let actions = self.instances[index].authority.handle_event(self.now, event);
         for action in actions {
             self.authority_acts(index, action);
         }
@@ -103,7 +103,7 @@
                 self.tell_later(to, Event::WeightsChecked { engine, ready: true });
             }
             Action::Send(send) => {
-                assert!(self.now < send.until, "decided too late");
+                assert!(self.now < send.deadline, "decided too late");
                 self.send_order(index, send);
             }
             Action::AskSettlement {
--- a/tests/testsuite/whole/kv.rs
+++ b/tests/testsuite/whole/kv.rs
@@ -59,7 +59,7 @@
             Call::ReadRecord(call) => Message::Authority(authority::Event::ReadFailed { call: *call }),
             Call::WriteRecord(call, ..) => Message::Authority(authority::Event::Wrote {
                 call: *call,
-                written: WriteOutcome::Unknown,
+                outcome: WriteOutcome::Unknown,
             }),
             Call::ReadHead => Message::Keeper(config::Event::ReadFailed),
             Call::ReadSnapshot(_) => Message::Keeper(config::Event::Snapshot(None)),
@@ -189,7 +189,10 @@
             }
             false => WriteOutcome::Conflict,
         };
-        Message::Authority(authority::Event::Wrote { call, written })
+        Message::Authority(authority::Event::Wrote {
+            call,
+            outcome: written,
+        })
     }
 
     fn write_bucket(&mut self, bucket: BucketId, expect: claims::Revision, content: Bucket) -> Message {
--- a/tests/testsuite/whole/world.rs
+++ b/tests/testsuite/whole/world.rs
@@ -155,7 +155,7 @@
         let delay = Duration::from_millis(300 * (index as u64 + 1));
         let settings = Settings {
             service: name("model"),
-            name: name(&format!("i{index}")),
+            instance: name(&format!("i{index}")),
             incarnation,
             timing: Timing::new(TTL, delay),
         };
