--- a/crates/core/src/authority/wish.rs
+++ b/crates/core/src/authority/desired.rs
@@ -5,19 +5,19 @@
 
 /// What is wished of an engine.
 #[derive(Debug, Clone, Default)]
-pub struct Wish {
+pub struct DesiredState {
     /// The role that an operator fixed; goes before the planner's.
     pub role: Option<Role>,
     /// What the planner proposes.
     pub proposal: Option<Target>,
 }
 
-impl Wish {
+impl DesiredState {
     /// The target of an engine that reports `now` and serves `model`.
     ///
     /// Operators decide the service's model and may fix the role; what nobody decided stays as it is.
-    pub fn target(&self, now: &Target, model: &str) -> Target {
-        let mut target = self.proposal.clone().unwrap_or_else(|| now.clone());
+    pub fn target(&self, current: &Target, model: &str) -> Target {
+        let mut target = self.proposal.clone().unwrap_or_else(|| current.clone());
         if let Some(role) = self.role {
             target.role = role;
         }
--- a/crates/core/src/authority/engine.rs
+++ b/crates/core/src/authority/engine.rs
@@ -12,14 +12,14 @@
 use crate::authority::Report;
 use crate::authority::Settlement;
 use crate::authority::Timing;
-use crate::authority::wish::Wish;
+use crate::authority::desired::DesiredState;
 use crate::config::Fencing;
 use crate::name::Name;
 use crate::time::Time;
 
 /// What became of the last order that this process opened for an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum SendState {
     /// It has not left.
     Unsent,
     /// It left at this time; no answer yet.
@@ -27,31 +27,31 @@
     /// The engine carried it out.
     Applied,
     /// It surely has no effect, and won't be sent again.
-    Void,
+    Discarded,
     /// It left, and its answer was lost.
-    Lost,
+    Unanswered,
 }
 
 /// An order that this process opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Own {
+pub struct OwnOrder {
     /// Fencing number under which it was opened.
     pub fence: Fence,
     /// Its sequence number.
     pub sequence: u64,
     /// What became of it.
-    pub fate: Fate,
+    pub state: SendState,
     /// The call that sent it last.
     pub call: CallId,
 }
 
-impl Own {
+impl OwnOrder {
     /// An order whose record was written; it has not left.
-    pub fn new(order: &Order, fate: Fate) -> Own {
-        Own {
+    pub fn new(order: &Order, state: SendState) -> OwnOrder {
+        OwnOrder {
             fence: order.fence,
             sequence: order.sequence,
-            fate,
+            state,
             call: CallId::default(),
         }
     }
@@ -59,7 +59,7 @@
 
 /// A repeat of the last order with the holder's own number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Raise {
+pub enum FenceRaise {
     /// Not made yet.
     Due,
     /// Sent at this time by this call.
@@ -71,7 +71,7 @@
 /// Keeping work from an engine before it is changed.
 #[derive(Debug, Clone, Default)]
 pub struct Drain {
-    asked: Option<Time>,
+    asked_at: Option<Time>,
     clear: Option<Clear>,
     missing: BTreeMap<Name, Time>,
 }
@@ -85,10 +85,10 @@
 
 impl Drain {
     /// Whether the next round is due; notes that it is made.
-    pub fn ask(&mut self, now: Time, every: Duration) -> bool {
-        let due = self.asked.is_none_or(|asked| now >= asked + every);
+    pub fn start_round(&mut self, now: Time, interval: Duration) -> bool {
+        let due = self.asked_at.is_none_or(|asked_at| now >= asked_at + interval);
         if due {
-            self.asked = Some(now);
+            self.asked_at = Some(now);
         }
         due
     }
@@ -102,7 +102,7 @@
         asked: Time,
         done: Time,
         answers: &BTreeMap<Name, HoldAnswer>,
-        absence: Duration,
+        absence_timeout: Duration,
     ) {
         self.missing
             .retain(|name, _| answers.get(name) == Some(&HoldAnswer::Missing));
@@ -116,7 +116,7 @@
             HoldAnswer::Missing => self
                 .missing
                 .get(name)
-                .is_some_and(|since| done >= *since + absence),
+                .is_some_and(|since| done >= *since + absence_timeout),
         });
         self.clear = match (clear, self.clear) {
             (false, _) => None,
@@ -132,11 +132,11 @@
     ///
     /// The hold lapses at the instances by itself, so a clear round is worth nothing once it is old. The
     /// engine's report must come from after the round: an older one doesn't show what was under way to it.
-    pub fn until(&self, report: Option<&Report>, hold: Duration) -> Option<Time> {
+    pub fn deadline(&self, report: Option<&Report>, hold_ttl: Duration) -> Option<Time> {
         let clear = self.clear?;
         let report = report?;
         let empty = report.idle && !report.away && report.taken_at >= clear.since;
-        empty.then(|| clear.asked + hold.saturating_sub(hold / 5))
+        empty.then(|| clear.asked + hold_ttl.saturating_sub(hold_ttl / 5))
     }
 }
 
@@ -146,29 +146,29 @@
     /// Whether it checks fencing numbers.
     pub fencing: Fencing,
     /// What it shall be.
-    pub wish: Wish,
+    pub desired: DesiredState,
     /// Sequence number of the order that operators released last.
-    pub released: u64,
+    pub released_sequence: u64,
     /// Its last report.
     pub report: Option<Report>,
     /// Reports taken before this say nothing about what to do next.
-    pub since: Time,
+    pub fresh_since: Time,
     /// When the report was last asked for.
-    pub probed: Option<Time>,
+    pub probed_at: Option<Time>,
     /// The drain that goes on, if any.
     pub drain: Option<Drain>,
     /// When the weight store said that what it is to load can be read, and the next time to ask.
     pub weights: Weights,
     /// The last order that this process opened.
-    pub own: Option<Own>,
+    pub own: Option<OwnOrder>,
     /// The repeat with the holder's own number.
-    pub raise: Raise,
+    pub fence_raise: FenceRaise,
     /// What the process that opened the last order said of it.
-    pub settled: Option<(u64, Settlement)>,
+    pub settlement: Option<(u64, Settlement)>,
     /// When a call for the open order may be made again.
-    pub again: Time,
+    pub retry_at: Time,
     /// Sequence number that operators were told is unsettled.
-    pub told: u64,
+    pub notified_sequence: u64,
 }
 
 /// What the weight store said.
@@ -185,87 +185,89 @@
     pub fn new(fencing: Fencing) -> EngineState {
         EngineState {
             fencing,
-            wish: Wish::default(),
-            released: 0,
+            desired: DesiredState::default(),
+            released_sequence: 0,
             report: None,
-            since: Time::ZERO,
-            probed: None,
+            fresh_since: Time::ZERO,
+            probed_at: None,
             drain: None,
             weights: Weights::Ask(Time::ZERO),
             own: None,
-            raise: Raise::Due,
-            settled: None,
-            again: Time::ZERO,
-            told: 0,
+            fence_raise: FenceRaise::Due,
+            settlement: None,
+            retry_at: Time::ZERO,
+            notified_sequence: 0,
         }
     }
 
     /// Forgets what a former tenure left behind; what became of own orders stays known.
-    pub fn begin(&mut self, now: Time) {
-        self.since = now;
-        self.probed = None;
+    pub fn start_tenure(&mut self, now: Time) {
+        self.fresh_since = now;
+        self.probed_at = None;
         self.drain = None;
         self.weights = Weights::Ask(now);
-        self.raise = Raise::Due;
-        self.settled = None;
-        self.again = now;
-        self.told = 0;
-        self.wish.proposal = None;
+        self.fence_raise = FenceRaise::Due;
+        self.settlement = None;
+        self.retry_at = now;
+        self.notified_sequence = 0;
+        self.desired.proposal = None;
     }
 
     /// What became of `record`'s order, if this process opened it.
-    pub fn fate(&self, record: &OrderRecord) -> Option<Fate> {
+    pub fn send_state(&self, record: &OrderRecord) -> Option<SendState> {
         let own = self.own?;
         let same = own.sequence == record.order.sequence && own.fence == record.order.fence;
-        same.then_some(own.fate)
+        same.then_some(own.state)
     }
 
     /// The own order leaves by `call`.
-    pub fn leave(&mut self, now: Time, call: CallId) {
+    pub fn mark_sent(&mut self, now: Time, call: CallId) {
         if let Some(own) = &mut self.own {
-            own.fate = Fate::Sent(now);
+            own.state = SendState::Sent(now);
             own.call = call;
         }
     }
 
     /// Takes the answer to `call`; a late answer to an earlier call is dropped.
     pub fn on_answer(&mut self, call: CallId, answer: OrderAnswer) {
-        if matches!(self.raise, Raise::Sent(_, sent) if sent == call) {
-            self.raise = match answer {
-                OrderAnswer::Applied => Raise::Done,
-                OrderAnswer::Stale(_) | OrderAnswer::Unsent | OrderAnswer::Unknown => Raise::Due,
+        if matches!(self.fence_raise, FenceRaise::Sent(_, sent) if sent == call) {
+            self.fence_raise = match answer {
+                OrderAnswer::Applied => FenceRaise::Done,
+                OrderAnswer::Stale(_) | OrderAnswer::Unsent | OrderAnswer::Unknown => FenceRaise::Due,
             };
         }
         let Some(own) = &mut self.own else { return };
-        if own.call != call || !matches!(own.fate, Fate::Sent(_) | Fate::Lost) {
+        if own.call != call || !matches!(own.state, SendState::Sent(_) | SendState::Unanswered) {
             return;
         }
-        own.fate = match answer {
-            OrderAnswer::Applied => Fate::Applied,
-            OrderAnswer::Stale(_) => Fate::Void,
-            OrderAnswer::Unsent => Fate::Unsent,
-            OrderAnswer::Unknown => Fate::Lost,
+        own.state = match answer {
+            OrderAnswer::Applied => SendState::Applied,
+            OrderAnswer::Stale(_) => SendState::Discarded,
+            OrderAnswer::Unsent => SendState::Unsent,
+            OrderAnswer::Unknown => SendState::Unanswered,
         };
         if answer == OrderAnswer::Applied {
-            self.raise = Raise::Done;
+            self.fence_raise = FenceRaise::Done;
         }
     }
 
     /// The last report, if it was taken after the last thing that may have changed the engine.
-    pub fn fresh(&self) -> Option<&Report> {
+    pub fn fresh_report(&self) -> Option<&Report> {
         self.report
             .as_ref()
-            .filter(|report| report.taken_at >= self.since)
+            .filter(|report| report.taken_at >= self.fresh_since)
     }
 
     /// Whether the engine has reported lately, so that it is worth waiting for.
-    pub fn answers(&self, now: Time, timing: &Timing) -> bool {
+    pub fn is_responsive(&self, now: Time, timing: &Timing) -> bool {
         let limit = timing.ttl;
         self.report.as_ref().is_some_and(|r| now <= r.taken_at + limit)
     }
 
     /// Until when an order that changes the engine may leave, if it is empty.
-    pub fn drained(&self, timing: &Timing) -> Option<Time> {
-        self.drain.as_ref()?.until(self.report.as_ref(), timing.hold)
+    pub fn send_deadline(&self, timing: &Timing) -> Option<Time> {
+        self.drain
+            .as_ref()?
+            .deadline(self.report.as_ref(), timing.hold_ttl)
     }
 }
--- a/crates/core/src/authority/lease.rs
+++ b/crates/core/src/authority/lease.rs
@@ -13,38 +13,38 @@
 #[derive(Debug, Clone)]
 pub struct LocalLease {
     ttl: Duration,
-    margin: Duration,
-    until: Option<Time>,
+    clock_margin: Duration,
+    expires_at: Option<Time>,
 }
 
 impl LocalLease {
     /// No belief, for a lease of `ttl` from which `margin` is taken off.
-    pub fn new(ttl: Duration, margin: Duration) -> LocalLease {
+    pub fn new(ttl: Duration, clock_margin: Duration) -> LocalLease {
         LocalLease {
             ttl,
-            margin,
-            until: None,
+            clock_margin,
+            expires_at: None,
         }
     }
 
     /// The platform confirmed a grant or renewal that was sent at `sent`.
     pub fn confirm(&mut self, sent: Time) {
-        let until = sent + self.ttl.saturating_sub(self.margin);
-        self.until = self.until.max(Some(until));
+        let expires_at = sent + self.ttl.saturating_sub(self.clock_margin);
+        self.expires_at = self.expires_at.max(Some(expires_at));
     }
 
     /// The lease is lost or given up.
     pub fn clear(&mut self) {
-        self.until = None;
+        self.expires_at = None;
     }
 
     /// Whether the lease surely has not lapsed at `now`.
     pub fn is_valid(&self, now: Time) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.expires_at.is_some_and(|expires_at| now < expires_at)
     }
 
     /// When the belief ends; [`Time::ZERO`] if there is none.
-    pub fn until(&self) -> Time {
-        self.until.unwrap_or(Time::ZERO)
+    pub fn expires_at(&self) -> Time {
+        self.expires_at.unwrap_or(Time::ZERO)
     }
 }
--- a/crates/core/src/authority/machine.rs
+++ b/crates/core/src/authority/machine.rs
@@ -16,9 +16,9 @@
 use crate::authority::Settlement;
 use crate::authority::WriteOutcome;
 use crate::authority::engine::EngineState;
-use crate::authority::engine::Fate;
-use crate::authority::engine::Own;
-use crate::authority::engine::Raise;
+use crate::authority::engine::FenceRaise;
+use crate::authority::engine::OwnOrder;
+use crate::authority::engine::SendState;
 use crate::invariant::Broken;
 use crate::invariant::check;
 use crate::name::Name;
@@ -26,7 +26,7 @@
 
 /// A call whose answer is waited for.
 #[derive(Debug, Clone, Copy)]
-struct Wait {
+struct PendingCall {
     call: CallId,
     since: Time,
     failed: bool,
@@ -38,23 +38,23 @@
     /// Somebody else may have it; the lease is vacant since that time.
     Follower(Option<Time>),
     /// The lease is asked for.
-    Acquiring(Wait),
+    Acquiring(PendingCall),
     /// The record is read, to be taken over.
-    Reading(Wait),
+    Reading(PendingCall),
     /// The record is written.
-    Writing(Wait),
+    Writing(PendingCall),
     /// The record is read back, since it is not known how it stands.
-    Checking(Wait),
+    Verifying(PendingCall),
     /// The record is taken over and known.
     Holding,
 }
 
 /// A write of the record that may take effect.
 #[derive(Debug, Clone)]
-struct Attempt {
+struct PendingWrite {
     record: Record,
     opened: Option<(Name, Order)>,
-    tell: Vec<Action>,
+    notices: Vec<Action>,
 }
 
 /// When the lease is renewed.
@@ -69,28 +69,28 @@
 #[derive(Debug, Clone)]
 pub struct Authority {
     pub(super) settings: Settings,
-    pub(super) belief: LocalLease,
+    pub(super) lease: LocalLease,
     pub(super) record: Record,
     pub(super) engines: BTreeMap<Name, EngineState>,
     pub(super) model: String,
     pub(super) changing: Option<Name>,
     /// Number under which this tenure took over.
-    pub(super) tenure: Fence,
+    pub(super) tenure_fence: Fence,
     /// Highest number that an engine said it has seen.
-    pub(super) floor: Fence,
+    pub(super) fence_floor: Fence,
     stage: Stage,
     held: bool,
     resigned: bool,
     version: RecordVersion,
-    attempt: Option<Attempt>,
+    pending_write: Option<PendingWrite>,
     renewal: Renewal,
-    calls: u64,
+    last_call: u64,
 }
 
 impl Authority {
     /// A follower that knows no engines.
     pub fn new(settings: Settings) -> Authority {
-        let belief = LocalLease::new(settings.timing.ttl, settings.timing.margin);
+        let lease = LocalLease::new(settings.timing.ttl, settings.timing.clock_margin);
         let record = Record {
             holder: settings.instance.clone(),
             incarnation: settings.incarnation,
@@ -99,20 +99,20 @@
         };
         Authority {
             settings,
-            belief,
+            lease,
             record,
             engines: BTreeMap::new(),
             model: String::new(),
             changing: None,
-            tenure: Fence::default(),
-            floor: Fence::default(),
+            tenure_fence: Fence::default(),
+            fence_floor: Fence::default(),
             stage: Stage::Follower(None),
             held: false,
             resigned: false,
             version: RecordVersion::default(),
-            attempt: None,
+            pending_write: None,
             renewal: Renewal::default(),
-            calls: 0,
+            last_call: 0,
         }
     }
 
@@ -145,12 +145,12 @@
 
     /// Whether this instance holds the authority and believes in its lease.
     pub fn is_holder(&self, now: Time) -> bool {
-        self.held && self.belief.is_valid(now)
+        self.held && self.lease.is_valid(now)
     }
 
     /// Until when this instance believes in its lease.
     pub fn lease_expiry(&self) -> Time {
-        self.belief.until()
+        self.lease.expires_at()
     }
 
     /// What became of an order that `incarnation` opened, asked by a successor. An order that has not left
@@ -159,13 +159,13 @@
         let own = self.engines.get_mut(engine).and_then(|e| e.own.as_mut());
         match own {
             Some(own) if incarnation == self.settings.incarnation && own.sequence == sequence => {
-                match own.fate {
-                    Fate::Applied => Settlement::Applied,
-                    Fate::Unsent | Fate::Void => {
-                        own.fate = Fate::Void;
+                match own.state {
+                    SendState::Applied => Settlement::Applied,
+                    SendState::Unsent | SendState::Discarded => {
+                        own.state = SendState::Discarded;
                         Settlement::Unsent
                     }
-                    Fate::Sent(_) | Fate::Lost => Settlement::Unknown,
+                    SendState::Sent(_) | SendState::Unanswered => Settlement::Unknown,
                 }
             }
             _ => Settlement::Unknown,
@@ -186,14 +186,14 @@
 
     fn on_acquired(&mut self, now: Time, call: CallId, sent: Time, actions: &mut Vec<Action>) {
         match self.stage {
-            Stage::Acquiring(wait) if wait.call == call => {
-                self.belief.confirm(sent);
+            Stage::Acquiring(pending) if pending.call == call => {
+                self.lease.confirm(sent);
                 self.renewal = Renewal {
-                    next: sent + self.settings.timing.renew,
+                    next: sent + self.settings.timing.renew_interval,
                     ..Renewal::default()
                 };
-                self.attempt = None;
-                self.read(now, actions);
+                self.pending_write = None;
+                self.read_record(now, actions);
             }
             // Too late: the answer was given up.
             _ => {}
@@ -201,8 +201,8 @@
     }
 
     fn on_not_acquired(&mut self, call: CallId) {
-        if let Stage::Acquiring(wait) = self.stage
-            && wait.call == call
+        if let Stage::Acquiring(pending) = self.stage
+            && pending.call == call
         {
             self.stage = Stage::Follower(None);
         }
@@ -211,14 +211,14 @@
     fn on_renewed(&mut self, call: CallId, sent: Time) {
         if self.renewal.call == Some(call) {
             self.renewal.call = None;
-            self.belief.confirm(sent);
+            self.lease.confirm(sent);
         }
     }
 
     fn on_renew_failed(&mut self, now: Time, call: CallId) {
         if self.renewal.call == Some(call) {
             self.renewal.call = None;
-            self.renewal.next = now + self.settings.timing.retry;
+            self.renewal.next = now + self.settings.timing.retry_delay;
         }
     }
 
@@ -237,8 +237,10 @@
         actions: &mut Vec<Action>,
     ) {
         match self.stage {
-            Stage::Reading(wait) if wait.call == call => self.take_over(now, version, record, actions),
-            Stage::Checking(wait) if wait.call == call => self.on_checked(now, version, record, actions),
+            Stage::Reading(pending) if pending.call == call => self.take_over(now, version, record, actions),
+            Stage::Verifying(pending) if pending.call == call => {
+                self.on_verified(now, version, record, actions)
+            }
             _ => {}
         }
     }
@@ -248,21 +250,21 @@
     /// Failure guarded against: the answer to a write is lost, and the writer acts as if it had failed, or as
     /// if it had taken effect. Reading back shows the version before the write, the very record that was
     /// written, or another writer's; only the first two leave this instance the holder.
-    fn on_checked(
+    fn on_verified(
         &mut self,
         now: Time,
         version: RecordVersion,
         record: Option<Record>,
         actions: &mut Vec<Action>,
     ) {
-        let landed = match (&self.attempt, &record) {
-            (Some(attempt), Some(record)) => attempt.record == *record,
+        let committed = match (&self.pending_write, &record) {
+            (Some(write), Some(record)) => write.record == *record,
             _ => false,
         };
-        if landed {
-            self.on_landed(now, version, actions);
+        if committed {
+            self.on_committed(now, version, actions);
         } else if version == self.version && self.held {
-            self.drop_attempt();
+            self.discard_write();
             self.stage = Stage::Holding;
         } else if version == self.version {
             self.take_over(now, version, record, actions);
@@ -272,70 +274,72 @@
     }
 
     fn on_read_failed(&mut self, now: Time, call: CallId) {
-        if let Stage::Reading(wait) | Stage::Checking(wait) = &mut self.stage
-            && wait.call == call
+        if let Stage::Reading(pending) | Stage::Verifying(pending) = &mut self.stage
+            && pending.call == call
         {
-            wait.failed = true;
-            wait.since = now;
+            pending.failed = true;
+            pending.since = now;
         }
     }
 
     fn on_wrote(&mut self, now: Time, call: CallId, written: WriteOutcome, actions: &mut Vec<Action>) {
-        let Stage::Writing(wait) = self.stage else { return };
-        if wait.call != call {
+        let Stage::Writing(pending) = self.stage else {
+            return;
+        };
+        if pending.call != call {
             return;
         }
         match written {
-            WriteOutcome::Done(version) => self.on_landed(now, version, actions),
+            WriteOutcome::Done(version) => self.on_committed(now, version, actions),
             // Even a conflict may be an earlier write of ours that came late.
-            WriteOutcome::Conflict | WriteOutcome::Unknown => self.check_record(now, actions),
+            WriteOutcome::Conflict | WriteOutcome::Unknown => self.verify_record(now, actions),
         }
     }
 
-    fn on_landed(&mut self, now: Time, version: RecordVersion, actions: &mut Vec<Action>) {
-        let Some(attempt) = self.attempt.take() else {
+    fn on_committed(&mut self, now: Time, version: RecordVersion, actions: &mut Vec<Action>) {
+        let Some(write) = self.pending_write.take() else {
             return;
         };
         self.version = version;
-        self.record = attempt.record;
+        self.record = write.record;
         self.stage = Stage::Holding;
-        actions.extend(attempt.tell);
-        if let Some((name, order)) = attempt.opened
+        actions.extend(write.notices);
+        if let Some((name, order)) = write.opened
             && let Some(engine) = self.engines.get_mut(&name)
         {
-            engine.own = Some(Own::new(&order, Fate::Unsent));
-            engine.raise = Raise::Due;
+            engine.own = Some(OwnOrder::new(&order, SendState::Unsent));
+            engine.fence_raise = FenceRaise::Due;
         }
         if !self.held {
             self.held = true;
-            self.tenure = self.record.fence;
+            self.tenure_fence = self.record.fence;
             self.changing = None;
             for engine in self.engines.values_mut() {
-                engine.begin(now);
+                engine.start_tenure(now);
             }
-            actions.push(Action::TookOver(self.tenure));
+            actions.push(Action::TookOver(self.tenure_fence));
         }
     }
 
-    fn on_configured(&mut self, model: String, wishes: Vec<EngineConfig>, actions: &mut Vec<Action>) {
+    fn on_configured(&mut self, model: String, configs: Vec<EngineConfig>, actions: &mut Vec<Action>) {
         self.model = model;
-        let gone = self
+        let removed = self
             .changing
             .clone()
-            .filter(|c| !wishes.iter().any(|w| w.name == *c));
-        if let Some(gone) = gone {
-            self.finish(&gone, actions);
+            .filter(|c| !configs.iter().any(|config| config.name == *c));
+        if let Some(removed) = removed {
+            self.finish_change(&removed, actions);
         }
         self.engines
-            .retain(|name, _| wishes.iter().any(|w| w.name == *name));
-        for wish in wishes {
+            .retain(|name, _| configs.iter().any(|config| config.name == *name));
+        for config in configs {
             let engine = self
                 .engines
-                .entry(wish.name)
-                .or_insert_with(|| EngineState::new(wish.fencing));
-            engine.fencing = wish.fencing;
-            engine.wish.role = wish.role;
-            engine.released = wish.released_sequence;
+                .entry(config.name)
+                .or_insert_with(|| EngineState::new(config.fencing));
+            engine.fencing = config.fencing;
+            engine.desired.role = config.role;
+            engine.released_sequence = config.released_sequence;
         }
     }
 
@@ -360,11 +364,11 @@
         let record = Record {
             holder: self.settings.instance.clone(),
             incarnation: self.settings.incarnation,
-            fence: fence.max(self.floor).next(),
+            fence: fence.max(self.fence_floor).next(),
             engines: before.map(|r| r.engines).unwrap_or_default(),
         };
-        let raised = check(record.fence > fence, "a take-over raises the fencing number");
-        self.guarded(raised, actions, |authority, actions| {
+        let invariant = check(record.fence > fence, "a take-over raises the fencing number");
+        self.run_checked(invariant, actions, |authority, actions| {
             authority.write(now, record, None, Vec::new(), actions);
         });
     }
@@ -375,50 +379,58 @@
         now: Time,
         record: Record,
         opened: Option<(Name, Order)>,
-        tell: Vec<Action>,
+        notices: Vec<Action>,
         actions: &mut Vec<Action>,
     ) {
-        let wait = self.wait(now);
+        let pending = self.start_call(now);
         actions.push(Action::Write {
-            call: wait.call,
+            call: pending.call,
             expect: self.version,
             record: record.clone(),
         });
-        self.stage = Stage::Writing(wait);
-        self.attempt = Some(Attempt { record, opened, tell });
+        self.stage = Stage::Writing(pending);
+        self.pending_write = Some(PendingWrite {
+            record,
+            opened,
+            notices,
+        });
     }
 
     /// Runs `action` if the invariant holds; drops and reports it otherwise.
-    pub(super) fn guarded<F>(&mut self, held: Result<(), Broken>, actions: &mut Vec<Action>, action: F)
-    where
+    pub(super) fn run_checked<F>(
+        &mut self,
+        invariant: Result<(), Broken>,
+        actions: &mut Vec<Action>,
+        action: F,
+    ) where
         F: FnOnce(&mut Authority, &mut Vec<Action>),
     {
-        match held {
+        match invariant {
             Ok(()) => action(self, actions),
             Err(broken) => actions.push(Action::InvariantBroken(broken.rule)),
         }
     }
 
     /// Reads the record back before anything else is done.
-    pub(super) fn check_record(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let wait = self.wait(now);
-        actions.push(Action::Read(wait.call));
-        self.stage = Stage::Checking(wait);
+    pub(super) fn verify_record(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let pending = self.start_call(now);
+        actions.push(Action::Read(pending.call));
+        self.stage = Stage::Verifying(pending);
     }
 
     /// Whether the record is known and no write of it is under way.
-    pub(super) fn is_settled(&self) -> bool {
+    pub(super) fn is_record_known(&self) -> bool {
         matches!(self.stage, Stage::Holding)
     }
 
-    fn read(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let wait = self.wait(now);
-        actions.push(Action::Read(wait.call));
-        self.stage = Stage::Reading(wait);
+    fn read_record(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let pending = self.start_call(now);
+        actions.push(Action::Read(pending.call));
+        self.stage = Stage::Reading(pending);
     }
 
-    fn wait(&mut self, now: Time) -> Wait {
-        Wait {
+    fn start_call(&mut self, now: Time) -> PendingCall {
+        PendingCall {
             call: self.next_call(),
             since: now,
             failed: false,
@@ -426,53 +438,55 @@
     }
 
     pub(super) fn next_call(&mut self) -> CallId {
-        self.calls += 1;
-        CallId(self.calls)
+        self.last_call += 1;
+        CallId(self.last_call)
     }
 
     fn step_down(&mut self, actions: &mut Vec<Action>) {
-        self.drop_attempt();
+        self.discard_write();
         if let Some(name) = self.changing.clone() {
-            self.finish(&name, actions);
+            self.finish_change(&name, actions);
         }
         if self.held {
             actions.push(Action::SteppedDown);
         }
         actions.push(Action::Release);
         self.held = false;
-        self.belief.clear();
+        self.lease.clear();
         self.renewal = Renewal::default();
         self.stage = Stage::Follower(None);
     }
 
     /// Gives a write up. It may still take effect late; an order that it opens was never sent and never will
     /// be.
-    fn drop_attempt(&mut self) {
-        if let Some((name, order)) = self.attempt.take().and_then(|a| a.opened)
+    fn discard_write(&mut self) {
+        if let Some((name, order)) = self.pending_write.take().and_then(|a| a.opened)
             && let Some(engine) = self.engines.get_mut(&name)
         {
-            engine.own = Some(Own::new(&order, Fate::Void));
+            engine.own = Some(OwnOrder::new(&order, SendState::Discarded));
         }
     }
 
     fn advance(&mut self, now: Time, actions: &mut Vec<Action>) {
         let timing = &self.settings.timing;
-        let lost = |wait: Wait| now >= wait.since + timing.lost;
-        let again = |wait: Wait| lost(wait) || (wait.failed && now >= wait.since + timing.retry);
+        let timed_out = |pending: PendingCall| now >= pending.since + timing.call_timeout;
+        let retry_due = |pending: PendingCall| {
+            timed_out(pending) || (pending.failed && now >= pending.since + timing.retry_delay)
+        };
         match self.stage {
-            Stage::Follower(Some(since)) if !self.resigned && now >= since + timing.delay => {
-                let wait = self.wait(now);
-                actions.push(Action::Acquire(wait.call));
-                self.stage = Stage::Acquiring(wait);
+            Stage::Follower(Some(since)) if !self.resigned && now >= since + timing.acquire_delay => {
+                let pending = self.start_call(now);
+                actions.push(Action::Acquire(pending.call));
+                self.stage = Stage::Acquiring(pending);
             }
-            Stage::Acquiring(wait) if lost(wait) => self.stage = Stage::Follower(None),
-            Stage::Reading(wait) if again(wait) => self.read(now, actions),
-            Stage::Writing(wait) if lost(wait) => self.check_record(now, actions),
-            Stage::Checking(wait) if again(wait) => self.check_record(now, actions),
+            Stage::Acquiring(pending) if timed_out(pending) => self.stage = Stage::Follower(None),
+            Stage::Reading(pending) if retry_due(pending) => self.read_record(now, actions),
+            Stage::Writing(pending) if timed_out(pending) => self.verify_record(now, actions),
+            Stage::Verifying(pending) if retry_due(pending) => self.verify_record(now, actions),
             _ => {}
         }
         self.renew(now, actions);
-        if self.is_settled() && self.belief.is_valid(now) {
+        if self.is_record_known() && self.lease.is_valid(now) {
             self.decide(now, actions);
         }
     }
@@ -481,8 +495,8 @@
         if matches!(self.stage, Stage::Follower(_) | Stage::Acquiring(_)) {
             return;
         }
-        let lost = now >= self.renewal.sent + self.settings.timing.lost;
-        if self.renewal.call.is_some() && lost {
+        let timed_out = now >= self.renewal.sent + self.settings.timing.call_timeout;
+        if self.renewal.call.is_some() && timed_out {
             self.renewal.call = None;
         }
         if self.renewal.call.is_none() && now >= self.renewal.next {
@@ -490,7 +504,7 @@
             self.renewal = Renewal {
                 call: Some(call),
                 sent: now,
-                next: now + self.settings.timing.renew,
+                next: now + self.settings.timing.renew_interval,
             };
             actions.push(Action::Renew(call));
         }
--- a/crates/core/src/authority/mod.rs
+++ b/crates/core/src/authority/mod.rs
@@ -5,6 +5,7 @@
 //! change, opens the order's record and only then lets the order leave. `docs/design/authority.md` weighs the
 //! ways that were considered.
 
+mod desired;
 mod engine;
 mod event;
 mod lease;
@@ -12,7 +13,6 @@
 mod orders;
 mod record;
 mod settings;
-mod wish;
 
 pub use event::Action;
 pub use event::CallId;
--- a/crates/core/src/authority/orders.rs
+++ b/crates/core/src/authority/orders.rs
@@ -14,8 +14,8 @@
 use crate::authority::Settlement;
 use crate::authority::engine::Drain;
 use crate::authority::engine::EngineState;
-use crate::authority::engine::Fate;
-use crate::authority::engine::Raise;
+use crate::authority::engine::FenceRaise;
+use crate::authority::engine::SendState;
 use crate::authority::engine::Weights;
 use crate::config::Fencing;
 use crate::engine::Target;
@@ -30,9 +30,9 @@
         let timing = self.settings.timing.clone();
         match event {
             Event::Proposed { engine, target } => {
-                self.with(&engine, |e| e.wish.proposal = Some(target));
+                self.update_engine(&engine, |e| e.desired.proposal = Some(target));
             }
-            Event::Reported { engine, report } => self.with(&engine, |e| {
+            Event::Reported { engine, report } => self.update_engine(&engine, |e| {
                 if e.report.as_ref().is_none_or(|r| r.taken_at <= report.taken_at) {
                     e.report = Some(report);
                 }
@@ -42,28 +42,28 @@
                 asked,
                 done,
                 answers,
-            } => self.with(&engine, |e| {
+            } => self.update_engine(&engine, |e| {
                 if let Some(drain) = &mut e.drain {
-                    drain.on_answers(asked, done, &answers, timing.absence);
+                    drain.on_answers(asked, done, &answers, timing.absence_timeout);
                 }
             }),
-            Event::WeightsChecked { engine, ready } => self.with(&engine, |e| {
+            Event::WeightsChecked { engine, ready } => self.update_engine(&engine, |e| {
                 e.weights = match ready {
                     true => Weights::Ready,
-                    false => Weights::Ask(now + timing.retry),
+                    false => Weights::Ask(now + timing.retry_delay),
                 };
             }),
             Event::Settled {
                 engine,
                 sequence,
                 settlement,
-            } => self.with(&engine, |e| e.settled = Some((sequence, settlement))),
+            } => self.update_engine(&engine, |e| e.settlement = Some((sequence, settlement))),
             Event::Answered { call, engine, answer } => self.on_answered(now, call, &engine, answer, actions),
             _ => {}
         }
     }
 
-    fn with<F>(&mut self, name: &Name, change: F)
+    fn update_engine<F>(&mut self, name: &Name, change: F)
     where
         F: FnOnce(&mut EngineState),
     {
@@ -80,38 +80,38 @@
         answer: OrderAnswer,
         actions: &mut Vec<Action>,
     ) {
-        let retry = self.settings.timing.retry;
-        self.with(name, |engine| {
+        let retry = self.settings.timing.retry_delay;
+        self.update_engine(name, |engine| {
             engine.on_answer(call, answer);
             match answer {
-                OrderAnswer::Applied => engine.since = now,
-                _ => engine.again = now + retry,
+                OrderAnswer::Applied => engine.fresh_since = now,
+                _ => engine.retry_at = now + retry,
             }
         });
         if let OrderAnswer::Stale(seen) = answer {
-            self.floor = self.floor.max(seen);
-            if self.is_settled() {
+            self.fence_floor = self.fence_floor.max(seen);
+            if self.is_record_known() {
                 // Somebody may have taken over.
-                self.check_record(now, actions);
+                self.verify_record(now, actions);
             }
         }
     }
 
     /// Decides on all engines. Called only while the record is known and the lease is believed in.
     pub(super) fn decide(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.note_lost(now);
+        self.mark_timed_out(now);
         if self.close_settled(now, actions) {
             return;
         }
         let names: Vec<Name> = self.engines.keys().cloned().collect();
         for name in &names {
             self.probe(now, name, actions);
-            self.keep_hold(now, name, actions);
+            self.refresh_hold(now, name, actions);
             match self.open_record(name).cloned() {
-                Some(record) => self.pursue(now, name, &record, actions),
-                None => self.consider(now, name, actions),
+                Some(record) => self.continue_order(now, name, &record, actions),
+                None => self.decide_engine(now, name, actions),
             }
-            if !self.is_settled() {
+            if !self.is_record_known() {
                 return;
             }
         }
@@ -123,19 +123,19 @@
     }
 
     /// Takes answers that did not come as lost.
-    fn note_lost(&mut self, now: Time) {
-        let lost = self.settings.timing.lost;
+    fn mark_timed_out(&mut self, now: Time) {
+        let timeout = self.settings.timing.call_timeout;
         for engine in self.engines.values_mut() {
             if let Some(own) = &mut engine.own
-                && let Fate::Sent(at) = own.fate
-                && now >= at + lost
+                && let SendState::Sent(at) = own.state
+                && now >= at + timeout
             {
-                own.fate = Fate::Lost;
+                own.state = SendState::Unanswered;
             }
-            if let Raise::Sent(at, _) = engine.raise
-                && now >= at + lost
+            if let FenceRaise::Sent(at, _) = engine.fence_raise
+                && now >= at + timeout
             {
-                engine.raise = Raise::Due;
+                engine.fence_raise = FenceRaise::Due;
             }
         }
     }
@@ -143,7 +143,7 @@
     /// Closes the records of all orders that are settled, in one write; `true` if there were any.
     fn close_settled(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
         let mut record = self.record.clone();
-        let mut tell = Vec::new();
+        let mut notices = Vec::new();
         for (name, order) in &mut record.engines {
             let Some(engine) = self.engines.get_mut(name) else {
                 continue;
@@ -151,21 +151,21 @@
             if order.phase != Phase::Open {
                 continue;
             }
-            let Some(closing) = closing(engine, order, self.tenure) else {
+            let Some(reason) = close_reason(engine, order, self.tenure_fence) else {
                 continue;
             };
-            order.phase = Phase::Closed(closing);
-            engine.since = now;
+            order.phase = Phase::Closed(reason);
+            engine.fresh_since = now;
             engine.weights = Weights::Ask(now);
-            tell.push(Action::Closed {
+            notices.push(Action::Closed {
                 engine: name.clone(),
                 sequence: order.order.sequence,
-                reason: closing,
+                reason,
             });
         }
-        let any = !tell.is_empty();
+        let any = !notices.is_empty();
         if any {
-            self.write(now, record, None, tell, actions);
+            self.write(now, record, None, notices, actions);
         }
         any
     }
@@ -175,52 +175,59 @@
         let changing = self.changing.as_ref() == Some(name);
         let open = self.open_record(name).is_some();
         let model = self.model.clone();
-        self.with(name, |engine| {
+        self.update_engine(name, |engine| {
             let due = open
                 || engine
-                    .fresh()
-                    .is_none_or(|r| engine.wish.target(&r.target, &model) != r.target);
-            let every = match (changing, due) {
-                (true, _) => timing.probe,
-                (false, true) => timing.retry,
-                (false, false) => timing.rest,
+                    .fresh_report()
+                    .is_none_or(|r| engine.desired.target(&r.target, &model) != r.target);
+            let interval = match (changing, due) {
+                (true, _) => timing.probe_interval,
+                (false, true) => timing.retry_delay,
+                (false, false) => timing.idle_interval,
             };
-            if engine.probed.is_none_or(|probed| now >= probed + every) {
-                engine.probed = Some(now);
+            if engine
+                .probed_at
+                .is_none_or(|probed_at| now >= probed_at + interval)
+            {
+                engine.probed_at = Some(now);
                 actions.push(Action::Probe(name.clone()));
             }
         });
     }
 
     /// Goes on with an order whose record stands open.
-    fn pursue(&mut self, now: Time, name: &Name, record: &OrderRecord, actions: &mut Vec<Action>) {
+    fn continue_order(&mut self, now: Time, name: &Name, record: &OrderRecord, actions: &mut Vec<Action>) {
         let Some(engine) = self.engines.get(name) else {
             return;
         };
         let fencing = engine.fencing;
-        match (engine.fate(record), fencing) {
-            (Some(Fate::Unsent), _) => self.send_opened(now, name, record, actions),
-            (Some(Fate::Sent(_) | Fate::Applied | Fate::Void), _) => {}
-            (Some(Fate::Lost) | None, Fencing::Checked) => self.repeat(now, name, &record.order, actions),
-            (Some(Fate::Lost) | None, Fencing::Ignored) => self.wait_settled(now, name, record, actions),
+        match (engine.send_state(record), fencing) {
+            (Some(SendState::Unsent), _) => self.send_opened(now, name, record, actions),
+            (Some(SendState::Sent(_) | SendState::Applied | SendState::Discarded), _) => {}
+            (Some(SendState::Unanswered) | None, Fencing::Checked) => {
+                self.repeat_order(now, name, &record.order, actions)
+            }
+            (Some(SendState::Unanswered) | None, Fencing::Ignored) => {
+                self.await_settlement(now, name, record, actions)
+            }
         }
     }
 
     /// Sends an order that was just opened, or that did not leave at a former try.
     fn send_opened(&mut self, now: Time, name: &Name, record: &OrderRecord, actions: &mut Vec<Action>) {
-        let Some(until) = self.ready(now, name, actions) else {
+        let Some(deadline) = self.prepare_send(now, name, actions) else {
             return;
         };
         let order = record.order.clone();
-        let held = self.may_send(now, name, &order);
-        self.guarded(held, actions, |authority, actions| {
+        let invariant = self.may_send(now, name, &order);
+        self.run_checked(invariant, actions, |authority, actions| {
             let call = authority.next_call();
-            authority.with(name, |e| e.leave(now, call));
+            authority.update_engine(name, |e| e.mark_sent(now, call));
             actions.push(Action::Send(SendOrder {
                 call,
                 engine: name.clone(),
                 order,
-                deadline: until,
+                deadline,
             }));
         });
     }
@@ -233,30 +240,30 @@
         let ours = record.is_some_and(|r| r.incarnation == self.settings.incarnation);
         check(ours, "an order leaves only from the process that opened it")?;
         check(
-            order.fence > self.tenure,
+            order.fence > self.tenure_fence,
             "an order leaves only in the tenure that opened it",
         )?;
         check(
-            self.belief.is_valid(now),
+            self.lease.is_valid(now),
             "an order leaves only under a lease that is believed in",
         )?;
-        let fate = self.engines.get(name).and_then(|e| e.own).map(|own| own.fate);
+        let state = self.engines.get(name).and_then(|e| e.own).map(|own| own.state);
         check(
-            fate == Some(Fate::Unsent),
+            state == Some(SendState::Unsent),
             "an order leaves at most once per opening",
         )
     }
 
     /// Repeats the last order with the holder's own number, so that the engine refuses what a stale holder
     /// sends later. It is the same order, so it changes nothing that was not decided already.
-    fn repeat(&mut self, now: Time, name: &Name, order: &Order, actions: &mut Vec<Action>) {
+    fn repeat_order(&mut self, now: Time, name: &Name, order: &Order, actions: &mut Vec<Action>) {
         let Some(engine) = self.engines.get(name) else {
             return;
         };
-        if engine.raise != Raise::Due || now < engine.again {
+        if engine.fence_raise != FenceRaise::Due || now < engine.retry_at {
             return;
         }
-        let Some(until) = self.ready(now, name, actions) else {
+        let Some(deadline) = self.prepare_send(now, name, actions) else {
             return;
         };
         let fence = self.record.fence;
@@ -264,22 +271,22 @@
             .engines
             .get(name)
             .is_some_and(|e| e.fencing == Fencing::Checked);
-        let held = check(
-            checked && fence >= order.fence && self.belief.is_valid(now),
+        let invariant = check(
+            checked && fence >= order.fence && self.lease.is_valid(now),
             "an order is repeated only at an engine that checks the number, with one not lower",
         );
         let order = Order {
             fence,
             ..order.clone()
         };
-        self.guarded(held, actions, |authority, actions| {
+        self.run_checked(invariant, actions, |authority, actions| {
             let call = authority.next_call();
-            authority.with(name, |e| e.raise = Raise::Sent(now, call));
+            authority.update_engine(name, |e| e.fence_raise = FenceRaise::Sent(now, call));
             actions.push(Action::Send(SendOrder {
                 call,
                 engine: name.clone(),
                 order,
-                deadline: until,
+                deadline,
             }));
         });
     }
@@ -290,23 +297,23 @@
     /// successor waits, the order may come later, and the engine would carry it out after the successor's.
     /// The guard holds because an order leaves once per opening: once it took effect, or its process says
     /// that it never left, it can't come.
-    fn wait_settled(&mut self, now: Time, name: &Name, record: &OrderRecord, actions: &mut Vec<Action>) {
+    fn await_settlement(&mut self, now: Time, name: &Name, record: &OrderRecord, actions: &mut Vec<Action>) {
         if self.changing.as_ref() == Some(name) {
-            self.finish(name, actions);
+            self.finish_change(name, actions);
         }
         let ours = record.incarnation == self.settings.incarnation;
-        let retry = self.settings.timing.retry;
+        let retry = self.settings.timing.retry_delay;
         let sequence = record.order.sequence;
-        self.with(name, |engine| {
-            if engine.told != sequence {
-                engine.told = sequence;
+        self.update_engine(name, |engine| {
+            if engine.notified_sequence != sequence {
+                engine.notified_sequence = sequence;
                 actions.push(Action::Unsettled {
                     engine: name.clone(),
                     sequence,
                 });
             }
-            if !ours && now >= engine.again {
-                engine.again = now + retry;
+            if !ours && now >= engine.retry_at {
+                engine.retry_at = now + retry;
                 actions.push(Action::AskSettlement {
                     holder: record.holder.clone(),
                     incarnation: record.incarnation,
@@ -318,24 +325,24 @@
     }
 
     /// Decides whether an engine whose last order is settled needs another.
-    fn consider(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
+    fn decide_engine(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
         let Some(engine) = self.engines.get(name) else {
             return;
         };
-        let Some(report) = engine.fresh().cloned() else {
-            return self.give_up_silent(now, name, actions);
+        let Some(report) = engine.fresh_report().cloned() else {
+            return self.skip_unresponsive(now, name, actions);
         };
         if report.away {
             return;
         }
-        let target = engine.wish.target(&report.target, &self.model);
+        let target = engine.desired.target(&report.target, &self.model);
         if target == report.target {
-            return self.finish(name, actions);
+            return self.finish_change(name, actions);
         }
-        if !self.take_slot(name) || !self.weights_ready(now, name, &report.target, &target, actions) {
+        if !self.claim_change_slot(name) || !self.weights_ready(now, name, &report.target, &target, actions) {
             return;
         }
-        if self.ready(now, name, actions).is_none() {
+        if self.prepare_send(now, name, actions).is_none() {
             return;
         }
         let last = self.record.engines.get(name).map(|r| r.order.clone());
@@ -343,20 +350,23 @@
             .engines
             .get(name)
             .is_some_and(|e| e.fencing == Fencing::Checked);
-        let raised = self.engines.get(name).is_some_and(|e| e.raise == Raise::Done);
+        let raised = self
+            .engines
+            .get(name)
+            .is_some_and(|e| e.fence_raise == FenceRaise::Done);
         match last {
             // The number is raised first, and the state read after that; only then an order is decided on.
             Some(last)
                 if checked && !raised && last.sequence == report.sequence && last.target == report.target =>
             {
-                self.repeat(now, name, &last, actions);
+                self.repeat_order(now, name, &last, actions);
             }
-            last => self.open(now, name, last, target, actions),
+            last => self.open_order(now, name, last, target, actions),
         }
     }
 
     /// Opens the record of a new order.
-    fn open(
+    fn open_order(
         &mut self,
         now: Time,
         name: &Name,
@@ -364,9 +374,9 @@
         target: Target,
         actions: &mut Vec<Action>,
     ) {
-        let fence = self.record.fence.max(self.floor).next();
+        let fence = self.record.fence.max(self.fence_floor).next();
         let sequence = last.as_ref().map_or(0, |o| o.sequence) + 1;
-        let held = self.may_open(name, fence, &target);
+        let invariant = self.may_open(name, fence, &target);
         let order = Order::new(&self.settings.service, name, fence, sequence, target);
         let mut record = self.record.clone();
         record.fence = fence;
@@ -379,7 +389,7 @@
                 incarnation: self.settings.incarnation,
             },
         );
-        self.guarded(held, actions, |authority, actions| {
+        self.run_checked(invariant, actions, |authority, actions| {
             let opened = Some((name.clone(), order));
             authority.write(now, record, opened, Vec::new(), actions);
         });
@@ -400,46 +410,49 @@
     }
 
     /// Keeps work from an engine; tells until when an order may leave once it is empty.
-    fn ready(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) -> Option<Time> {
-        if !self.take_slot(name) {
+    fn prepare_send(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) -> Option<Time> {
+        if !self.claim_change_slot(name) {
             return None;
         }
         let timing = self.settings.timing.clone();
         let engine = self.engines.get_mut(name)?;
-        if !engine.answers(now, &timing) {
-            self.finish(name, actions);
+        if !engine.is_responsive(now, &timing) {
+            self.finish_change(name, actions);
             return None;
         }
         engine.drain.get_or_insert_with(Drain::default);
-        self.keep_hold(now, name, actions);
+        self.refresh_hold(now, name, actions);
         let engine = self.engines.get(name)?;
-        if now < engine.again {
+        if now < engine.retry_at {
             return None;
         }
-        let until = engine.drained(&timing)?.min(self.belief.until());
-        (now < until).then_some(until)
+        let deadline = engine.send_deadline(&timing)?.min(self.lease.expires_at());
+        (now < deadline).then_some(deadline)
     }
 
     /// Asks again for the hold of an engine that is being changed, which lapses by itself.
-    fn keep_hold(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
-        let every = self.settings.timing.retry;
+    fn refresh_hold(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
+        let interval = self.settings.timing.retry_delay;
         let drain = self.engines.get_mut(name).and_then(|e| e.drain.as_mut());
-        if drain.is_some_and(|drain| drain.ask(now, every)) {
+        if drain.is_some_and(|drain| drain.start_round(now, interval)) {
             actions.push(Action::Hold(name.clone()));
         }
     }
 
     /// One engine of a service is changed at a time.
-    fn take_slot(&mut self, name: &Name) -> bool {
+    fn claim_change_slot(&mut self, name: &Name) -> bool {
         *self.changing.get_or_insert_with(|| name.clone()) == *name
     }
 
     /// An engine that reports nothing must not keep the others from being changed.
-    fn give_up_silent(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
+    fn skip_unresponsive(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
         let timing = &self.settings.timing;
-        let silent = self.engines.get(name).is_some_and(|e| !e.answers(now, timing));
-        if silent {
-            self.finish(name, actions);
+        let unresponsive = self
+            .engines
+            .get(name)
+            .is_some_and(|e| !e.is_responsive(now, timing));
+        if unresponsive {
+            self.finish_change(name, actions);
         }
     }
 
@@ -451,7 +464,7 @@
         to: &Target,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let lost = self.settings.timing.lost;
+        let timeout = self.settings.timing.call_timeout;
         let same = from.model == to.model && from.adapter == to.adapter && from.version == to.version;
         let Some(engine) = self.engines.get_mut(name) else {
             return false;
@@ -461,7 +474,7 @@
             Weights::Ready => true,
             Weights::Ask(at) if now < at => false,
             Weights::Ask(_) => {
-                engine.weights = Weights::Ask(now + lost);
+                engine.weights = Weights::Ask(now + timeout);
                 actions.push(Action::AskWeights {
                     engine: name.clone(),
                     model: to.model.clone(),
@@ -472,12 +485,12 @@
     }
 
     /// Ends the change of an engine: it gets work again, and another may be changed.
-    pub(super) fn finish(&mut self, name: &Name, actions: &mut Vec<Action>) {
+    pub(super) fn finish_change(&mut self, name: &Name, actions: &mut Vec<Action>) {
         if self.changing.as_ref() != Some(name) {
             return;
         }
         self.changing = None;
-        self.with(name, |engine| {
+        self.update_engine(name, |engine| {
             if engine.drain.take().is_some() {
                 actions.push(Action::Unhold(name.clone()));
             }
@@ -486,27 +499,30 @@
 }
 
 /// What shows that the open order of `record` is settled, if anything does.
-fn closing(engine: &EngineState, record: &OrderRecord, tenure: Fence) -> Option<CloseReason> {
+fn close_reason(engine: &EngineState, record: &OrderRecord, tenure_fence: Fence) -> Option<CloseReason> {
     let order = &record.order;
     let reported = engine.report.as_ref();
-    let fate = engine.fate(record);
-    let said = engine.settled.filter(|(sequence, _)| *sequence == order.sequence);
-    let repeated = engine.raise == Raise::Done && matches!(fate, None | Some(Fate::Lost));
-    if fate == Some(Fate::Applied) || repeated {
+    let state = engine.send_state(record);
+    let settlement = engine
+        .settlement
+        .filter(|(sequence, _)| *sequence == order.sequence);
+    let repeated =
+        engine.fence_raise == FenceRaise::Done && matches!(state, None | Some(SendState::Unanswered));
+    if state == Some(SendState::Applied) || repeated {
         return Some(CloseReason::Answered);
     }
     if reported.is_some_and(|r| r.sequence == order.sequence && r.target == order.target) {
         return Some(CloseReason::Reported);
     }
     // Opened in a former tenure of this process and not sent: it won't be.
-    let dropped = fate == Some(Fate::Unsent) && order.fence <= tenure;
-    if dropped || fate == Some(Fate::Void) {
+    let never_sent = state == Some(SendState::Unsent) && order.fence <= tenure_fence;
+    if never_sent || state == Some(SendState::Discarded) {
         return Some(CloseReason::Unsent);
     }
-    if engine.released == order.sequence && !matches!(fate, Some(Fate::Sent(_))) {
+    if engine.released_sequence == order.sequence && !matches!(state, Some(SendState::Sent(_))) {
         return Some(CloseReason::Released);
     }
-    match said {
+    match settlement {
         Some((_, Settlement::Applied)) => Some(CloseReason::Acknowledged),
         Some((_, Settlement::Unsent)) => Some(CloseReason::Unsent),
         Some((_, Settlement::Unknown)) | None => None,
--- a/crates/core/src/authority/settings.rs
+++ b/crates/core/src/authority/settings.rs
@@ -11,39 +11,39 @@
     /// How long a lease lasts after its last renewal.
     pub ttl: Duration,
     /// Taken off the belief in it, for clocks that run differently.
-    pub margin: Duration,
+    pub clock_margin: Duration,
     /// Between two renewals.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// Before a failed call is made again.
-    pub retry: Duration,
+    pub retry_delay: Duration,
     /// After the lease became vacant, before this instance competes for it.
-    pub delay: Duration,
+    pub acquire_delay: Duration,
     /// How long an instance keeps work from an engine after it was asked to.
-    pub hold: Duration,
+    pub hold_ttl: Duration,
     /// How long an instance must have been out of reach before a change no longer waits for it.
-    pub absence: Duration,
+    pub absence_timeout: Duration,
     /// Between two reads of the report of an engine that is being changed.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// Between two reads of the report of any other engine.
-    pub rest: Duration,
+    pub idle_interval: Duration,
     /// After which an answer that did not come is taken as lost.
-    pub lost: Duration,
+    pub call_timeout: Duration,
 }
 
 impl Timing {
     /// Times for leases of `ttl`; `delay` differs between instances so that they don't compete at once.
-    pub fn new(ttl: Duration, delay: Duration) -> Timing {
+    pub fn new(ttl: Duration, acquire_delay: Duration) -> Timing {
         Timing {
             ttl,
-            margin: ttl / 5,
-            renew: ttl / 3,
-            retry: ttl / 10,
-            delay,
-            hold: ttl,
-            absence: ttl * 2,
-            probe: ttl / 40,
-            rest: ttl * 2,
-            lost: ttl,
+            clock_margin: ttl / 5,
+            renew_interval: ttl / 3,
+            retry_delay: ttl / 10,
+            acquire_delay,
+            hold_ttl: ttl,
+            absence_timeout: ttl * 2,
+            probe_interval: ttl / 40,
+            idle_interval: ttl * 2,
+            call_timeout: ttl,
         }
     }
 }
--- a/crates/core/src/roles/fit.rs
+++ b/crates/core/src/roles/capacity.rs
@@ -9,11 +9,11 @@
 const HEADROOM: f64 = 1.5;
 
 /// Steps of halving by which the bearable multiple of a demand is found.
-const HALVINGS: usize = 16;
+const BISECTION_STEPS: usize = 16;
 
 /// How many engines have which role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct RoleCounts {
     /// In role prefill.
     pub prefill: u32,
     /// In role mixed.
@@ -22,7 +22,7 @@
     pub decode: u32,
 }
 
-impl Counts {
+impl RoleCounts {
     /// How many have `role`.
     pub fn of(&self, role: Role) -> u32 {
         match role {
@@ -38,19 +38,19 @@
     }
 
     /// With one more of `role`.
-    pub fn plus(mut self, role: Role) -> Counts {
-        *self.slot(role) += 1;
+    pub fn plus(mut self, role: Role) -> RoleCounts {
+        *self.count_mut(role) += 1;
         self
     }
 
     /// With one less of `role`, if there is one.
-    pub fn minus(mut self, role: Role) -> Counts {
-        let slot = self.slot(role);
-        *slot = slot.saturating_sub(1);
+    pub fn minus(mut self, role: Role) -> RoleCounts {
+        let count = self.count_mut(role);
+        *count = count.saturating_sub(1);
         self
     }
 
-    fn slot(&mut self, role: Role) -> &mut u32 {
+    fn count_mut(&mut self, role: Role) -> &mut u32 {
         match role {
             Role::Prefill => &mut self.prefill,
             Role::Mixed => &mut self.mixed,
@@ -62,41 +62,41 @@
 /// What engines of one role still have to give.
 #[derive(Debug, Clone, Copy)]
 struct Pool {
-    engines: f64,
-    prompt: f64,
-    output: f64,
+    free_engines: f64,
+    prompt_rate: f64,
+    output_rate: f64,
 }
 
 impl Pool {
-    fn new(counts: Counts, role: Role, speed: Speed) -> Pool {
+    fn new(counts: RoleCounts, role: Role, speed: Speed) -> Pool {
         let profile = RoleProfile::of(role, speed.slots);
         Pool {
-            engines: f64::from(counts.of(role)),
-            prompt: profile.prompt_rate(speed),
-            output: profile.output_rate(speed),
+            free_engines: f64::from(counts.of(role)),
+            prompt_rate: profile.prompt_rate(speed),
+            output_rate: profile.output_rate(speed),
         }
     }
 
     /// Takes on as much of `tokens` a second as fits, at `rate` an engine; returns the rest.
-    fn carry(&mut self, tokens: f64, rate: f64) -> f64 {
-        let taken = (tokens / rate).min(self.engines);
-        self.engines -= taken;
+    fn assign(&mut self, tokens: f64, rate: f64) -> f64 {
+        let taken = (tokens / rate).min(self.free_engines);
+        self.free_engines -= taken;
         tokens - taken * rate
     }
 }
 
 /// The part of `demand` that engines of these roles carry in time, from 0 to 1; some room is left for peaks.
-pub fn served(counts: Counts, speed: Speed, demand: Demand) -> f64 {
+pub fn served_share(counts: RoleCounts, speed: Speed, demand: Demand) -> f64 {
     if counts.total() == 0 {
         return 0.0;
     }
     let (mut low, mut high) = (0.0, HEADROOM);
-    if carries(counts, speed, demand.scaled(high)) {
+    if can_serve(counts, speed, demand.scaled(high)) {
         return 1.0;
     }
-    for _ in 0..HALVINGS {
+    for _ in 0..BISECTION_STEPS {
         let middle = (low + high) / 2.0;
-        match carries(counts, speed, demand.scaled(middle)) {
+        match can_serve(counts, speed, demand.scaled(middle)) {
             true => low = middle,
             false => high = middle,
         }
@@ -106,17 +106,17 @@
 
 /// Whether the engines carry all of `demand`: prompts go to engines for prefill first, output to engines for
 /// decode, and what is left to the others.
-fn carries(counts: Counts, speed: Speed, demand: Demand) -> bool {
+fn can_serve(counts: RoleCounts, speed: Speed, demand: Demand) -> bool {
     let mut prefill = Pool::new(counts, Role::Prefill, speed);
     let mut mixed = Pool::new(counts, Role::Mixed, speed);
     let mut decode = Pool::new(counts, Role::Decode, speed);
-    let mut prompts = demand.prefill;
+    let mut prompt_rest = demand.prefill;
     for pool in [&mut prefill, &mut mixed, &mut decode] {
-        prompts = pool.carry(prompts, pool.prompt);
+        prompt_rest = pool.assign(prompt_rest, pool.prompt_rate);
     }
-    let mut output = demand.decode;
+    let mut output_rest = demand.decode;
     for pool in [&mut decode, &mut mixed, &mut prefill] {
-        output = pool.carry(output, pool.output);
+        output_rest = pool.assign(output_rest, pool.output_rate);
     }
-    prompts < 1e-6 && output < 1e-6
+    prompt_rest < 1e-6 && output_rest < 1e-6
 }
--- a/crates/core/src/roles/demand.rs
+++ b/crates/core/src/roles/demand.rs
@@ -31,32 +31,34 @@
 
 /// A moving average of tokens a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Mean {
-    memory: f64,
+pub struct MovingAverage {
+    time_constant: f64,
     rate: Demand,
     weight: f64,
-    at: Time,
+    updated_at: Time,
 }
 
-impl Mean {
+impl MovingAverage {
     /// A mean that forgets with the time constant `memory`.
-    pub fn new(memory: Duration) -> Mean {
-        Mean {
-            memory: memory.as_secs_f64(),
+    pub fn new(time_constant: Duration) -> MovingAverage {
+        MovingAverage {
+            time_constant: time_constant.as_secs_f64(),
             rate: Demand::default(),
             weight: 0.0,
-            at: Time::ZERO,
+            updated_at: Time::ZERO,
         }
     }
 
     /// Adds the work asked for since the last call.
     pub fn add(&mut self, now: Time, work: Demand) {
-        let keep = (-now.since(self.at).as_secs_f64() / self.memory).exp();
-        self.rate = self.rate.scaled(keep);
-        self.rate
-            .add(work.prefill / self.memory, work.decode / self.memory);
-        self.weight = self.weight * keep + (1.0 - keep);
-        self.at = now;
+        let decay = (-now.since(self.updated_at).as_secs_f64() / self.time_constant).exp();
+        self.rate = self.rate.scaled(decay);
+        self.rate.add(
+            work.prefill / self.time_constant,
+            work.decode / self.time_constant,
+        );
+        self.weight = self.weight * decay + (1.0 - decay);
+        self.updated_at = now;
     }
 
     /// Tokens a second; corrected for the time before the first call.
--- a/crates/core/src/roles/mod.rs
+++ b/crates/core/src/roles/mod.rs
@@ -5,16 +5,16 @@
 //! change. One engine changes at a time in a service of today's size, and each rests afterwards. Nothing is
 //! proposed on reports older than their lag, nor while the key-value service is out of reach.
 
+mod capacity;
 mod demand;
-mod fit;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+pub use capacity::RoleCounts;
+pub use capacity::served_share;
 pub use demand::Demand;
-pub use demand::Mean;
-pub use fit::Counts;
-pub use fit::served;
+pub use demand::MovingAverage;
 
 use crate::config::Role;
 use crate::engine::Speed;
@@ -23,44 +23,44 @@
 use crate::time::Time;
 
 /// Time constant of the fast mean, in times away.
-const FAST: u32 = 4;
+const FAST_TIME_CONSTANT: u32 = 4;
 
 /// Time constant of the slow mean, in times away.
-const SLOW: u32 = 100;
+const SLOW_TIME_CONSTANT: u32 = 100;
 
 /// Time over which a change must pay, in times away.
 const HORIZON: u32 = 30;
 
 /// Pause after a change of the service, in times away.
-const REST: u32 = 1;
+const SERVICE_COOLDOWN: u32 = 1;
 
 /// Pause of an engine after its change, in times away.
-const ENGINE_REST: u32 = 12;
+const ENGINE_COOLDOWN: u32 = 12;
 
 /// A proposal that did not take effect after so many times away is dropped.
-const EXPIRY: u32 = 40;
+const PROPOSAL_EXPIRY: u32 = 40;
 
 /// Engines of a service for each one that may be in change.
-const PER_CHANGE: usize = 16;
+const ENGINES_PER_CHANGE: usize = 16;
 
 /// Part of the horizon's goodput that a change must gain where its weight is 100.
-const FULL_WEIGHT: f64 = 0.25;
+const FULL_WEIGHT_GAIN: f64 = 0.25;
 
 /// Part of the horizon's goodput that a change must gain where its weight is 0, beside its seconds away.
-const LEAST_GAIN: f64 = 0.01;
+const MIN_GAIN: f64 = 0.01;
 
 /// Weight of the fast mean against the slow one. The slow mean holds the mix of the last minutes: roles that serve
 /// only the mix of this moment are paid for again with the next shift.
-const NOW: f64 = 0.6;
+const FAST_AVERAGE_WEIGHT: f64 = 0.6;
 
 /// Seconds of an answer, which a drain takes before the change.
-const DRAIN: f64 = 1.0;
+const DRAIN_SECONDS: f64 = 1.0;
 
 /// Part of the engines whose reports must be fresh.
-const FRESH: f64 = 0.75;
+const MIN_FRESH_SHARE: f64 = 0.75;
 
 /// Baseline: a pool above the first changes places with one below the second.
-const THRESHOLDS: (f64, f64) = (0.7, 0.5);
+const POOL_THRESHOLDS: (f64, f64) = (0.7, 0.5);
 
 /// An engine as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
@@ -117,25 +117,25 @@
 #[derive(Debug, Clone)]
 pub struct Planner {
     policy: Policy,
-    away: Duration,
-    fast: Mean,
-    slow: Mean,
+    downtime: Duration,
+    fast: MovingAverage,
+    slow: MovingAverage,
     pending: BTreeMap<Name, Pending>,
-    changed: BTreeMap<Name, Time>,
-    rest: Time,
+    changed_at: BTreeMap<Name, Time>,
+    paused_until: Time,
 }
 
 impl Planner {
     /// A planner for engines that a role change takes away for `away`.
-    pub fn new(policy: Policy, away: Duration) -> Planner {
+    pub fn new(policy: Policy, downtime: Duration) -> Planner {
         Planner {
             policy,
-            away,
-            fast: Mean::new(away * FAST),
-            slow: Mean::new(away * SLOW),
+            downtime,
+            fast: MovingAverage::new(downtime * FAST_TIME_CONSTANT),
+            slow: MovingAverage::new(downtime * SLOW_TIME_CONSTANT),
             pending: BTreeMap::new(),
-            changed: BTreeMap::new(),
-            rest: Time::ZERO,
+            changed_at: BTreeMap::new(),
+            paused_until: Time::ZERO,
         }
     }
 
@@ -151,15 +151,15 @@
     }
 
     /// The change to propose now, if any is worth its price.
-    pub fn plan(&mut self, now: Time, evidence: &PlannerInput) -> Option<RoleChange> {
-        self.settle(now, evidence);
-        let most = evidence.engines.len().div_ceil(PER_CHANGE);
-        if now < self.rest || self.pending.len() >= most || !is_good(evidence) {
+    pub fn plan(&mut self, now: Time, input: &PlannerInput) -> Option<RoleChange> {
+        self.update_pending(now, input);
+        let max_pending = input.engines.len().div_ceil(ENGINES_PER_CHANGE);
+        if now < self.paused_until || self.pending.len() >= max_pending || !is_usable(input) {
             return None;
         }
         let change = match self.policy {
-            Policy::Adaptive => self.worthwhile(now, evidence)?,
-            Policy::Threshold => self.over_threshold(evidence)?,
+            Policy::Adaptive => self.best_change(now, input)?,
+            Policy::Threshold => self.threshold_change(input)?,
             Policy::Fixed | Policy::LeastLoad | Policy::RoundRobin => return None,
         };
         let pending = Pending {
@@ -171,39 +171,39 @@
     }
 
     /// Drops proposals that took effect, and those that never did.
-    fn settle(&mut self, now: Time, evidence: &PlannerInput) {
-        let expiry = self.away * EXPIRY;
+    fn update_pending(&mut self, now: Time, input: &PlannerInput) {
+        let expiry = self.downtime * PROPOSAL_EXPIRY;
         let mut done = Vec::new();
         for (name, pending) in &self.pending {
-            let seen = evidence.engines.iter().find(|e| e.name == *name);
-            if seen.is_some_and(|e| e.role == pending.role && !e.away) {
+            let engine = input.engines.iter().find(|e| e.name == *name);
+            if engine.is_some_and(|e| e.role == pending.role && !e.away) {
                 done.push(name.clone());
             }
         }
         for name in done {
             self.pending.remove(&name);
-            self.changed.insert(name, now);
-            self.rest = now + self.away * REST;
+            self.changed_at.insert(name, now);
+            self.paused_until = now + self.downtime * SERVICE_COOLDOWN;
         }
         self.pending.retain(|_, p| now.since(p.since) < expiry);
-        let rest = self.away * ENGINE_REST;
-        self.changed.retain(|_, at| now.since(*at) < rest);
+        let cooldown = self.downtime * ENGINE_COOLDOWN;
+        self.changed_at.retain(|_, at| now.since(*at) < cooldown);
     }
 
-    fn worthwhile(&self, now: Time, evidence: &PlannerInput) -> Option<RoleChange> {
-        let speed = mean_speed(&evidence.engines);
-        let counts = counts(&evidence.engines);
-        let before = self.worth(counts, speed);
-        let horizon = (self.away * HORIZON).as_secs_f64();
+    fn best_change(&self, now: Time, input: &PlannerInput) -> Option<RoleChange> {
+        let speed = mean_speed(&input.engines);
+        let counts = role_counts(&input.engines);
+        let before = self.weighted_service(counts, speed);
+        let horizon = (self.downtime * HORIZON).as_secs_f64();
         let mut best: Option<RoleChange> = None;
-        for (from, to) in moves() {
-            let Some(engine) = self.candidate(now, evidence, from) else {
+        for (from, to) in role_moves() {
+            let Some(engine) = self.candidate(now, input, from) else {
                 continue;
             };
-            let gain = horizon * (self.worth(counts.minus(from).plus(to), speed) - before);
-            let lost = before - self.worth(counts.minus(from), speed);
-            let price =
-                lost * (self.away.as_secs_f64() + DRAIN) + horizon * least_gain(evidence.change_weight);
+            let gain = horizon * (self.weighted_service(counts.minus(from).plus(to), speed) - before);
+            let loss = before - self.weighted_service(counts.minus(from), speed);
+            let price = loss * (self.downtime.as_secs_f64() + DRAIN_SECONDS)
+                + horizon * min_gain(input.change_weight);
             if gain > price && best.as_ref().is_none_or(|b| gain > b.gain) {
                 best = Some(RoleChange {
                     engine: engine.name.clone(),
@@ -217,48 +217,58 @@
     }
 
     /// The part of the demand that these roles serve, now and as it was on the whole.
-    fn worth(&self, counts: Counts, speed: Speed) -> f64 {
-        NOW * served(counts, speed, self.fast.rate()) + (1.0 - NOW) * served(counts, speed, self.slow.rate())
+    fn weighted_service(&self, counts: RoleCounts, speed: Speed) -> f64 {
+        FAST_AVERAGE_WEIGHT * served_share(counts, speed, self.fast.rate())
+            + (1.0 - FAST_AVERAGE_WEIGHT) * served_share(counts, speed, self.slow.rate())
     }
 
     /// The engine of role `from` that has least to drain.
-    fn candidate<'a>(&self, now: Time, evidence: &'a PlannerInput, from: Role) -> Option<&'a EngineStatus> {
-        let rest = self.away * ENGINE_REST;
-        let rested = |e: &&EngineStatus| self.changed.get(&e.name).is_none_or(|at| now.since(*at) >= rest);
-        let free = evidence
+    fn candidate<'a>(&self, now: Time, input: &'a PlannerInput, from: Role) -> Option<&'a EngineStatus> {
+        let cooldown = self.downtime * ENGINE_COOLDOWN;
+        let rested = |e: &&EngineStatus| {
+            self.changed_at
+                .get(&e.name)
+                .is_none_or(|at| now.since(*at) >= cooldown)
+        };
+        let movable = input
             .engines
             .iter()
-            .filter(|e| e.role == from && !e.fixed && !e.away && e.age <= evidence.max_age)
+            .filter(|e| e.role == from && !e.fixed && !e.away && e.age <= input.max_age)
             .filter(|e| !self.pending.contains_key(&e.name));
-        free.filter(rested).min_by_key(|e| e.requests)
+        movable.filter(rested).min_by_key(|e| e.requests)
     }
 
     /// Baseline: one pool is above a threshold, the other below another.
-    fn over_threshold(&self, evidence: &PlannerInput) -> Option<RoleChange> {
-        let speed = mean_speed(&evidence.engines);
-        let counts = counts(&evidence.engines);
+    fn threshold_change(&self, input: &PlannerInput) -> Option<RoleChange> {
+        let speed = mean_speed(&input.engines);
+        let counts = role_counts(&input.engines);
         let demand = self.fast.rate();
-        let use_of = |role: Role, tokens: f64, rate: f64| tokens / (rate * f64::from(counts.of(role).max(1)));
+        let utilization =
+            |role: Role, tokens: f64, rate: f64| tokens / (rate * f64::from(counts.of(role).max(1)));
         let profile = |role| crate::engine::RoleProfile::of(role, speed.slots);
-        let prefill = use_of(
+        let prefill = utilization(
             Role::Prefill,
             demand.prefill,
             profile(Role::Prefill).prompt_rate(speed),
         );
-        let decode = use_of(
+        let decode = utilization(
             Role::Decode,
             demand.decode,
             profile(Role::Decode).output_rate(speed),
         );
         let (from, to) = match (prefill, decode) {
-            (high, low) if high > THRESHOLDS.0 && low < THRESHOLDS.1 => (Role::Decode, Role::Prefill),
-            (low, high) if high > THRESHOLDS.0 && low < THRESHOLDS.1 => (Role::Prefill, Role::Decode),
+            (high, low) if high > POOL_THRESHOLDS.0 && low < POOL_THRESHOLDS.1 => {
+                (Role::Decode, Role::Prefill)
+            }
+            (low, high) if high > POOL_THRESHOLDS.0 && low < POOL_THRESHOLDS.1 => {
+                (Role::Prefill, Role::Decode)
+            }
             _ => return None,
         };
         if counts.of(from) <= 1 {
             return None;
         }
-        let engines = evidence
+        let engines = input
             .engines
             .iter()
             .filter(|e| e.role == from && !e.fixed && !e.away);
@@ -273,8 +283,8 @@
 }
 
 /// Part of the goodput over the horizon that a change must gain.
-fn least_gain(weight: u32) -> f64 {
-    LEAST_GAIN + FULL_WEIGHT * f64::from(weight.min(100)) / 100.0
+fn min_gain(weight: u32) -> f64 {
+    MIN_GAIN + FULL_WEIGHT_GAIN * f64::from(weight.min(100)) / 100.0
 }
 
 /// Whether the evidence may lead to a change.
@@ -282,16 +292,12 @@
 /// Failure guarded against: with late reports the planner would see roles and loads of before its last change, and
 /// change another engine for the same shift, back and forth; without the key-value service an order could not be
 /// opened, and would be carried out when the mix is long another.
-fn is_good(evidence: &PlannerInput) -> bool {
-    let fresh = evidence
-        .engines
-        .iter()
-        .filter(|e| e.age <= evidence.max_age)
-        .count();
-    evidence.platform_reachable && fresh as f64 >= FRESH * evidence.engines.len() as f64
+fn is_usable(input: &PlannerInput) -> bool {
+    let fresh = input.engines.iter().filter(|e| e.age <= input.max_age).count();
+    input.platform_reachable && fresh as f64 >= MIN_FRESH_SHARE * input.engines.len() as f64
 }
 
-fn moves() -> [(Role, Role); 6] {
+fn role_moves() -> [(Role, Role); 6] {
     [
         (Role::Decode, Role::Prefill),
         (Role::Prefill, Role::Decode),
@@ -302,10 +308,10 @@
     ]
 }
 
-fn counts(engines: &[EngineStatus]) -> Counts {
+fn role_counts(engines: &[EngineStatus]) -> RoleCounts {
     engines
         .iter()
-        .fold(Counts::default(), |counts, engine| counts.plus(engine.role))
+        .fold(RoleCounts::default(), |counts, engine| counts.plus(engine.role))
 }
 
 fn mean_speed(engines: &[EngineStatus]) -> Speed {
