--- a/crates/core/src/authority/desired.rs
+++ b/crates/core/src/authority/desired.rs
@@ -1,21 +1,22 @@
-//! What an engine shall be, out of what operators, the planner and the configuration say.
+//! The desired state of an engine, combined from operators' statements, the planner and the configuration.
 
 use crate::config::Role;
 use crate::engine::Target;
 
-/// What is wished of an engine.
+/// What operators and the planner want an engine to be.
 #[derive(Debug, Clone, Default)]
 pub struct DesiredState {
-    /// The role that an operator fixed; goes before the planner's.
+    /// The role that an operator fixed; takes precedence over the planner's proposal.
     pub role: Option<Role>,
-    /// What the planner proposes.
+    /// The target that the planner proposes.
     pub proposal: Option<Target>,
 }
 
 impl DesiredState {
-    /// The target of an engine that reports `now` and serves `model`.
+    /// The target of an engine whose current state is `current` and whose service serves `model`.
     ///
-    /// Operators decide the service's model and may fix the role; what nobody decided stays as it is.
+    /// Operators decide the service's model and may fix the engine's role; whatever nobody decided stays as
+    /// it is.
     pub fn target(&self, current: &Target, model: &str) -> Target {
         let mut target = self.proposal.clone().unwrap_or_else(|| current.clone());
         if let Some(role) = self.role {
--- a/crates/core/src/authority/engine.rs
+++ b/crates/core/src/authority/engine.rs
@@ -1,4 +1,4 @@
-//! What a holder knows of one engine.
+//! What the holder knows about one engine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,36 +17,36 @@
 use crate::name::Name;
 use crate::time::Time;
 
-/// What became of the last order that this process opened for an engine.
+/// Progress of the last order that this process opened for an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendState {
-    /// It has not left.
+    /// The order was not sent.
     Unsent,
-    /// It left at this time; no answer yet.
+    /// The order was sent at this time; no answer yet.
     Sent(Time),
-    /// The engine carried it out.
+    /// The engine carried out the order.
     Applied,
-    /// It surely has no effect, and won't be sent again.
+    /// The order is certain to have no effect and will not be sent again.
     Discarded,
-    /// It left, and its answer was lost.
+    /// The order was sent, and its answer was lost.
     Unanswered,
 }
 
 /// An order that this process opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnOrder {
-    /// Fencing number under which it was opened.
+    /// Fencing token under which the order was opened.
     pub fence: Fence,
-    /// Its sequence number.
+    /// Sequence number of the order.
     pub sequence: u64,
-    /// What became of it.
+    /// Progress of the order.
     pub state: SendState,
-    /// The call that sent it last.
+    /// The call that sent the order last.
     pub call: CallId,
 }
 
 impl OwnOrder {
-    /// An order whose record was written; it has not left.
+    /// An order that this process opened and that no call has sent yet.
     pub fn new(order: &Order, state: SendState) -> OwnOrder {
         OwnOrder {
             fence: order.fence,
@@ -57,18 +57,20 @@
     }
 }
 
-/// A repeat of the last order with the holder's own number.
+/// Repetition of the last order under the holder's own fencing token, which raises the token that the engine
+/// has seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceRaise {
-    /// Not made yet.
+    /// To be sent.
     Due,
     /// Sent at this time by this call.
     Sent(Time, CallId),
-    /// The engine knows the number.
+    /// The engine has seen the token.
     Done,
 }
 
-/// Keeping work from an engine before it is changed.
+/// Drain of an engine before it is changed: the instances route no new requests to it, and those in flight
+/// end.
 #[derive(Debug, Clone, Default)]
 pub struct Drain {
     asked_at: Option<Time>,
@@ -76,7 +78,7 @@
     missing: BTreeMap<Name, Time>,
 }
 
-/// Since when all reachable instances keep work from the engine and have none there.
+/// Since when all reachable instances hold requests back from the engine and have none in flight there.
 #[derive(Debug, Clone, Copy)]
 struct Clear {
     since: Time,
@@ -84,7 +86,7 @@
 }
 
 impl Drain {
-    /// Whether the next round is due; notes that it is made.
+    /// Whether the next round of asking the instances is due; if so, notes that it starts at `now`.
     pub fn start_round(&mut self, now: Time, interval: Duration) -> bool {
         let due = self.asked_at.is_none_or(|asked_at| now >= asked_at + interval);
         if due {
@@ -93,10 +95,10 @@
         due
     }
 
-    /// Takes the answers of a round that was asked at `asked` and ended at `done`.
+    /// Takes the answers of a round that started at `asked` and ended at `done`.
     ///
-    /// An instance that gives no answer is waited for until it has been missing for `absence`: by then it
-    /// takes no new work by itself, for it hears neither the platform nor any instance.
+    /// An instance that does not answer is waited for until it has been missing for `absence_timeout`. By
+    /// then it takes no new work by itself, because it reaches neither the platform nor any instance.
     pub fn on_answers(
         &mut self,
         asked: Time,
@@ -128,10 +130,12 @@
         };
     }
 
-    /// Until when an order that cuts running work may leave; `None` if the engine is not known to be empty.
+    /// Until when an order that interrupts running work may be sent; `None` if the engine is not known to be
+    /// empty.
     ///
-    /// The hold lapses at the instances by itself, so a clear round is worth nothing once it is old. The
-    /// engine's report must come from after the round: an older one doesn't show what was under way to it.
+    /// The hold expires on the instances by itself, so a round that found no requests counts only for a
+    /// limited time. The engine's report must have been taken after that round: an older one does not show
+    /// the requests that were on their way to the engine.
     pub fn deadline(&self, report: Option<&Report>, hold_ttl: Duration) -> Option<Time> {
         let clear = self.clear?;
         let report = report?;
@@ -140,48 +144,48 @@
     }
 }
 
-/// What a holder knows of one engine.
+/// What the holder knows about one engine.
 #[derive(Debug, Clone)]
 pub struct EngineState {
-    /// Whether it checks fencing numbers.
+    /// Whether the engine checks fencing tokens.
     pub fencing: Fencing,
-    /// What it shall be.
+    /// The desired state of the engine.
     pub desired: DesiredState,
     /// Sequence number of the order that operators released last.
     pub released_sequence: u64,
-    /// Its last report.
+    /// The engine's last report.
     pub report: Option<Report>,
-    /// Reports taken before this say nothing about what to do next.
+    /// Reports taken before this time are too old to decide on.
     pub fresh_since: Time,
-    /// When the report was last asked for.
+    /// When the report was last requested.
     pub probed_at: Option<Time>,
-    /// The drain that goes on, if any.
+    /// The drain in progress, if any.
     pub drain: Option<Drain>,
-    /// When the weight store said that what it is to load can be read, and the next time to ask.
+    /// Whether the weight store has the weights that the engine is to load, or the next time to ask it.
     pub weights: Weights,
     /// The last order that this process opened.
     pub own: Option<OwnOrder>,
-    /// The repeat with the holder's own number.
+    /// Progress of repeating the last order under the holder's own fencing token.
     pub fence_raise: FenceRaise,
-    /// What the process that opened the last order said of it.
+    /// Sequence number of an order, and what the process that opened it answered about it.
     pub settlement: Option<(u64, Settlement)>,
     /// When a call for the open order may be made again.
     pub retry_at: Time,
-    /// Sequence number that operators were told is unsettled.
+    /// Sequence number of the order that operators were last notified of as unsettled.
     pub notified_sequence: u64,
 }
 
-/// What the weight store said.
+/// Availability of the weights, according to the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weights {
-    /// It was not asked; it may be at this time.
+    /// The weights are not known to be available; the store may be asked from this time on.
     Ask(Time),
-    /// It can be read.
+    /// The weights can be read.
     Ready,
 }
 
 impl EngineState {
-    /// An engine of which nothing is known.
+    /// An engine about which nothing is known.
     pub fn new(fencing: Fencing) -> EngineState {
         EngineState {
             fencing,
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Forgets what a former tenure left behind; what became of own orders stays known.
+    /// Discards the state of an earlier tenure; the progress of this process's own orders is kept.
     pub fn start_tenure(&mut self, now: Time) {
         self.fresh_since = now;
         self.probed_at = None;
@@ -213,14 +217,14 @@
         self.desired.proposal = None;
     }
 
-    /// What became of `record`'s order, if this process opened it.
+    /// Progress of `record`'s order, if this process opened it.
     pub fn send_state(&self, record: &OrderRecord) -> Option<SendState> {
         let own = self.own?;
         let same = own.sequence == record.order.sequence && own.fence == record.order.fence;
         same.then_some(own.state)
     }
 
-    /// The own order leaves by `call`.
+    /// Notes that this process's order is sent at `now` by `call`.
     pub fn mark_sent(&mut self, now: Time, call: CallId) {
         if let Some(own) = &mut self.own {
             own.state = SendState::Sent(now);
@@ -228,7 +232,7 @@
         }
     }
 
-    /// Takes the answer to `call`; a late answer to an earlier call is dropped.
+    /// Takes the answer to `call`; a late answer to an earlier call is ignored.
     pub fn on_answer(&mut self, call: CallId, answer: OrderAnswer) {
         if matches!(self.fence_raise, FenceRaise::Sent(_, sent) if sent == call) {
             self.fence_raise = match answer {
@@ -251,20 +255,21 @@
         }
     }
 
-    /// The last report, if it was taken after the last thing that may have changed the engine.
+    /// The last report, if it was taken after the last event that may have changed the engine.
     pub fn fresh_report(&self) -> Option<&Report> {
         self.report
             .as_ref()
             .filter(|report| report.taken_at >= self.fresh_since)
     }
 
-    /// Whether the engine has reported lately, so that it is worth waiting for.
+    /// Whether the engine has reported recently enough to be worth waiting for.
     pub fn is_responsive(&self, now: Time, timing: &Timing) -> bool {
         let limit = timing.ttl;
         self.report.as_ref().is_some_and(|r| now <= r.taken_at + limit)
     }
 
-    /// Until when an order that changes the engine may leave, if it is empty.
+    /// Until when an order that changes the engine may be sent; `None` if the engine is not known to be
+    /// empty.
     pub fn send_deadline(&self, timing: &Timing) -> Option<Time> {
         self.drain
             .as_ref()?
--- a/crates/core/src/authority/event.rs
+++ b/crates/core/src/authority/event.rs
@@ -17,153 +17,154 @@
 use crate::name::Name;
 use crate::time::Time;
 
-/// Names a call to the platform or an engine, so that a late or doubled answer is told from the one waited for.
+/// Identifies a call to the platform or an engine, so that a late or duplicated answer can be told from the
+/// expected one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct CallId(pub u64);
 
-/// What the configuration says of an engine of the service.
+/// Configuration of an engine of the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineConfig {
-    /// Its name.
+    /// Name of the engine.
     pub name: Name,
-    /// Whether it checks fencing numbers.
+    /// Whether the engine checks fencing tokens.
     pub fencing: Fencing,
     /// The role that an operator fixed.
     pub role: Option<Role>,
-    /// Sequence number of its order that operators released last; 0 if none.
+    /// Sequence number of the engine's order that operators released last; 0 if none.
     pub released_sequence: u64,
 }
 
-/// What an engine said of itself.
+/// An engine's report on itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// What it is.
+    /// The engine's current state.
     pub target: Target,
-    /// Whether it is away for an order in progress.
+    /// Whether the engine is unavailable because it is carrying out an order.
     pub away: bool,
-    /// Whether it runs and queues nothing.
+    /// Whether the engine has no running and no queued requests.
     pub idle: bool,
-    /// Sequence number of the last order that took effect, 0 if none.
+    /// Sequence number of the last order that took effect; 0 if none.
     pub sequence: u64,
-    /// When the engine made the report, at the earliest.
+    /// Earliest time at which the engine can have taken the report.
     pub taken_at: Time,
 }
 
-/// What an instance answered when asked to keep work from an engine.
+/// Answer of an instance that was asked to route no new requests to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldAnswer {
-    /// It gives it nothing new; it has so many requests there.
+    /// The instance routes no new requests to the engine and has this many in flight there.
     InFlight(u32),
-    /// It gave no answer.
+    /// The instance did not answer.
     Missing,
 }
 
-/// How a write of the record ended.
+/// Outcome of a write of the record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect and made this version.
+    /// The write took effect and produced this version.
     Done(RecordVersion),
     /// Another write came first.
     Conflict,
-    /// It may or may not have taken effect.
+    /// The write may or may not have taken effect.
     Unknown,
 }
 
-/// How an order that was to be sent ended.
+/// Outcome of sending an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// The engine carried it out.
+    /// The engine carried out the order.
     Applied,
-    /// The engine has seen this higher fencing number; the order has no effect.
+    /// The engine has seen this higher fencing token; the order has no effect.
     Stale(Fence),
-    /// No byte of it left.
+    /// No byte of the order was sent.
     Unsent,
-    /// It may or may not have taken effect.
+    /// The order may or may not have taken effect.
     Unknown,
 }
 
-/// What the process that opened an order knows of it.
+/// What the process that opened an order knows about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// The engine carried it out.
+    /// The engine carried out the order.
     Applied,
-    /// It has not left, and never will.
+    /// The order was not sent and never will be.
     Unsent,
-    /// It may still be on its way, or that process knows nothing of it.
+    /// The order may still be in flight, or the process knows nothing about it.
     Unknown,
 }
 
-/// What happened.
+/// Input to the authority's state machine.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time went on.
+    /// Time has passed.
     Tick,
     /// Nobody holds the lease.
     Vacant,
-    /// Somebody else holds the lease.
+    /// Another instance holds the lease.
     Occupied,
-    /// The lease was granted; the grant was sent at `sent`.
+    /// The lease was granted.
     Acquired {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
-        /// When the grant was sent.
+        /// When the request for the lease was sent.
         sent: Time,
     },
-    /// The lease could not be had.
+    /// The lease was not granted.
     NotAcquired {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
     },
-    /// The lease was renewed; the renewal was sent at `sent`.
+    /// The lease was renewed.
     Renewed {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
         /// When the renewal was sent.
         sent: Time,
     },
-    /// The renewal gave no usable answer.
+    /// The renewal got no usable answer.
     RenewFailed {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
     },
-    /// The platform does not know the lease any more.
+    /// The platform no longer knows the lease.
     Expired {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
     },
-    /// The record was read; `None` if there is none.
+    /// The record was read.
     Read {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
-        /// The key's version.
+        /// Version of the record's key.
         version: RecordVersion,
-        /// The record.
+        /// The record; `None` if there is none.
         record: Option<Record>,
     },
     /// The record could not be read.
     ReadFailed {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
     },
     /// A write of the record ended.
     Wrote {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
-        /// How.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
-    /// The configuration in force names these engines.
+    /// The service's engines according to the configuration in force.
     Configured {
-        /// The model that the service's engines shall have loaded.
+        /// The model that the service's engines are to load.
         model: String,
         /// The engines.
         engines: Vec<EngineConfig>,
     },
-    /// The planner wants an engine to be something.
+    /// The planner proposes a target for an engine.
     Proposed {
         /// The engine.
         engine: Name,
-        /// What it shall be.
+        /// The proposed target.
         target: Target,
     },
     /// An engine reported.
@@ -173,125 +174,125 @@
         /// The report.
         report: Report,
     },
-    /// All listed instances were asked to keep work from an engine.
+    /// All listed instances were asked to route no new requests to an engine.
     HoldAnswered {
         /// The engine.
         engine: Name,
-        /// When they were asked.
+        /// When the instances were asked.
         asked: Time,
-        /// When the last answer was in.
+        /// When the last answer arrived.
         done: Time,
-        /// What they answered.
+        /// Answer of each instance.
         answers: BTreeMap<Name, HoldAnswer>,
     },
-    /// The weight store was asked for what an engine is to load.
+    /// The weight store was asked whether the weights that an engine is to load are available.
     WeightsChecked {
         /// The engine.
         engine: Name,
-        /// Whether it can be read now.
+        /// Whether the weights can be read now.
         ready: bool,
     },
-    /// An order that was to be sent ended so.
+    /// Sending an order ended.
     Answered {
-        /// Answer to this call.
+        /// The call that this answers.
         call: CallId,
         /// The engine.
         engine: Name,
-        /// How.
+        /// Outcome of the order.
         answer: OrderAnswer,
     },
-    /// The process that opened an order was asked what became of it.
+    /// The process that opened an order was asked for its outcome.
     Settled {
         /// The engine.
         engine: Name,
-        /// The order's sequence number.
+        /// Sequence number of the order.
         sequence: u64,
-        /// What it said.
+        /// What the process answered.
         settlement: Settlement,
     },
-    /// This instance gives its authority up, since it leaves.
+    /// This instance gives up its authority because it is leaving.
     Resign,
 }
 
-/// An order on its way out. Whoever sends it checks the time right before.
+/// An order to be sent. The sender checks the deadline immediately before sending.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SendOrder {
-    /// The call.
+    /// Identifies the call.
     pub call: CallId,
     /// The engine.
     pub engine: Name,
-    /// The order; its number is the one to send.
+    /// The order, with the fencing token to send.
     pub order: Order,
-    /// It may only leave before this time.
+    /// The order may only be sent before this time.
     pub deadline: Time,
 }
 
-/// What to do.
+/// What the caller of the state machine has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Ask for the lease.
+    /// Request the lease.
     Acquire(CallId),
     /// Renew the lease.
     Renew(CallId),
-    /// Give the lease up.
+    /// Release the lease.
     Release,
     /// Read the record.
     Read(CallId),
-    /// Write the record if its key still has this version.
+    /// Write the record if its key still has the version `expect`.
     Write {
-        /// The call.
+        /// Identifies the call.
         call: CallId,
         /// Version to compare with.
         expect: RecordVersion,
-        /// The record.
+        /// The record to write.
         record: Record,
     },
     /// Read an engine's report.
     Probe(Name),
-    /// Ask all listed instances to keep work from an engine.
+    /// Ask all listed instances to route no new requests to an engine.
     Hold(Name),
-    /// Tell them that it may get work again.
+    /// Tell the instances that the engine may get requests again.
     Unhold(Name),
-    /// Ask the weight store whether this model can be read.
+    /// Ask the weight store whether the weights of a model can be read.
     AskWeights {
-        /// The engine that is to load it.
+        /// The engine that is to load the model.
         engine: Name,
         /// The model.
         model: String,
     },
     /// Send an order.
     Send(SendOrder),
-    /// Ask the process that opened an order what became of it.
+    /// Ask the process that opened an order for its outcome.
     AskSettlement {
-        /// Its instance.
+        /// The instance that opened the order.
         holder: Name,
-        /// Itself.
+        /// The process that opened the order.
         incarnation: Incarnation,
         /// The engine.
         engine: Name,
-        /// The order's sequence number.
+        /// Sequence number of the order.
         sequence: u64,
     },
-    /// Tell operators: the authority is held here now, under this number.
+    /// Notify operators that this instance holds the authority now, under this fencing token.
     TookOver(Fence),
-    /// Tell operators: the authority is no longer held here.
+    /// Notify operators that this instance no longer holds the authority.
     SteppedDown,
-    /// Tell operators: an order is settled.
+    /// Notify operators that an order is settled.
     Closed {
         /// The engine.
         engine: Name,
-        /// The order's sequence number.
+        /// Sequence number of the order.
         sequence: u64,
-        /// What showed it.
+        /// The evidence on which the order was closed.
         reason: CloseReason,
     },
-    /// Tell operators: an engine gets no order until its last one is settled.
+    /// Notify operators that an engine gets no further order until its last one is settled.
     Unsettled {
         /// The engine.
         engine: Name,
-        /// The order's sequence number.
+        /// Sequence number of the order.
         sequence: u64,
     },
-    /// Tell operators: an invariant was broken and the action dropped.
+    /// Notify operators that an invariant did not hold and that the action was dropped.
     InvariantBroken(&'static str),
 }
--- a/crates/core/src/authority/machine.rs
+++ b/crates/core/src/authority/machine.rs
@@ -24,7 +24,7 @@
 use crate::name::Name;
 use crate::time::Time;
 
-/// A call whose answer is waited for.
+/// A call whose answer is awaited.
 #[derive(Debug, Clone, Copy)]
 struct PendingCall {
     call: CallId,
@@ -32,20 +32,20 @@
     failed: bool,
 }
 
-/// How far this instance is with the authority.
+/// Progress of this instance towards holding the authority.
 #[derive(Debug, Clone, Copy)]
 enum Stage {
-    /// Somebody else may have it; the lease is vacant since that time.
+    /// Another instance may hold the authority. The time is when the lease became vacant, if it is.
     Follower(Option<Time>),
-    /// The lease is asked for.
+    /// The lease was requested.
     Acquiring(PendingCall),
-    /// The record is read, to be taken over.
+    /// The record is being read in order to take it over.
     Reading(PendingCall),
-    /// The record is written.
+    /// The record is being written.
     Writing(PendingCall),
-    /// The record is read back, since it is not known how it stands.
+    /// The record is being read back, because its current state is not known.
     Verifying(PendingCall),
-    /// The record is taken over and known.
+    /// The record was taken over and its state is known.
     Holding,
 }
 
@@ -57,7 +57,7 @@
     notices: Vec<Action>,
 }
 
-/// When the lease is renewed.
+/// Progress of the lease's renewal.
 #[derive(Debug, Clone, Copy, Default)]
 struct Renewal {
     call: Option<CallId>,
@@ -65,7 +65,7 @@
     next: Time,
 }
 
-/// One instance's decision on the authority of one service.
+/// State machine of one instance for the authority of one service.
 #[derive(Debug, Clone)]
 pub struct Authority {
     pub(super) settings: Settings,
@@ -74,9 +74,9 @@
     pub(super) engines: BTreeMap<Name, EngineState>,
     pub(super) model: String,
     pub(super) changing: Option<Name>,
-    /// Number under which this tenure took over.
+    /// Fencing token under which this tenure took over.
     pub(super) tenure_fence: Fence,
-    /// Highest number that an engine said it has seen.
+    /// Highest fencing token that an engine reported having seen.
     pub(super) fence_floor: Fence,
     stage: Stage,
     held: bool,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes an event; returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -143,18 +143,18 @@
         actions
     }
 
-    /// Whether this instance holds the authority and believes in its lease.
+    /// Whether this instance holds the authority and its lease has not expired by the local view.
     pub fn is_holder(&self, now: Time) -> bool {
         self.held && self.lease.is_valid(now)
     }
 
-    /// Until when this instance believes in its lease.
+    /// When this instance's lease expires by the local view; [`Time::ZERO`] if it holds none.
     pub fn lease_expiry(&self) -> Time {
         self.lease.expires_at()
     }
 
-    /// What became of an order that `incarnation` opened, asked by a successor. An order that has not left
-    /// never will after this answer.
+    /// Answers a successor's question about an order that `incarnation` opened. An order that was not sent
+    /// before this answer is never sent after it.
     pub fn settlement(&mut self, incarnation: Incarnation, engine: &Name, sequence: u64) -> Settlement {
         let own = self.engines.get_mut(engine).and_then(|e| e.own.as_mut());
         match own {
@@ -195,7 +195,7 @@
                 self.pending_write = None;
                 self.read_record(now, actions);
             }
-            // Too late: the answer was given up.
+            // Too late: the request was already given up.
             _ => {}
         }
     }
@@ -245,11 +245,12 @@
         }
     }
 
-    /// Resolves a write whose end is not known.
+    /// Resolves a write whose outcome is not known.
     ///
-    /// Failure guarded against: the answer to a write is lost, and the writer acts as if it had failed, or as
-    /// if it had taken effect. Reading back shows the version before the write, the very record that was
-    /// written, or another writer's; only the first two leave this instance the holder.
+    /// Failure guarded against: the answer to a write is lost, and the writer acts as if the write had
+    /// failed, or as if it had taken effect. Reading the record back shows either the version before the
+    /// write, exactly the record that was written, or another writer's record; only in the first two cases
+    /// does this instance remain the holder.
     fn on_verified(
         &mut self,
         now: Time,
@@ -291,7 +292,7 @@
         }
         match written {
             WriteOutcome::Done(version) => self.on_committed(now, version, actions),
-            // Even a conflict may be an earlier write of ours that came late.
+            // Even a conflict may be caused by an earlier write of this instance that arrived late.
             WriteOutcome::Conflict | WriteOutcome::Unknown => self.verify_record(now, actions),
         }
     }
@@ -350,8 +351,8 @@
         }
     }
 
-    /// Takes the record over: one compare-and-swap that raises the number. From then on each write of the
-    /// former holder fails, and so it can open no further order.
+    /// Takes over the record with one compare-and-swap that raises the fencing token. From then on every
+    /// write of the former holder fails, so it can open no further order.
     fn take_over(
         &mut self,
         now: Time,
@@ -367,13 +368,13 @@
             fence: fence.max(self.fence_floor).next(),
             engines: before.map(|r| r.engines).unwrap_or_default(),
         };
-        let invariant = check(record.fence > fence, "a take-over raises the fencing number");
+        let invariant = check(record.fence > fence, "a take-over must raise the fencing token");
         self.run_checked(invariant, actions, |authority, actions| {
             authority.write(now, record, None, Vec::new(), actions);
         });
     }
 
-    /// Writes the record; what is told to operators is told once it has taken effect.
+    /// Writes the record; operators are notified (`notices`) only once the write has taken effect.
     pub(super) fn write(
         &mut self,
         now: Time,
@@ -396,7 +397,7 @@
         });
     }
 
-    /// Runs `action` if the invariant holds; drops and reports it otherwise.
+    /// Runs `action` if the invariant holds; otherwise drops it and reports the broken invariant.
     pub(super) fn run_checked<F>(
         &mut self,
         invariant: Result<(), Broken>,
@@ -418,7 +419,7 @@
         self.stage = Stage::Verifying(pending);
     }
 
-    /// Whether the record is known and no write of it is under way.
+    /// Whether the record's state is known and no write of it is in progress.
     pub(super) fn is_record_known(&self) -> bool {
         matches!(self.stage, Stage::Holding)
     }
@@ -457,8 +458,8 @@
         self.stage = Stage::Follower(None);
     }
 
-    /// Gives a write up. It may still take effect late; an order that it opens was never sent and never will
-    /// be.
+    /// Gives up a pending write. It may still take effect late, but an order that it opens was never sent and
+    /// never will be.
     fn discard_write(&mut self) {
         if let Some((name, order)) = self.pending_write.take().and_then(|a| a.opened)
             && let Some(engine) = self.engines.get_mut(&name)
--- a/crates/core/src/authority/mod.rs
+++ b/crates/core/src/authority/mod.rs
@@ -1,9 +1,9 @@
-//! The authority over the engines of one service: who may give orders, and when an order may leave.
+//! Authority over the engines of one service: which instance may give orders, and when an order may be sent.
 //!
-//! [`Authority`] is the decision of one instance for one service. It competes for a lease, takes the
-//! persistent [`Record`] over by a compare-and-swap that raises the fencing number, drains an engine before a
-//! change, opens the order's record and only then lets the order leave. `docs/design/authority.md` weighs the
-//! ways that were considered.
+//! [`Authority`] is the state machine of one instance for one service. It competes for a lease, takes over
+//! the persistent [`Record`] with a compare-and-swap that raises the fencing token, drains an engine before
+//! changing it, and records an order as open before sending it. `docs/design/authority.md` compares the
+//! designs that were considered.
 
 mod desired;
 mod engine;
--- a/crates/core/src/authority/orders.rs
+++ b/crates/core/src/authority/orders.rs
@@ -1,4 +1,4 @@
-//! Which order an engine gets, and when.
+//! Decides which order an engine gets, and when.
 
 use crate::authority::Action;
 use crate::authority::Authority;
@@ -25,7 +25,7 @@
 use crate::time::Time;
 
 impl Authority {
-    /// Takes an event that concerns one engine.
+    /// Handles an event that concerns one engine.
     pub(super) fn on_engine_event(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let timing = self.settings.timing.clone();
         match event {
@@ -91,13 +91,14 @@
         if let OrderAnswer::Stale(seen) = answer {
             self.fence_floor = self.fence_floor.max(seen);
             if self.is_record_known() {
-                // Somebody may have taken over.
+                // Another instance may have taken over.
                 self.verify_record(now, actions);
             }
         }
     }
 
-    /// Decides on all engines. Called only while the record is known and the lease is believed in.
+    /// Decides on all engines. Called only while the record is known and the lease is valid by the local
+    /// view.
     pub(super) fn decide(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.mark_timed_out(now);
         if self.close_settled(now, actions) {
@@ -122,7 +123,7 @@
         (record.phase == Phase::Open).then_some(record)
     }
 
-    /// Takes answers that did not come as lost.
+    /// Treats overdue answers as lost.
     fn mark_timed_out(&mut self, now: Time) {
         let timeout = self.settings.timing.call_timeout;
         for engine in self.engines.values_mut() {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Closes the records of all orders that are settled, in one write; `true` if there were any.
+    /// Closes the records of all settled orders in one write; returns `true` if there were any.
     fn close_settled(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
         let mut record = self.record.clone();
         let mut notices = Vec::new();
@@ -195,7 +196,7 @@
         });
     }
 
-    /// Goes on with an order whose record stands open.
+    /// Continues an order whose record is open.
     fn continue_order(&mut self, now: Time, name: &Name, record: &OrderRecord, actions: &mut Vec<Action>) {
         let Some(engine) = self.engines.get(name) else {
             return;
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Sends an order that was just opened, or that did not leave at a former try.
+    /// Sends an order that was just opened, or that an earlier attempt did not send.
     fn send_opened(&mut self, now: Time, name: &Name, record: &OrderRecord, actions: &mut Vec<Action>) {
         let Some(deadline) = self.prepare_send(now, name, actions) else {
             return;
@@ -232,30 +233,30 @@
         });
     }
 
-    /// What must hold for an order to leave for the first time.
+    /// Checks the conditions for sending an order for the first time.
     fn may_send(&self, now: Time, name: &Name, order: &Order) -> Result<(), Broken> {
         let record = self.record.engines.get(name);
         let open = record.is_some_and(|r| r.phase == Phase::Open && r.order == *order);
-        check(open, "an order leaves only while its record stands open")?;
+        check(open, "an order must be sent only while its record is open")?;
         let ours = record.is_some_and(|r| r.incarnation == self.settings.incarnation);
-        check(ours, "an order leaves only from the process that opened it")?;
+        check(ours, "an order must be sent only by the process that opened it")?;
         check(
             order.fence > self.tenure_fence,
-            "an order leaves only in the tenure that opened it",
+            "an order must be sent only in the tenure that opened it",
         )?;
         check(
             self.lease.is_valid(now),
-            "an order leaves only under a lease that is believed in",
+            "an order must be sent only while the holder's lease is valid",
         )?;
         let state = self.engines.get(name).and_then(|e| e.own).map(|own| own.state);
         check(
             state == Some(SendState::Unsent),
-            "an order leaves at most once per opening",
+            "an order must be sent at most once per opening",
         )
     }
 
-    /// Repeats the last order with the holder's own number, so that the engine refuses what a stale holder
-    /// sends later. It is the same order, so it changes nothing that was not decided already.
+    /// Repeats the last order under the holder's own fencing token, so that the engine refuses whatever a
+    /// stale holder sends later. As the order is the same, this changes nothing that was not decided before.
     fn repeat_order(&mut self, now: Time, name: &Name, order: &Order, actions: &mut Vec<Action>) {
         let Some(engine) = self.engines.get(name) else {
             return;
@@ -273,7 +274,7 @@
             .is_some_and(|e| e.fencing == Fencing::Checked);
         let invariant = check(
             checked && fence >= order.fence && self.lease.is_valid(now),
-            "an order is repeated only at an engine that checks the number, with one not lower",
+            "an order must be repeated only to an engine that checks fencing tokens, with a token not lower",
         );
         let order = Order {
             fence,
@@ -291,12 +292,13 @@
         });
     }
 
-    /// Gives an engine that ignores fencing numbers no order while its last one may still be on its way.
+    /// Gives an engine that ignores fencing tokens no further order while its last one may still be in
+    /// flight.
     ///
-    /// Failure guarded against: the former holder is paused between its check and its send. Whatever time the
-    /// successor waits, the order may come later, and the engine would carry it out after the successor's.
-    /// The guard holds because an order leaves once per opening: once it took effect, or its process says
-    /// that it never left, it can't come.
+    /// Failure guarded against: the former holder is paused between its check and its send. However long the
+    /// successor waits, the order may arrive later, and the engine would carry it out after the successor's
+    /// order. This is safe because an order is sent at most once per opening: once it took effect, or the
+    /// process that opened it states that it was never sent, it cannot arrive any more.
     fn await_settlement(&mut self, now: Time, name: &Name, record: &OrderRecord, actions: &mut Vec<Action>) {
         if self.changing.as_ref() == Some(name) {
             self.finish_change(name, actions);
@@ -324,7 +326,7 @@
         });
     }
 
-    /// Decides whether an engine whose last order is settled needs another.
+    /// Decides whether an engine whose last order is settled needs another one.
     fn decide_engine(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
         let Some(engine) = self.engines.get(name) else {
             return;
@@ -355,7 +357,8 @@
             .get(name)
             .is_some_and(|e| e.fence_raise == FenceRaise::Done);
         match last {
-            // The number is raised first, and the state read after that; only then an order is decided on.
+            // The engine's fencing token is raised first and its state read afterwards; only then is an order
+            // decided on.
             Some(last)
                 if checked && !raised && last.sequence == report.sequence && last.target == report.target =>
             {
@@ -395,21 +398,24 @@
         });
     }
 
-    /// What must hold for an order to be opened.
+    /// Checks the conditions for opening an order.
     fn may_open(&self, name: &Name, fence: Fence, target: &Target) -> Result<(), Broken> {
         check(
             self.open_record(name).is_none(),
-            "no order is opened while the last one is not settled",
+            "an order must not be opened while the last one is not settled",
+        )?;
+        check(
+            fence > self.record.fence,
+            "an opened order must raise the fencing token",
         )?;
-        check(fence > self.record.fence, "an opened order raises the number")?;
         let state = self.engines.get(name).and_then(|e| e.report.as_ref());
         check(
             state.is_some_and(|r| r.target != *target),
-            "no order is opened for a state that the engine has",
+            "an order must not be opened for a state that the engine already has",
         )
     }
 
-    /// Keeps work from an engine; tells until when an order may leave once it is empty.
+    /// Drains an engine; returns the time until which an order may be sent, once the engine is empty.
     fn prepare_send(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) -> Option<Time> {
         if !self.claim_change_slot(name) {
             return None;
@@ -430,7 +436,7 @@
         (now < deadline).then_some(deadline)
     }
 
-    /// Asks again for the hold of an engine that is being changed, which lapses by itself.
+    /// Renews the hold on an engine that is being changed, because the hold expires by itself.
     fn refresh_hold(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
         let interval = self.settings.timing.retry_delay;
         let drain = self.engines.get_mut(name).and_then(|e| e.drain.as_mut());
@@ -439,12 +445,13 @@
         }
     }
 
-    /// One engine of a service is changed at a time.
+    /// Claims the slot for changes: only one engine of a service is changed at a time.
     fn claim_change_slot(&mut self, name: &Name) -> bool {
         *self.changing.get_or_insert_with(|| name.clone()) == *name
     }
 
-    /// An engine that reports nothing must not keep the others from being changed.
+    /// Ends the change of an engine that does not report, so that it does not keep the others from being
+    /// changed.
     fn skip_unresponsive(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
         let timing = &self.settings.timing;
         let unresponsive = self
@@ -484,7 +491,7 @@
         }
     }
 
-    /// Ends the change of an engine: it gets work again, and another may be changed.
+    /// Ends the change of an engine: it gets requests again, and another engine may be changed.
     pub(super) fn finish_change(&mut self, name: &Name, actions: &mut Vec<Action>) {
         if self.changing.as_ref() != Some(name) {
             return;
@@ -498,7 +505,7 @@
     }
 }
 
-/// What shows that the open order of `record` is settled, if anything does.
+/// The evidence that the open order of `record` is settled, if there is any.
 fn close_reason(engine: &EngineState, record: &OrderRecord, tenure_fence: Fence) -> Option<CloseReason> {
     let order = &record.order;
     let reported = engine.report.as_ref();
@@ -514,7 +521,7 @@
     if reported.is_some_and(|r| r.sequence == order.sequence && r.target == order.target) {
         return Some(CloseReason::Reported);
     }
-    // Opened in a former tenure of this process and not sent: it won't be.
+    // Opened in an earlier tenure of this process and not sent: it never will be.
     let never_sent = state == Some(SendState::Unsent) && order.fence <= tenure_fence;
     if never_sent || state == Some(SendState::Discarded) {
         return Some(CloseReason::Unsent);
--- a/crates/core/src/authority/record.rs
+++ b/crates/core/src/authority/record.rs
@@ -1,4 +1,4 @@
-//! The persistent record of a service's authority, the value of the key `authority/<service>`.
+//! The persistent record of a service's authority, stored under the key `authority/<service>`.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,12 +10,12 @@
 use crate::engine::Target;
 use crate::name::Name;
 
-/// A fencing number: raised by each take-over and each opened order of a service, never lowered.
+/// A fencing token: raised by each take-over and by each order that is opened for a service, never lowered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Fence(pub u64);
 
 impl Fence {
-    /// The number after this one.
+    /// The next higher token.
     pub fn next(self) -> Fence {
         Fence(self.0 + 1)
     }
@@ -27,29 +27,31 @@
     }
 }
 
-/// Identifies one run of an instance's process; drawn anew at each start.
+/// Identifies one run of an instance's process; drawn at random at each start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Incarnation(pub Uuid);
 
-/// The key-value service's own version of the record's key; 0 stands for an absent key.
+/// Version that the key-value service assigns to the record's key; 0 stands for an absent key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct RecordVersion(pub u64);
 
-/// An order to an engine. It says what the engine shall be, so that the same order twice is harmless.
+/// An order to an engine. It states the engine's target state rather than a step, so repeating it is
+/// harmless.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number under which it was opened.
+    /// Fencing token under which the order was opened.
     pub fence: Fence,
-    /// Counts the orders of its engine, from 1.
+    /// Number of the order among the orders to its engine, starting at 1.
     pub sequence: u64,
-    /// Names it.
+    /// Identifier of the order.
     pub id: Uuid,
-    /// What the engine shall be.
+    /// Target state of the engine.
     pub target: Target,
 }
 
 impl Order {
-    /// An order whose id follows from the rest, so that the same order has the same id everywhere.
+    /// An order whose id is derived from its other fields, so that the same order has the same id on every
+    /// instance.
     pub fn new(service: &Name, engine: &Name, fence: Fence, sequence: u64, target: Target) -> Order {
         let text = format!("{service}/{engine}/{fence}/{sequence}/{target:?}");
         let hash = blake3::hash(text.as_bytes());
@@ -64,29 +66,29 @@
     }
 }
 
-/// Whether an order may still be on its way.
+/// Whether an order may still be in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It may leave, be on its way or have taken effect.
+    /// The order may still be sent, be in flight or have taken effect.
     Open,
-    /// It is settled: it can't take effect any more, or did so and can't come a second time.
+    /// The order is settled: it can no longer take effect, or it took effect and cannot arrive a second time.
     Closed(CloseReason),
 }
 
-/// What showed that an order is settled.
+/// The evidence on which an order was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CloseReason {
-    /// The engine answered that it carried the order out.
+    /// The engine answered that it carried out the order.
     Answered,
-    /// The engine's report shows it.
+    /// The engine's report shows the order's effect.
     Reported,
-    /// The process that opened it says that the engine carried it out.
+    /// The process that opened the order states that the engine carried it out.
     Acknowledged,
-    /// The process that opened it never sent it, or the engine refused it, and it never will be sent.
+    /// The process that opened the order never sent it, or the engine refused it, and it never will be sent.
     Unsent,
-    /// An operator's statement released it.
+    /// An operator's statement released the engine from the order.
     Released,
 }
 
@@ -107,23 +109,23 @@
 pub struct OrderRecord {
     /// The order.
     pub order: Order,
-    /// Whether it may still be on its way.
+    /// Whether the order may still be in flight.
     pub phase: Phase,
-    /// The instance that opened it.
+    /// The instance that opened the order.
     pub holder: Name,
-    /// The process that opened it.
+    /// The process that opened the order.
     pub incarnation: Incarnation,
 }
 
-/// Who has the authority of a service, and the last order to each engine.
+/// The holder of a service's authority, and the last order to each engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The instance that holds the authority.
     pub holder: Name,
-    /// Its process.
+    /// The process that holds the authority.
     pub incarnation: Incarnation,
-    /// Highest fencing number given out.
+    /// Highest fencing token issued.
     pub fence: Fence,
-    /// The last order to each engine that ever got one.
+    /// The last order to each engine that ever received one.
     pub engines: BTreeMap<Name, OrderRecord>,
 }
--- a/crates/core/src/authority/settings.rs
+++ b/crates/core/src/authority/settings.rs
@@ -1,37 +1,38 @@
-//! Settings of one service's authority in one instance.
+//! Settings of one service's authority on one instance.
 
 use std::time::Duration;
 
 use crate::authority::Incarnation;
 use crate::name::Name;
 
-/// Times of the decision, all derived from the lease's.
+/// Time-outs and intervals, all derived from the duration of the lease.
 #[derive(Debug, Clone)]
 pub struct Timing {
     /// How long a lease lasts after its last renewal.
     pub ttl: Duration,
-    /// Taken off the belief in it, for clocks that run differently.
+    /// Subtracted from the lease's duration on this side, to allow for clocks that run at different rates.
     pub clock_margin: Duration,
-    /// Between two renewals.
+    /// Interval between two renewals of the lease.
     pub renew_interval: Duration,
-    /// Before a failed call is made again.
+    /// Delay before a failed call is repeated.
     pub retry_delay: Duration,
-    /// After the lease became vacant, before this instance competes for it.
+    /// Delay between the lease becoming vacant and this instance competing for it.
     pub acquire_delay: Duration,
-    /// How long an instance keeps work from an engine after it was asked to.
+    /// How long an instance routes no new requests to an engine after it was asked to hold them.
     pub hold_ttl: Duration,
-    /// How long an instance must have been out of reach before a change no longer waits for it.
+    /// How long an instance must have been unreachable before a change no longer waits for it.
     pub absence_timeout: Duration,
-    /// Between two reads of the report of an engine that is being changed.
+    /// Interval between two reads of the report of an engine that is being changed.
     pub probe_interval: Duration,
-    /// Between two reads of the report of any other engine.
+    /// Interval between two reads of the report of an engine that needs no change.
     pub idle_interval: Duration,
-    /// After which an answer that did not come is taken as lost.
+    /// How long to wait for an answer before it is treated as lost.
     pub call_timeout: Duration,
 }
 
 impl Timing {
-    /// Times for leases of `ttl`; `delay` differs between instances so that they don't compete at once.
+    /// Timing for leases of `ttl`. `acquire_delay` differs between instances so that they don't all compete
+    /// for the lease at once.
     pub fn new(ttl: Duration, acquire_delay: Duration) -> Timing {
         Timing {
             ttl,
@@ -53,10 +54,10 @@
 pub struct Settings {
     /// The service.
     pub service: Name,
-    /// This instance.
+    /// Name of this instance.
     pub instance: Name,
-    /// This process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Times.
+    /// Time-outs and intervals.
     pub timing: Timing,
 }
