--- a/crates/core/src/roles/capacity.rs
+++ b/crates/core/src/roles/capacity.rs
@@ -1,29 +1,29 @@
-//! How much of a demand a set of roles can carry.
+//! How much of a demand a set of engine roles can serve.
 
 use crate::config::Role;
 use crate::engine::RoleProfile;
 use crate::engine::Speed;
 use crate::roles::demand::Demand;
 
-/// Room above the demand beyond which more room is worth nothing.
+/// Multiple of the demand beyond which further capacity adds no value.
 const HEADROOM: f64 = 1.5;
 
-/// Steps of halving by which the bearable multiple of a demand is found.
+/// Bisection steps by which the largest multiple of a demand that can be served is found.
 const BISECTION_STEPS: usize = 16;
 
-/// How many engines have which role.
+/// Number of engines in each role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RoleCounts {
-    /// In role prefill.
+    /// Engines in the role prefill.
     pub prefill: u32,
-    /// In role mixed.
+    /// Engines in the role mixed.
     pub mixed: u32,
-    /// In role decode.
+    /// Engines in the role decode.
     pub decode: u32,
 }
 
 impl RoleCounts {
-    /// How many have `role`.
+    /// Number of engines with `role`.
     pub fn of(&self, role: Role) -> u32 {
         match role {
             Role::Prefill => self.prefill,
@@ -32,18 +32,18 @@
         }
     }
 
-    /// All of them.
+    /// Number of engines in all roles.
     pub fn total(&self) -> u32 {
         self.prefill + self.mixed + self.decode
     }
 
-    /// With one more of `role`.
+    /// The counts with one more engine of `role`.
     pub fn plus(mut self, role: Role) -> RoleCounts {
         *self.count_mut(role) += 1;
         self
     }
 
-    /// With one less of `role`, if there is one.
+    /// The counts with one engine of `role` less, if there is one.
     pub fn minus(mut self, role: Role) -> RoleCounts {
         let count = self.count_mut(role);
         *count = count.saturating_sub(1);
@@ -59,7 +59,7 @@
     }
 }
 
-/// What engines of one role still have to give.
+/// Remaining capacity of the engines of one role.
 #[derive(Debug, Clone, Copy)]
 struct Pool {
     free_engines: f64,
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Takes on as much of `tokens` a second as fits, at `rate` an engine; returns the rest.
+    /// Assigns as much of `tokens` per second as fits, at `rate` tokens per second and engine; returns the
+    /// rest.
     fn assign(&mut self, tokens: f64, rate: f64) -> f64 {
         let taken = (tokens / rate).min(self.free_engines);
         self.free_engines -= taken;
@@ -85,7 +86,8 @@
     }
 }
 
-/// The part of `demand` that engines of these roles carry in time, from 0 to 1; some room is left for peaks.
+/// The share of `demand` that engines in these roles serve in time, from 0 to 1. It reaches 1 only with some
+/// headroom for peaks.
 pub fn served_share(counts: RoleCounts, speed: Speed, demand: Demand) -> f64 {
     if counts.total() == 0 {
         return 0.0;
@@ -104,8 +106,8 @@
     low / HEADROOM
 }
 
-/// Whether the engines carry all of `demand`: prompts go to engines for prefill first, output to engines for
-/// decode, and what is left to the others.
+/// Whether the engines can serve all of `demand`. Prompts are assigned to prefill engines first, output to
+/// decode engines first, and the rest to the others.
 fn can_serve(counts: RoleCounts, speed: Speed, demand: Demand) -> bool {
     let mut prefill = Pool::new(counts, Role::Prefill, speed);
     let mut mixed = Pool::new(counts, Role::Mixed, speed);
--- a/crates/core/src/roles/demand.rs
+++ b/crates/core/src/roles/demand.rs
@@ -1,10 +1,10 @@
-//! What is asked of a service, forecast at two speeds.
+//! Demand on a service, and its moving average.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Work asked for: tokens, or tokens a second.
+/// Demand in tokens, or in tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Demand {
     /// Prompt tokens that are not cached.
@@ -14,7 +14,7 @@
 }
 
 impl Demand {
-    /// The demand times `factor`.
+    /// The demand multiplied by `factor`.
     pub fn scaled(self, factor: f64) -> Demand {
         Demand {
             prefill: self.prefill * factor,
@@ -22,14 +22,14 @@
         }
     }
 
-    /// Adds more work.
+    /// Adds demand, in tokens.
     pub fn add(&mut self, prefill: f64, decode: f64) {
         self.prefill += prefill;
         self.decode += decode;
     }
 }
 
-/// A moving average of tokens a second.
+/// Exponentially weighted moving average of the demand, in tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MovingAverage {
     time_constant: f64,
@@ -39,7 +39,7 @@
 }
 
 impl MovingAverage {
-    /// A mean that forgets with the time constant `memory`.
+    /// An average whose older values decay with `time_constant`.
     pub fn new(time_constant: Duration) -> MovingAverage {
         MovingAverage {
             time_constant: time_constant.as_secs_f64(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adds the work asked for since the last call.
+    /// Adds the demand since the last call, in tokens.
     pub fn add(&mut self, now: Time, work: Demand) {
         let decay = (-now.since(self.updated_at).as_secs_f64() / self.time_constant).exp();
         self.rate = self.rate.scaled(decay);
@@ -61,7 +61,7 @@
         self.updated_at = now;
     }
 
-    /// Tokens a second; corrected for the time before the first call.
+    /// Tokens per second, corrected for the time before the first call.
     pub fn rate(&self) -> Demand {
         self.rate.scaled(1.0 / self.weight.max(0.2))
     }
--- a/crates/core/src/roles/mod.rs
+++ b/crates/core/src/roles/mod.rs
@@ -1,9 +1,10 @@
-//! Which engine of a service should change its role, if any.
+//! Planner that decides which engine of a service should change its role, if any.
 //!
-//! The demand is forecast at two speeds ([`demand`]). A change is proposed only if what it gains over the horizon
-//! is worth more than its price: the seconds that the engine is away, and the weight that operators give to a role
-//! change. One engine changes at a time in a service of today's size, and each rests afterwards. Nothing is
-//! proposed on reports older than their lag, nor while the key-value service is out of reach.
+//! The demand is forecast with a fast and a slow moving average ([`demand`]). A change is proposed only if
+//! its gain over the horizon exceeds its price: the goodput lost while the engine is unavailable, and the
+//! weight that operators give to a role change. In services of up to `ENGINES_PER_CHANGE` engines one engine
+//! changes at a time, and each has a cooldown afterwards. Nothing is proposed on reports that are too old,
+//! nor while the key-value service is unreachable.
 
 mod capacity;
 mod demand;
@@ -22,88 +23,89 @@
 use crate::policy::Policy;
 use crate::time::Time;
 
-/// Time constant of the fast mean, in times away.
+/// Time constant of the fast average, in multiples of the downtime of a role change.
 const FAST_TIME_CONSTANT: u32 = 4;
 
-/// Time constant of the slow mean, in times away.
+/// Time constant of the slow average, in multiples of the downtime.
 const SLOW_TIME_CONSTANT: u32 = 100;
 
-/// Time over which a change must pay, in times away.
+/// Time over which a change must pay off, in multiples of the downtime.
 const HORIZON: u32 = 30;
 
-/// Pause after a change of the service, in times away.
+/// Pause of the whole service after a change, in multiples of the downtime.
 const SERVICE_COOLDOWN: u32 = 1;
 
-/// Pause of an engine after its change, in times away.
+/// Pause of an engine after its change, in multiples of the downtime.
 const ENGINE_COOLDOWN: u32 = 12;
 
-/// A proposal that did not take effect after so many times away is dropped.
+/// Time after which a proposal that has not taken effect is dropped, in multiples of the downtime.
 const PROPOSAL_EXPIRY: u32 = 40;
 
-/// Engines of a service for each one that may be in change.
+/// A service may have one pending change per this many engines, rounded up.
 const ENGINES_PER_CHANGE: usize = 16;
 
-/// Part of the horizon's goodput that a change must gain where its weight is 100.
+/// Share of the horizon's goodput that a change must gain, in addition to [`MIN_GAIN`], if its weight is 100.
 const FULL_WEIGHT_GAIN: f64 = 0.25;
 
-/// Part of the horizon's goodput that a change must gain where its weight is 0, beside its seconds away.
+/// Share of the horizon's goodput that a change must gain if its weight is 0, in addition to what its
+/// downtime costs.
 const MIN_GAIN: f64 = 0.01;
 
-/// Weight of the fast mean against the slow one. The slow mean holds the mix of the last minutes: roles that serve
-/// only the mix of this moment are paid for again with the next shift.
+/// Weight of the fast average against the slow one. The slow average covers the mix of the last minutes:
+/// roles that suit only the current mix have to be changed again, at the same price, when the mix shifts.
 const FAST_AVERAGE_WEIGHT: f64 = 0.6;
 
-/// Seconds of an answer, which a drain takes before the change.
+/// Duration of an answer in seconds, which the drain before a change takes.
 const DRAIN_SECONDS: f64 = 1.0;
 
-/// Part of the engines whose reports must be fresh.
+/// Share of the engines whose reports must be fresh.
 const MIN_FRESH_SHARE: f64 = 0.75;
 
-/// Baseline: a pool above the first changes places with one below the second.
+/// Baseline policy: an engine moves to a pool utilized above the first threshold from one below the second.
 const POOL_THRESHOLDS: (f64, f64) = (0.7, 0.5);
 
 /// An engine as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineStatus {
-    /// Its name.
+    /// Name of the engine.
     pub name: Name,
-    /// The role that it reported last.
+    /// The role that the engine reported last.
     pub role: Role,
-    /// Whether an operator fixed its role, or takes it out of service.
+    /// Whether an operator fixed the engine's role or is taking it out of service.
     pub fixed: bool,
-    /// Whether it was away.
+    /// Whether the engine was unavailable because of an order in progress.
     pub away: bool,
-    /// Requests there.
+    /// Number of requests at the engine.
     pub requests: u32,
-    /// How fast it is.
+    /// Speed of the engine.
     pub speed: Speed,
-    /// Age of its report.
+    /// Age of the engine's report.
     pub age: Duration,
 }
 
-/// What the planner decides on.
+/// The state on which the planner decides.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannerInput {
     /// The service's engines that can be reached.
     pub engines: Vec<EngineStatus>,
     /// Weight of one role change, 0 to 100.
     pub change_weight: u32,
-    /// Age above which a report is no evidence.
+    /// Age above which a report is ignored.
     pub max_age: Duration,
     /// Whether the key-value service answers.
     pub platform_reachable: bool,
 }
 
-/// A change worth its price.
+/// A proposed role change. Gain and price are 0 under the threshold policy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoleChange {
-    /// The engine.
+    /// The engine to change.
     pub engine: Name,
-    /// The role that it should have.
+    /// The role that the engine should get.
     pub role: Role,
-    /// What it gains, in seconds of the service's whole goodput.
+    /// Gain of the change, in seconds of the service's whole goodput.
     pub gain: f64,
-    /// What it costs, in the same unit.
+    /// Price of the change, in the same unit.
     pub price: f64,
 }
 
@@ -126,7 +128,7 @@
 }
 
 impl Planner {
-    /// A planner for engines that a role change takes away for `away`.
+    /// A planner for engines that are unavailable for `downtime` during a role change.
     pub fn new(policy: Policy, downtime: Duration) -> Planner {
         Planner {
             policy,
@@ -139,18 +141,18 @@
         }
     }
 
-    /// Notes the work asked for since the last call, by the callers of all instances.
+    /// Adds the demand since the last call, from the callers of all instances.
     pub fn observe(&mut self, now: Time, work: Demand) {
         self.fast.add(now, work);
         self.slow.add(now, work);
     }
 
-    /// Tokens a second by the fast mean.
+    /// Forecast of the demand by the fast average, in tokens per second.
     pub fn forecast(&self) -> Demand {
         self.fast.rate()
     }
 
-    /// The change to propose now, if any is worth its price.
+    /// The change to propose now, if the gain of any exceeds its price.
     pub fn plan(&mut self, now: Time, input: &PlannerInput) -> Option<RoleChange> {
         self.update_pending(now, input);
         let max_pending = input.engines.len().div_ceil(ENGINES_PER_CHANGE);
@@ -170,7 +172,7 @@
         Some(change)
     }
 
-    /// Drops proposals that took effect, and those that never did.
+    /// Drops proposals that took effect, and those that expired.
     fn update_pending(&mut self, now: Time, input: &PlannerInput) {
         let expiry = self.downtime * PROPOSAL_EXPIRY;
         let mut done = Vec::new();
@@ -216,13 +218,13 @@
         best
     }
 
-    /// The part of the demand that these roles serve, now and as it was on the whole.
+    /// The share of the demand that these roles serve, weighted between the fast and the slow average.
     fn weighted_service(&self, counts: RoleCounts, speed: Speed) -> f64 {
         FAST_AVERAGE_WEIGHT * served_share(counts, speed, self.fast.rate())
             + (1.0 - FAST_AVERAGE_WEIGHT) * served_share(counts, speed, self.slow.rate())
     }
 
-    /// The engine of role `from` that has least to drain.
+    /// The engine of role `from` that has the fewest requests to drain.
     fn candidate<'a>(&self, now: Time, input: &'a PlannerInput, from: Role) -> Option<&'a EngineStatus> {
         let cooldown = self.downtime * ENGINE_COOLDOWN;
         let rested = |e: &&EngineStatus| {
@@ -238,7 +240,7 @@
         movable.filter(rested).min_by_key(|e| e.requests)
     }
 
-    /// Baseline: one pool is above a threshold, the other below another.
+    /// Baseline policy: one pool is utilized above a threshold, the other below another one.
     fn threshold_change(&self, input: &PlannerInput) -> Option<RoleChange> {
         let speed = mean_speed(&input.engines);
         let counts = role_counts(&input.engines);
@@ -282,16 +284,17 @@
     }
 }
 
-/// Part of the goodput over the horizon that a change must gain.
+/// Share of the goodput over the horizon that a change must gain.
 fn min_gain(weight: u32) -> f64 {
     MIN_GAIN + FULL_WEIGHT_GAIN * f64::from(weight.min(100)) / 100.0
 }
 
-/// Whether the evidence may lead to a change.
+/// Whether the input is good enough to decide on a change.
 ///
-/// Failure guarded against: with late reports the planner would see roles and loads of before its last change, and
-/// change another engine for the same shift, back and forth; without the key-value service an order could not be
-/// opened, and would be carried out when the mix is long another.
+/// Failure guarded against: with late reports the planner would see the roles and loads from before its last
+/// change, and would change another engine for the same shift in the mix, back and forth. Without the
+/// key-value service an order could not be opened, and would be carried out only when the mix has long
+/// changed again.
 fn is_usable(input: &PlannerInput) -> bool {
     let fresh = input.engines.iter().filter(|e| e.age <= input.max_age).count();
     input.platform_reachable && fresh as f64 >= MIN_FRESH_SHARE * input.engines.len() as f64
