--- a/crates/core/src/roles/mod.rs
+++ b/crates/core/src/roles/mod.rs
@@ -1,10 +1,10 @@
 //! Planner that decides which engine of a service should change its role, if any.
 //!
-//! The demand is forecast with a fast and a slow moving average ([`demand`]). A change is proposed only if
-//! its gain over the horizon exceeds its price: the goodput lost while the engine is unavailable, and the
-//! weight that operators give to a role change. In services of up to `ENGINES_PER_CHANGE` engines one engine
-//! changes at a time, and each has a cooldown afterwards. Nothing is proposed on reports that are too old,
-//! nor while the key-value service is unreachable.
+//! The demand is forecast with a fast and a slow [`MovingAverage`]. A change is proposed only if its gain
+//! over the horizon exceeds its price: the goodput lost while the engine is unavailable, and the weight that
+//! operators give to a role change. In services of up to `ENGINES_PER_CHANGE` engines one engine changes at a
+//! time, and each has a cooldown afterwards. Nothing is proposed on reports that are too old, nor while the
+//! key-value service is unreachable.
 
 mod capacity;
 mod demand;
