--- a/crates/core/src/authority/engine.rs
+++ b/crates/core/src/authority/engine.rs
@@ -1,82 +1,84 @@
-//! What a holder knows of one engine.
+//! What the holder knows about one engine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::authority::Answer;
 use crate::authority::CallId;
 use crate::authority::Fence;
 use crate::authority::HoldAnswer;
 use crate::authority::Order;
+use crate::authority::OrderAnswer;
 use crate::authority::OrderRecord;
 use crate::authority::Report;
 use crate::authority::Settlement;
 use crate::authority::Timing;
-use crate::authority::wish::Wish;
+use crate::authority::desired::DesiredState;
 use crate::config::Fencing;
 use crate::name::Name;
 use crate::time::Time;
 
-/// What became of the last order that this process opened for an engine.
+/// Progress of the last order that this process opened for an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It has not left.
+pub enum SendState {
+    /// The order was not sent.
     Unsent,
-    /// It left at this time; no answer yet.
+    /// The order was sent at this time; no answer yet.
     Sent(Time),
-    /// The engine carried it out.
+    /// The engine carried out the order.
     Applied,
-    /// It surely has no effect, and won't be sent again.
-    Void,
-    /// It left, and its answer was lost.
-    Lost,
+    /// The order is certain to have no effect and will not be sent again.
+    Discarded,
+    /// The order was sent, and its answer was lost.
+    Unanswered,
 }
 
 /// An order that this process opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Own {
-    /// Fencing number under which it was opened.
+pub struct OwnOrder {
+    /// Fencing token under which the order was opened.
     pub fence: Fence,
-    /// Its sequence number.
+    /// Sequence number of the order.
     pub sequence: u64,
-    /// What became of it.
-    pub fate: Fate,
-    /// The call that sent it last.
+    /// Progress of the order.
+    pub state: SendState,
+    /// The call that sent the order last.
     pub call: CallId,
 }
 
-impl Own {
-    /// An order whose record was written; it has not left.
-    pub fn new(order: &Order, fate: Fate) -> Own {
-        Own {
+impl OwnOrder {
+    /// An order that this process opened and that no call has sent yet.
+    pub fn new(order: &Order, state: SendState) -> OwnOrder {
+        OwnOrder {
             fence: order.fence,
             sequence: order.sequence,
-            fate,
+            state,
             call: CallId::default(),
         }
     }
 }
 
-/// A repeat of the last order with the holder's own number.
+/// Repetition of the last order under the holder's own fencing token, which raises the token that the engine
+/// has seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Raise {
-    /// Not made yet.
+pub enum FenceRaise {
+    /// To be sent.
     Due,
     /// Sent at this time by this call.
     Sent(Time, CallId),
-    /// The engine knows the number.
+    /// The engine has seen the token.
     Done,
 }
 
-/// Keeping work from an engine before it is changed.
+/// Drain of an engine before it is changed: the instances route no new requests to it, and those in flight
+/// end.
 #[derive(Debug, Clone, Default)]
 pub struct Drain {
-    asked: Option<Time>,
+    asked_at: Option<Time>,
     clear: Option<Clear>,
     missing: BTreeMap<Name, Time>,
 }
 
-/// Since when all reachable instances keep work from the engine and have none there.
+/// Since when all reachable instances hold requests back from the engine and have none in flight there.
 #[derive(Debug, Clone, Copy)]
 struct Clear {
     since: Time,
@@ -84,25 +86,25 @@
 }
 
 impl Drain {
-    /// Whether the next round is due; notes that it is made.
-    pub fn ask(&mut self, now: Time, every: Duration) -> bool {
-        let due = self.asked.is_none_or(|asked| now >= asked + every);
+    /// Whether the next round of asking the instances is due; if so, notes that it starts at `now`.
+    pub fn start_round(&mut self, now: Time, interval: Duration) -> bool {
+        let due = self.asked_at.is_none_or(|asked_at| now >= asked_at + interval);
         if due {
-            self.asked = Some(now);
+            self.asked_at = Some(now);
         }
         due
     }
 
-    /// Takes the answers of a round that was asked at `asked` and ended at `done`.
+    /// Takes the answers of a round that started at `asked` and ended at `done`.
     ///
-    /// An instance that gives no answer is waited for until it has been missing for `absence`: by then it
-    /// takes no new work by itself, for it hears neither the platform nor any instance.
+    /// An instance that does not answer is waited for until it has been missing for `absence_timeout`. By
+    /// then it takes no new work by itself, because it reaches neither the platform nor any instance.
     pub fn on_answers(
         &mut self,
         asked: Time,
         done: Time,
         answers: &BTreeMap<Name, HoldAnswer>,
-        absence: Duration,
+        absence_timeout: Duration,
     ) {
         self.missing
             .retain(|name, _| answers.get(name) == Some(&HoldAnswer::Missing));
@@ -116,7 +118,7 @@
             HoldAnswer::Missing => self
                 .missing
                 .get(name)
-                .is_some_and(|since| done >= *since + absence),
+                .is_some_and(|since| done >= *since + absence_timeout),
         });
         self.clear = match (clear, self.clear) {
             (false, _) => None,
@@ -128,142 +130,149 @@
         };
     }
 
-    /// Until when an order that cuts running work may leave; `None` if the engine is not known to be empty.
+    /// Until when an order that interrupts running work may be sent; `None` if the engine is not known to be
+    /// empty.
     ///
-    /// The hold lapses at the instances by itself, so a clear round is worth nothing once it is old. The
-    /// engine's report must come from after the round: an older one doesn't show what was under way to it.
-    pub fn until(&self, report: Option<&Report>, hold: Duration) -> Option<Time> {
+    /// The hold expires on the instances by itself, so a round that found no requests counts only for a
+    /// limited time. The engine's report must have been taken after that round: an older one does not show
+    /// the requests that were on their way to the engine.
+    pub fn deadline(&self, report: Option<&Report>, hold_ttl: Duration) -> Option<Time> {
         let clear = self.clear?;
         let report = report?;
-        let empty = report.idle && !report.away && report.taken >= clear.since;
-        empty.then(|| clear.asked + hold.saturating_sub(hold / 5))
+        let empty = report.idle && !report.away && report.taken_at >= clear.since;
+        empty.then(|| clear.asked + hold_ttl.saturating_sub(hold_ttl / 5))
     }
 }
 
-/// What a holder knows of one engine.
+/// What the holder knows about one engine.
 #[derive(Debug, Clone)]
 pub struct EngineState {
-    /// Whether it checks fencing numbers.
+    /// Whether the engine checks fencing tokens.
     pub fencing: Fencing,
-    /// What it shall be.
-    pub wish: Wish,
+    /// The desired state of the engine.
+    pub desired: DesiredState,
     /// Sequence number of the order that operators released last.
-    pub released: u64,
-    /// Its last report.
+    pub released_sequence: u64,
+    /// The engine's last report.
     pub report: Option<Report>,
-    /// Reports taken before this say nothing about what to do next.
-    pub since: Time,
-    /// When the report was last asked for.
-    pub probed: Option<Time>,
-    /// The drain that goes on, if any.
+    /// Reports taken before this time are too old to decide on.
+    pub fresh_since: Time,
+    /// When the report was last requested.
+    pub probed_at: Option<Time>,
+    /// The drain in progress, if any.
     pub drain: Option<Drain>,
-    /// When the weight store said that what it is to load can be read, and the next time to ask.
+    /// Whether the weight store has the weights that the engine is to load, or the next time to ask it.
     pub weights: Weights,
     /// The last order that this process opened.
-    pub own: Option<Own>,
-    /// The repeat with the holder's own number.
-    pub raise: Raise,
-    /// What the process that opened the last order said of it.
-    pub settled: Option<(u64, Settlement)>,
+    pub own: Option<OwnOrder>,
+    /// Progress of repeating the last order under the holder's own fencing token.
+    pub fence_raise: FenceRaise,
+    /// Sequence number of an order, and what the process that opened it answered about it.
+    pub settlement: Option<(u64, Settlement)>,
     /// When a call for the open order may be made again.
-    pub again: Time,
-    /// Sequence number that operators were told is unsettled.
-    pub told: u64,
+    pub retry_at: Time,
+    /// Sequence number of the order that operators were last notified of as unsettled.
+    pub notified_sequence: u64,
 }
 
-/// What the weight store said.
+/// Availability of the weights, according to the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weights {
-    /// It was not asked; it may be at this time.
+    /// The weights are not known to be available; the store may be asked from this time on.
     Ask(Time),
-    /// It can be read.
+    /// The weights can be read.
     Ready,
 }
 
 impl EngineState {
-    /// An engine of which nothing is known.
+    /// An engine about which nothing is known.
     pub fn new(fencing: Fencing) -> EngineState {
         EngineState {
             fencing,
-            wish: Wish::default(),
-            released: 0,
+            desired: DesiredState::default(),
+            released_sequence: 0,
             report: None,
-            since: Time::ZERO,
-            probed: None,
+            fresh_since: Time::ZERO,
+            probed_at: None,
             drain: None,
             weights: Weights::Ask(Time::ZERO),
             own: None,
-            raise: Raise::Due,
-            settled: None,
-            again: Time::ZERO,
-            told: 0,
+            fence_raise: FenceRaise::Due,
+            settlement: None,
+            retry_at: Time::ZERO,
+            notified_sequence: 0,
         }
     }
 
-    /// Forgets what a former tenure left behind; what became of own orders stays known.
-    pub fn begin(&mut self, now: Time) {
-        self.since = now;
-        self.probed = None;
+    /// Discards the state of an earlier tenure; the progress of this process's own orders is kept.
+    pub fn start_tenure(&mut self, now: Time) {
+        self.fresh_since = now;
+        self.probed_at = None;
         self.drain = None;
         self.weights = Weights::Ask(now);
-        self.raise = Raise::Due;
-        self.settled = None;
-        self.again = now;
-        self.told = 0;
-        self.wish.proposal = None;
+        self.fence_raise = FenceRaise::Due;
+        self.settlement = None;
+        self.retry_at = now;
+        self.notified_sequence = 0;
+        self.desired.proposal = None;
     }
 
-    /// What became of `record`'s order, if this process opened it.
-    pub fn fate(&self, record: &OrderRecord) -> Option<Fate> {
+    /// Progress of `record`'s order, if this process opened it.
+    pub fn send_state(&self, record: &OrderRecord) -> Option<SendState> {
         let own = self.own?;
         let same = own.sequence == record.order.sequence && own.fence == record.order.fence;
-        same.then_some(own.fate)
+        same.then_some(own.state)
     }
 
-    /// The own order leaves by `call`.
-    pub fn leave(&mut self, now: Time, call: CallId) {
+    /// Notes that this process's order is sent at `now` by `call`.
+    pub fn mark_sent(&mut self, now: Time, call: CallId) {
         if let Some(own) = &mut self.own {
-            own.fate = Fate::Sent(now);
+            own.state = SendState::Sent(now);
             own.call = call;
         }
     }
 
-    /// Takes the answer to `call`; a late answer to an earlier call is dropped.
-    pub fn on_answer(&mut self, call: CallId, answer: Answer) {
-        if matches!(self.raise, Raise::Sent(_, sent) if sent == call) {
-            self.raise = match answer {
-                Answer::Applied => Raise::Done,
-                Answer::Stale(_) | Answer::Unsent | Answer::Unknown => Raise::Due,
+    /// Takes the answer to `call`; a late answer to an earlier call is ignored.
+    pub fn on_answer(&mut self, call: CallId, answer: OrderAnswer) {
+        if matches!(self.fence_raise, FenceRaise::Sent(_, sent) if sent == call) {
+            self.fence_raise = match answer {
+                OrderAnswer::Applied => FenceRaise::Done,
+                OrderAnswer::Stale(_) | OrderAnswer::Unsent | OrderAnswer::Unknown => FenceRaise::Due,
             };
         }
         let Some(own) = &mut self.own else { return };
-        if own.call != call || !matches!(own.fate, Fate::Sent(_) | Fate::Lost) {
+        if own.call != call || !matches!(own.state, SendState::Sent(_) | SendState::Unanswered) {
             return;
         }
-        own.fate = match answer {
-            Answer::Applied => Fate::Applied,
-            Answer::Stale(_) => Fate::Void,
-            Answer::Unsent => Fate::Unsent,
-            Answer::Unknown => Fate::Lost,
+        own.state = match answer {
+            OrderAnswer::Applied => SendState::Applied,
+            OrderAnswer::Stale(_) => SendState::Discarded,
+            OrderAnswer::Unsent => SendState::Unsent,
+            OrderAnswer::Unknown => SendState::Unanswered,
         };
-        if answer == Answer::Applied {
-            self.raise = Raise::Done;
+        if answer == OrderAnswer::Applied {
+            self.fence_raise = FenceRaise::Done;
         }
     }
 
-    /// The last report, if it was taken after the last thing that may have changed the engine.
-    pub fn fresh(&self) -> Option<&Report> {
-        self.report.as_ref().filter(|report| report.taken >= self.since)
+    /// The last report, if it was taken after the last event that may have changed the engine.
+    pub fn fresh_report(&self) -> Option<&Report> {
+        self.report
+            .as_ref()
+            .filter(|report| report.taken_at >= self.fresh_since)
     }
 
-    /// Whether the engine has reported lately, so that it is worth waiting for.
-    pub fn answers(&self, now: Time, timing: &Timing) -> bool {
+    /// Whether the engine has reported recently enough to be worth waiting for.
+    pub fn is_responsive(&self, now: Time, timing: &Timing) -> bool {
         let limit = timing.ttl;
-        self.report.as_ref().is_some_and(|r| now <= r.taken + limit)
+        self.report.as_ref().is_some_and(|r| now <= r.taken_at + limit)
     }
 
-    /// Until when an order that changes the engine may leave, if it is empty.
-    pub fn drained(&self, timing: &Timing) -> Option<Time> {
-        self.drain.as_ref()?.until(self.report.as_ref(), timing.hold)
+    /// Until when an order that changes the engine may be sent; `None` if the engine is not known to be
+    /// empty.
+    pub fn send_deadline(&self, timing: &Timing) -> Option<Time> {
+        self.drain
+            .as_ref()?
+            .deadline(self.report.as_ref(), timing.hold_ttl)
     }
 }
--- a/crates/core/src/authority/mod.rs
+++ b/crates/core/src/authority/mod.rs
@@ -1,10 +1,11 @@
-//! The authority over the engines of one service: who may give orders, and when an order may leave.
+//! Authority over the engines of one service: which instance may give orders, and when an order may be sent.
 //!
-//! [`Authority`] is the decision of one instance for one service. It competes for a lease, takes the
-//! persistent [`Record`] over by a compare-and-swap that raises the fencing number, drains an engine before a
-//! change, opens the order's record and only then lets the order leave. `docs/design/authority.md` weighs the
-//! ways that were considered.
+//! [`Authority`] is the state machine of one instance for one service. It competes for a lease, takes over
+//! the persistent [`Record`] with a compare-and-swap that raises the fencing token, drains an engine before
+//! changing it, and records an order as open before sending it. `docs/design/authority.md` compares the
+//! designs that were considered.
 
+mod desired;
 mod engine;
 mod event;
 mod lease;
@@ -12,21 +13,20 @@
 mod orders;
 mod record;
 mod settings;
-mod wish;
 
 pub use event::Action;
-pub use event::Answer;
 pub use event::CallId;
-pub use event::EngineWish;
+pub use event::EngineConfig;
 pub use event::Event;
 pub use event::HoldAnswer;
+pub use event::OrderAnswer;
 pub use event::Report;
-pub use event::Send;
+pub use event::SendOrder;
 pub use event::Settlement;
-pub use event::Written;
-pub use lease::LeaseBelief;
+pub use event::WriteOutcome;
+pub use lease::LocalLease;
 pub use machine::Authority;
-pub use record::Closing;
+pub use record::CloseReason;
 pub use record::Fence;
 pub use record::Incarnation;
 pub use record::Order;
--- a/crates/core/src/roles/demand.rs
+++ b/crates/core/src/roles/demand.rs
@@ -1,10 +1,10 @@
-//! What is asked of a service, forecast at two speeds.
+//! Demand on a service, and its moving average.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Work asked for: tokens, or tokens a second.
+/// Demand in tokens, or in tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Demand {
     /// Prompt tokens that are not cached.
@@ -14,7 +14,7 @@
 }
 
 impl Demand {
-    /// The demand times `factor`.
+    /// The demand multiplied by `factor`.
     pub fn scaled(self, factor: f64) -> Demand {
         Demand {
             prefill: self.prefill * factor,
@@ -22,44 +22,46 @@
         }
     }
 
-    /// Adds more work.
+    /// Adds demand, in tokens.
     pub fn add(&mut self, prefill: f64, decode: f64) {
         self.prefill += prefill;
         self.decode += decode;
     }
 }
 
-/// A moving average of tokens a second.
+/// Exponentially weighted moving average of the demand, in tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Mean {
-    memory: f64,
+pub struct MovingAverage {
+    time_constant: f64,
     rate: Demand,
     weight: f64,
-    at: Time,
+    updated_at: Time,
 }
 
-impl Mean {
-    /// A mean that forgets with the time constant `memory`.
-    pub fn new(memory: Duration) -> Mean {
-        Mean {
-            memory: memory.as_secs_f64(),
+impl MovingAverage {
+    /// An average whose older values decay with `time_constant`.
+    pub fn new(time_constant: Duration) -> MovingAverage {
+        MovingAverage {
+            time_constant: time_constant.as_secs_f64(),
             rate: Demand::default(),
             weight: 0.0,
-            at: Time::ZERO,
+            updated_at: Time::ZERO,
         }
     }
 
-    /// Adds the work asked for since the last call.
+    /// Adds the demand since the last call, in tokens.
     pub fn add(&mut self, now: Time, work: Demand) {
-        let keep = (-now.since(self.at).as_secs_f64() / self.memory).exp();
-        self.rate = self.rate.scaled(keep);
-        self.rate
-            .add(work.prefill / self.memory, work.decode / self.memory);
-        self.weight = self.weight * keep + (1.0 - keep);
-        self.at = now;
+        let decay = (-now.since(self.updated_at).as_secs_f64() / self.time_constant).exp();
+        self.rate = self.rate.scaled(decay);
+        self.rate.add(
+            work.prefill / self.time_constant,
+            work.decode / self.time_constant,
+        );
+        self.weight = self.weight * decay + (1.0 - decay);
+        self.updated_at = now;
     }
 
-    /// Tokens a second; corrected for the time before the first call.
+    /// Tokens per second, corrected for the time before the first call.
     pub fn rate(&self) -> Demand {
         self.rate.scaled(1.0 / self.weight.max(0.2))
     }
--- a/crates/core/src/roles/mod.rs
+++ b/crates/core/src/roles/mod.rs
@@ -1,20 +1,21 @@
-//! Which engine of a service should change its role, if any.
+//! Planner that decides which engine of a service should change its role, if any.
 //!
-//! The demand is forecast at two speeds ([`demand`]). A change is proposed only if what it gains over the horizon
-//! is worth more than its price: the seconds that the engine is away, and the weight that operators give to a role
-//! change. One engine changes at a time in a service of today's size, and each rests afterwards. Nothing is
-//! proposed on reports older than their lag, nor while the key-value service is out of reach.
+//! The demand is forecast with a fast and a slow [`MovingAverage`]. A change is proposed only if its gain
+//! over the horizon exceeds its price: the goodput lost while the engine is unavailable, and the weight that
+//! operators give to a role change. In services of up to `ENGINES_PER_CHANGE` engines one engine changes at a
+//! time, and each has a cooldown afterwards. Nothing is proposed on reports that are too old, nor while the
+//! key-value service is unreachable.
 
+mod capacity;
 mod demand;
-mod fit;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+pub use capacity::RoleCounts;
+pub use capacity::served_share;
 pub use demand::Demand;
-pub use demand::Mean;
-pub use fit::Counts;
-pub use fit::served;
+pub use demand::MovingAverage;
 
 use crate::config::Role;
 use crate::engine::Speed;
@@ -22,88 +23,89 @@
 use crate::policy::Policy;
 use crate::time::Time;
 
-/// Time constant of the fast mean, in times away.
-const FAST: u32 = 4;
+/// Time constant of the fast average, in multiples of the downtime of a role change.
+const FAST_TIME_CONSTANT: u32 = 4;
 
-/// Time constant of the slow mean, in times away.
-const SLOW: u32 = 100;
+/// Time constant of the slow average, in multiples of the downtime.
+const SLOW_TIME_CONSTANT: u32 = 100;
 
-/// Time over which a change must pay, in times away.
+/// Time over which a change must pay off, in multiples of the downtime.
 const HORIZON: u32 = 30;
 
-/// Pause after a change of the service, in times away.
-const REST: u32 = 1;
+/// Pause of the whole service after a change, in multiples of the downtime.
+const SERVICE_COOLDOWN: u32 = 1;
 
-/// Pause of an engine after its change, in times away.
-const ENGINE_REST: u32 = 12;
+/// Pause of an engine after its change, in multiples of the downtime.
+const ENGINE_COOLDOWN: u32 = 12;
 
-/// A proposal that did not take effect after so many times away is dropped.
-const EXPIRY: u32 = 40;
+/// Time after which a proposal that has not taken effect is dropped, in multiples of the downtime.
+const PROPOSAL_EXPIRY: u32 = 40;
 
-/// Engines of a service for each one that may be in change.
-const PER_CHANGE: usize = 16;
+/// A service may have one pending change per this many engines, rounded up.
+const ENGINES_PER_CHANGE: usize = 16;
 
-/// Part of the horizon's goodput that a change must gain where its weight is 100.
-const FULL_WEIGHT: f64 = 0.25;
+/// Share of the horizon's goodput that a change must gain, in addition to [`MIN_GAIN`], if its weight is 100.
+const FULL_WEIGHT_GAIN: f64 = 0.25;
 
-/// Part of the horizon's goodput that a change must gain where its weight is 0, beside its seconds away.
-const LEAST_GAIN: f64 = 0.01;
+/// Share of the horizon's goodput that a change must gain if its weight is 0, in addition to what its
+/// downtime costs.
+const MIN_GAIN: f64 = 0.01;
 
-/// Weight of the fast mean against the slow one. The slow mean holds the mix of the last minutes: roles that serve
-/// only the mix of this moment are paid for again with the next shift.
-const NOW: f64 = 0.6;
+/// Weight of the fast average against the slow one. The slow average covers the mix of the last minutes:
+/// roles that suit only the current mix have to be changed again, at the same price, when the mix shifts.
+const FAST_AVERAGE_WEIGHT: f64 = 0.6;
 
-/// Seconds of an answer, which a drain takes before the change.
-const DRAIN: f64 = 1.0;
+/// Duration of an answer in seconds, which the drain before a change takes.
+const DRAIN_SECONDS: f64 = 1.0;
 
-/// Part of the engines whose reports must be fresh.
-const FRESH: f64 = 0.75;
+/// Share of the engines whose reports must be fresh.
+const MIN_FRESH_SHARE: f64 = 0.75;
 
-/// Baseline: a pool above the first changes places with one below the second.
-const THRESHOLDS: (f64, f64) = (0.7, 0.5);
+/// Baseline policy: an engine moves to a pool utilized above the first threshold from one below the second.
+const POOL_THRESHOLDS: (f64, f64) = (0.7, 0.5);
 
 /// An engine as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EngineSeen {
-    /// Its name.
+pub struct EngineStatus {
+    /// Name of the engine.
     pub name: Name,
-    /// The role that it reported last.
+    /// The role that the engine reported last.
     pub role: Role,
-    /// Whether an operator fixed its role, or takes it out of service.
+    /// Whether an operator fixed the engine's role or is taking it out of service.
     pub fixed: bool,
-    /// Whether it was away.
+    /// Whether the engine was unavailable because of an order in progress.
     pub away: bool,
-    /// Requests there.
+    /// Number of requests at the engine.
     pub requests: u32,
-    /// How fast it is.
+    /// Speed of the engine.
     pub speed: Speed,
-    /// Age of its report.
+    /// Age of the engine's report.
     pub age: Duration,
 }
 
-/// What the planner decides on.
+/// The state on which the planner decides.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Evidence {
+pub struct PlannerInput {
     /// The service's engines that can be reached.
-    pub engines: Vec<EngineSeen>,
+    pub engines: Vec<EngineStatus>,
     /// Weight of one role change, 0 to 100.
-    pub weight: u32,
-    /// Age above which a report is no evidence.
-    pub lag: Duration,
+    pub change_weight: u32,
+    /// Age above which a report is ignored.
+    pub max_age: Duration,
     /// Whether the key-value service answers.
-    pub platform: bool,
+    pub platform_reachable: bool,
 }
 
-/// A change worth its price.
+/// A proposed role change. Gain and price are 0 under the threshold policy.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
-    /// The engine.
+pub struct RoleChange {
+    /// The engine to change.
     pub engine: Name,
-    /// The role that it should have.
+    /// The role that the engine should get.
     pub role: Role,
-    /// What it gains, in seconds of the service's whole goodput.
+    /// Gain of the change, in seconds of the service's whole goodput.
     pub gain: f64,
-    /// What it costs, in the same unit.
+    /// Price of the change, in the same unit.
     pub price: f64,
 }
 
@@ -117,49 +119,49 @@
 #[derive(Debug, Clone)]
 pub struct Planner {
     policy: Policy,
-    away: Duration,
-    fast: Mean,
-    slow: Mean,
+    downtime: Duration,
+    fast: MovingAverage,
+    slow: MovingAverage,
     pending: BTreeMap<Name, Pending>,
-    changed: BTreeMap<Name, Time>,
-    rest: Time,
+    changed_at: BTreeMap<Name, Time>,
+    paused_until: Time,
 }
 
 impl Planner {
-    /// A planner for engines that a role change takes away for `away`.
-    pub fn new(policy: Policy, away: Duration) -> Planner {
+    /// A planner for engines that are unavailable for `downtime` during a role change.
+    pub fn new(policy: Policy, downtime: Duration) -> Planner {
         Planner {
             policy,
-            away,
-            fast: Mean::new(away * FAST),
-            slow: Mean::new(away * SLOW),
+            downtime,
+            fast: MovingAverage::new(downtime * FAST_TIME_CONSTANT),
+            slow: MovingAverage::new(downtime * SLOW_TIME_CONSTANT),
             pending: BTreeMap::new(),
-            changed: BTreeMap::new(),
-            rest: Time::ZERO,
+            changed_at: BTreeMap::new(),
+            paused_until: Time::ZERO,
         }
     }
 
-    /// Notes the work asked for since the last call, by the callers of all instances.
+    /// Adds the demand since the last call, from the callers of all instances.
     pub fn observe(&mut self, now: Time, work: Demand) {
         self.fast.add(now, work);
         self.slow.add(now, work);
     }
 
-    /// Tokens a second by the fast mean.
+    /// Forecast of the demand by the fast average, in tokens per second.
     pub fn forecast(&self) -> Demand {
         self.fast.rate()
     }
 
-    /// The change to propose now, if any is worth its price.
-    pub fn plan(&mut self, now: Time, evidence: &Evidence) -> Option<Change> {
-        self.settle(now, evidence);
-        let most = evidence.engines.len().div_ceil(PER_CHANGE);
-        if now < self.rest || self.pending.len() >= most || !is_good(evidence) {
+    /// The change to propose now, if the gain of any exceeds its price.
+    pub fn plan(&mut self, now: Time, input: &PlannerInput) -> Option<RoleChange> {
+        self.update_pending(now, input);
+        let max_pending = input.engines.len().div_ceil(ENGINES_PER_CHANGE);
+        if now < self.paused_until || self.pending.len() >= max_pending || !is_usable(input) {
             return None;
         }
         let change = match self.policy {
-            Policy::Adaptive => self.worthwhile(now, evidence)?,
-            Policy::Threshold => self.over_threshold(evidence)?,
+            Policy::Adaptive => self.best_change(now, input)?,
+            Policy::Threshold => self.threshold_change(input)?,
             Policy::Fixed | Policy::LeastLoad | Policy::RoundRobin => return None,
         };
         let pending = Pending {
@@ -170,41 +172,42 @@
         Some(change)
     }
 
-    /// Drops proposals that took effect, and those that never did.
-    fn settle(&mut self, now: Time, evidence: &Evidence) {
-        let expiry = self.away * EXPIRY;
+    /// Drops proposals that took effect, and those that expired.
+    fn update_pending(&mut self, now: Time, input: &PlannerInput) {
+        let expiry = self.downtime * PROPOSAL_EXPIRY;
         let mut done = Vec::new();
         for (name, pending) in &self.pending {
-            let seen = evidence.engines.iter().find(|e| e.name == *name);
-            if seen.is_some_and(|e| e.role == pending.role && !e.away) {
+            let engine = input.engines.iter().find(|e| e.name == *name);
+            if engine.is_some_and(|e| e.role == pending.role && !e.away) {
                 done.push(name.clone());
             }
         }
         for name in done {
             self.pending.remove(&name);
-            self.changed.insert(name, now);
-            self.rest = now + self.away * REST;
+            self.changed_at.insert(name, now);
+            self.paused_until = now + self.downtime * SERVICE_COOLDOWN;
         }
         self.pending.retain(|_, p| now.since(p.since) < expiry);
-        let rest = self.away * ENGINE_REST;
-        self.changed.retain(|_, at| now.since(*at) < rest);
+        let cooldown = self.downtime * ENGINE_COOLDOWN;
+        self.changed_at.retain(|_, at| now.since(*at) < cooldown);
     }
 
-    fn worthwhile(&self, now: Time, evidence: &Evidence) -> Option<Change> {
-        let speed = mean_speed(&evidence.engines);
-        let counts = counts(&evidence.engines);
-        let before = self.worth(counts, speed);
-        let horizon = (self.away * HORIZON).as_secs_f64();
-        let mut best: Option<Change> = None;
-        for (from, to) in moves() {
-            let Some(engine) = self.candidate(now, evidence, from) else {
+    fn best_change(&self, now: Time, input: &PlannerInput) -> Option<RoleChange> {
+        let speed = mean_speed(&input.engines);
+        let counts = role_counts(&input.engines);
+        let before = self.weighted_service(counts, speed);
+        let horizon = (self.downtime * HORIZON).as_secs_f64();
+        let mut best: Option<RoleChange> = None;
+        for (from, to) in role_moves() {
+            let Some(engine) = self.candidate(now, input, from) else {
                 continue;
             };
-            let gain = horizon * (self.worth(counts.minus(from).plus(to), speed) - before);
-            let lost = before - self.worth(counts.minus(from), speed);
-            let price = lost * (self.away.as_secs_f64() + DRAIN) + horizon * least_gain(evidence.weight);
+            let gain = horizon * (self.weighted_service(counts.minus(from).plus(to), speed) - before);
+            let loss = before - self.weighted_service(counts.minus(from), speed);
+            let price = loss * (self.downtime.as_secs_f64() + DRAIN_SECONDS)
+                + horizon * min_gain(input.change_weight);
             if gain > price && best.as_ref().is_none_or(|b| gain > b.gain) {
-                best = Some(Change {
+                best = Some(RoleChange {
                     engine: engine.name.clone(),
                     role: to,
                     gain,
@@ -215,54 +218,64 @@
         best
     }
 
-    /// The part of the demand that these roles serve, now and as it was on the whole.
-    fn worth(&self, counts: Counts, speed: Speed) -> f64 {
-        NOW * served(counts, speed, self.fast.rate()) + (1.0 - NOW) * served(counts, speed, self.slow.rate())
+    /// The share of the demand that these roles serve, weighted between the fast and the slow average.
+    fn weighted_service(&self, counts: RoleCounts, speed: Speed) -> f64 {
+        FAST_AVERAGE_WEIGHT * served_share(counts, speed, self.fast.rate())
+            + (1.0 - FAST_AVERAGE_WEIGHT) * served_share(counts, speed, self.slow.rate())
     }
 
-    /// The engine of role `from` that has least to drain.
-    fn candidate<'a>(&self, now: Time, evidence: &'a Evidence, from: Role) -> Option<&'a EngineSeen> {
-        let rest = self.away * ENGINE_REST;
-        let rested = |e: &&EngineSeen| self.changed.get(&e.name).is_none_or(|at| now.since(*at) >= rest);
-        let free = evidence
+    /// The engine of role `from` that has the fewest requests to drain.
+    fn candidate<'a>(&self, now: Time, input: &'a PlannerInput, from: Role) -> Option<&'a EngineStatus> {
+        let cooldown = self.downtime * ENGINE_COOLDOWN;
+        let rested = |e: &&EngineStatus| {
+            self.changed_at
+                .get(&e.name)
+                .is_none_or(|at| now.since(*at) >= cooldown)
+        };
+        let movable = input
             .engines
             .iter()
-            .filter(|e| e.role == from && !e.fixed && !e.away && e.age <= evidence.lag)
+            .filter(|e| e.role == from && !e.fixed && !e.away && e.age <= input.max_age)
             .filter(|e| !self.pending.contains_key(&e.name));
-        free.filter(rested).min_by_key(|e| e.requests)
+        movable.filter(rested).min_by_key(|e| e.requests)
     }
 
-    /// Baseline: one pool is above a threshold, the other below another.
-    fn over_threshold(&self, evidence: &Evidence) -> Option<Change> {
-        let speed = mean_speed(&evidence.engines);
-        let counts = counts(&evidence.engines);
+    /// Baseline policy: one pool is utilized above a threshold, the other below another one.
+    fn threshold_change(&self, input: &PlannerInput) -> Option<RoleChange> {
+        let speed = mean_speed(&input.engines);
+        let counts = role_counts(&input.engines);
         let demand = self.fast.rate();
-        let use_of = |role: Role, tokens: f64, rate: f64| tokens / (rate * f64::from(counts.of(role).max(1)));
+        let utilization =
+            |role: Role, tokens: f64, rate: f64| tokens / (rate * f64::from(counts.of(role).max(1)));
         let profile = |role| crate::engine::RoleProfile::of(role, speed.slots);
-        let prefill = use_of(
+        let prefill = utilization(
             Role::Prefill,
             demand.prefill,
             profile(Role::Prefill).prompt_rate(speed),
         );
-        let decode = use_of(
+        let decode = utilization(
             Role::Decode,
             demand.decode,
             profile(Role::Decode).output_rate(speed),
         );
         let (from, to) = match (prefill, decode) {
-            (high, low) if high > THRESHOLDS.0 && low < THRESHOLDS.1 => (Role::Decode, Role::Prefill),
-            (low, high) if high > THRESHOLDS.0 && low < THRESHOLDS.1 => (Role::Prefill, Role::Decode),
+            (high, low) if high > POOL_THRESHOLDS.0 && low < POOL_THRESHOLDS.1 => {
+                (Role::Decode, Role::Prefill)
+            }
+            (low, high) if high > POOL_THRESHOLDS.0 && low < POOL_THRESHOLDS.1 => {
+                (Role::Prefill, Role::Decode)
+            }
             _ => return None,
         };
         if counts.of(from) <= 1 {
             return None;
         }
-        let engines = evidence
+        let engines = input
             .engines
             .iter()
             .filter(|e| e.role == from && !e.fixed && !e.away);
         let engine = engines.min_by_key(|e| e.requests)?;
-        Some(Change {
+        Some(RoleChange {
             engine: engine.name.clone(),
             role: to,
             gain: 0.0,
@@ -271,22 +284,23 @@
     }
 }
 
-/// Part of the goodput over the horizon that a change must gain.
-fn least_gain(weight: u32) -> f64 {
-    LEAST_GAIN + FULL_WEIGHT * f64::from(weight.min(100)) / 100.0
+/// Share of the goodput over the horizon that a change must gain.
+fn min_gain(weight: u32) -> f64 {
+    MIN_GAIN + FULL_WEIGHT_GAIN * f64::from(weight.min(100)) / 100.0
 }
 
-/// Whether the evidence may lead to a change.
+/// Whether the input is good enough to decide on a change.
 ///
-/// Failure guarded against: with late reports the planner would see roles and loads of before its last change, and
-/// change another engine for the same shift, back and forth; without the key-value service an order could not be
-/// opened, and would be carried out when the mix is long another.
-fn is_good(evidence: &Evidence) -> bool {
-    let fresh = evidence.engines.iter().filter(|e| e.age <= evidence.lag).count();
-    evidence.platform && fresh as f64 >= FRESH * evidence.engines.len() as f64
+/// Failure guarded against: with late reports the planner would see the roles and loads from before its last
+/// change, and would change another engine for the same shift in the mix, back and forth. Without the
+/// key-value service an order could not be opened, and would be carried out only when the mix has long
+/// changed again.
+fn is_usable(input: &PlannerInput) -> bool {
+    let fresh = input.engines.iter().filter(|e| e.age <= input.max_age).count();
+    input.platform_reachable && fresh as f64 >= MIN_FRESH_SHARE * input.engines.len() as f64
 }
 
-fn moves() -> [(Role, Role); 6] {
+fn role_moves() -> [(Role, Role); 6] {
     [
         (Role::Decode, Role::Prefill),
         (Role::Prefill, Role::Decode),
@@ -297,13 +311,13 @@
     ]
 }
 
-fn counts(engines: &[EngineSeen]) -> Counts {
+fn role_counts(engines: &[EngineStatus]) -> RoleCounts {
     engines
         .iter()
-        .fold(Counts::default(), |counts, engine| counts.plus(engine.role))
+        .fold(RoleCounts::default(), |counts, engine| counts.plus(engine.role))
 }
 
-fn mean_speed(engines: &[EngineSeen]) -> Speed {
+fn mean_speed(engines: &[EngineStatus]) -> Speed {
     let count = engines.len().max(1) as f64;
     Speed {
         prefill: engines.iter().map(|e| e.speed.prefill).sum::<f64>() / count,
