--- a/crates/core/src/relay/digest.rs
+++ b/crates/core/src/relay/load_message.rs
@@ -9,7 +9,7 @@
 use crate::relay::book::Work;
 use crate::relay::parts::Read;
 use crate::relay::suspects::Note;
-use crate::relay::watchers::Word;
+use crate::relay::watchers::SyncStatus;
 
 /// Peers that get each heartbeat and each message about load. In a fleet with more peers, successive messages about load
 /// go to successive groups of peers.
@@ -31,7 +31,7 @@
 
 /// Work at one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct EngineLoad {
     /// The engine's id.
     pub engine: String,
     /// Requests.
@@ -42,9 +42,9 @@
 
 /// A message about load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct LoadMessage {
     /// The sender's work, engine by engine.
-    pub shares: Vec<Share>,
+    pub shares: Vec<EngineLoad>,
     /// Engines that broke off under a request lately.
     pub notes: Vec<Note>,
     /// What the sender has had read lately.
@@ -59,15 +59,15 @@
     pub wall: u64,
 }
 
-impl Digest {
+impl LoadMessage {
     /// The message about `work`; it says nothing of the store yet.
-    pub fn new(work: BTreeMap<String, Work>, notes: Vec<Note>, reads: Vec<Read>) -> Digest {
-        let shares = work.into_iter().map(|(engine, work)| Share {
+    pub fn new(work: BTreeMap<String, Work>, notes: Vec<Note>, reads: Vec<Read>) -> LoadMessage {
+        let shares = work.into_iter().map(|(engine, work)| EngineLoad {
             engine,
             requests: work.requests,
             reading: u64::try_from(work.reading.as_micros()).unwrap_or(u64::MAX),
         });
-        Digest {
+        LoadMessage {
             shares: shares.collect(),
             notes,
             reads,
@@ -79,16 +79,16 @@
     }
 
     /// The message with the sender's clock, and how old its proof of what it knows of the store is.
-    pub fn with_clock(self, wall: u64, proof: Option<Word>) -> Digest {
-        let proof = proof.map_or(u32::MAX, Word::millis);
-        Digest { proof, wall, ..self }
+    pub fn with_clock(self, wall: u64, proof: Option<SyncStatus>) -> LoadMessage {
+        let proof = proof.map_or(u32::MAX, SyncStatus::age_millis);
+        LoadMessage { proof, wall, ..self }
     }
 
     /// The message with `part` of what it says of work and readings: the engines with most work, the latest readings.
     ///
     /// Failure guarded against: an instance with work at hundreds of engines has a message that is longer than a datagram may be,
     /// and the others hear of none of its work.
-    pub fn trim(mut self, part: f64) -> Digest {
+    pub fn trim(mut self, part: f64) -> LoadMessage {
         let keep = |count: usize| (count as f64 * part.clamp(0.0, 1.0)) as usize;
         let (shares, reads) = (keep(self.shares.len()), keep(self.reads.len()));
         self.shares
@@ -99,17 +99,17 @@
     }
 
     /// The message with what the sender knows of the store.
-    pub fn with_word(mut self, word: Option<Word>) -> Digest {
+    pub fn with_sync_status(mut self, word: Option<SyncStatus>) -> LoadMessage {
         if let Some(word) = word {
             self.revision = word.revision;
-            self.age = word.millis();
+            self.age = word.age_millis();
         }
         self
     }
 
     /// What the sender knows of the store.
-    pub fn word(&self) -> Word {
-        Word::new(self.revision, self.age)
+    pub fn sync_status(&self) -> SyncStatus {
+        SyncStatus::new(self.revision, self.age)
     }
 }
 
@@ -150,13 +150,13 @@
     /// Recipients of the message of a turn.
     pub fn recipients(&self, turn: u32) -> Vec<SocketAddr> {
         if !self.is_large_fleet() {
-            return part(&[self.same_zone, self.other_zones].concat(), turn, FANOUT);
+            return round_robin(&[self.same_zone, self.other_zones].concat(), turn, FANOUT);
         }
-        let mut chosen = part(self.busy, turn, FANOUT);
+        let mut chosen = round_robin(self.busy, turn, FANOUT);
         if is_quiet_turn(turn) {
             let round = turn / QUIET_TURNS;
-            chosen.extend(part(self.same_zone, round, LARGE_FLEET_SAME_ZONE));
-            chosen.extend(part(self.other_zones, round, LARGE_FLEET_OTHER_ZONES));
+            chosen.extend(round_robin(self.same_zone, round, LARGE_FLEET_SAME_ZONE));
+            chosen.extend(round_robin(self.other_zones, round, LARGE_FLEET_OTHER_ZONES));
         }
         chosen
     }
@@ -172,7 +172,7 @@
 }
 
 /// The peers that are told in a turn: `most` of them, and with each turn the next ones, round and round.
-pub fn part(peers: &[SocketAddr], turn: u32, most: usize) -> Vec<SocketAddr> {
+pub fn round_robin(peers: &[SocketAddr], turn: u32, most: usize) -> Vec<SocketAddr> {
     let first = (turn as usize).wrapping_mul(most).checked_rem(peers.len());
     let next = peers.iter().cycle().skip(first.unwrap_or_default());
     next.take(most.min(peers.len())).copied().collect()
--- a/crates/core/src/relay/mod.rs
+++ b/crates/core/src/relay/mod.rs
@@ -8,11 +8,11 @@
 pub mod book;
 pub mod budget;
 pub mod by_engine;
-pub mod digest;
 pub mod directory;
 pub mod engines;
 pub mod hash;
 pub mod lead;
+pub mod load_message;
 pub mod pace;
 pub mod parts;
 pub mod place;
--- a/crates/core/src/relay/watchers.rs
+++ b/crates/core/src/relay/watchers.rs
@@ -12,47 +12,50 @@
 use crate::time::Time;
 
 /// Instances per watcher: answering their questions takes a small part of a watcher's time.
-const EACH: usize = 32;
+const INSTANCES_PER_WATCHER: usize = 32;
 
 /// Minimum number of watchers in a fleet: the loss of one may go unnoticed.
-const LEAST: usize = 2;
+const MIN_WATCHERS: usize = 2;
 
 /// Part of the time within which a change must be in force for which a watch waits: one that falls silent is found out by
 /// its deadline with time left to read everything.
-const WAIT: f64 = 0.5;
+const WATCH_FRACTION: f64 = 0.5;
 
 /// Part of it after which an instance that heard nothing watches by itself: longer than a watch waits, so that nobody
 /// calls the store while the watchers are well, and with time left for the answer.
-const PATIENCE: f64 = 0.7;
+const FALLBACK_FRACTION: f64 = 0.7;
 
 /// Part of it over which the instances spread that call: the first one to ask spares the others theirs.
-const SPREAD: f64 = 0.1;
+const SPREAD_FRACTION: f64 = 0.1;
 
 /// A store can't be watched so closely that a change is in force sooner.
-const SOONEST: Duration = Duration::from_millis(500);
+const MIN_APPLY_LIMIT: Duration = Duration::from_millis(500);
 
 /// Stores let a watch wait for some thirty seconds, and it waits for half of this.
-const LATEST: Duration = Duration::from_secs(20);
+const MAX_APPLY_LIMIT: Duration = Duration::from_secs(20);
 
 /// An instance that did not run for so long has messages waiting that are as old.
-const ASLEEP: Duration = Duration::from_millis(500);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// How long it believes no message after that: what waited is read at once.
-const BACKLOG: Duration = Duration::from_millis(200);
+const BACKLOG_TIME: Duration = Duration::from_millis(200);
 
 /// Part of the longest age of a proof from which on an instance asks its peers for a newer one: older than what a watch
 /// shows in its ordinary course, so that watchers needn't ask.
-const ASK: f64 = 0.4;
+const ASK_WATCHERS_FRACTION: f64 = 0.4;
 
 /// Part of it from which on the first instance of each zone is asked as well as the watchers.
-const ASK_ALL: f64 = 0.55;
+const ASK_ALL_FRACTION: f64 = 0.55;
 
 /// Part of it from which on an instance asks the store itself; the instances spread these calls over [`SPREAD`].
-const PROVE: f64 = 0.75;
+const ASK_STORE_FRACTION: f64 = 0.75;
 
 /// The number of watchers in a fleet of `members` instances.
-pub fn count(members: usize) -> usize {
-    members.div_ceil(EACH).max(LEAST).min(members)
+pub fn watcher_count(members: usize) -> usize {
+    members
+        .div_ceil(INSTANCES_PER_WATCHER)
+        .max(MIN_WATCHERS)
+        .min(members)
 }
 
 /// An instance that may watch.
@@ -90,25 +93,25 @@
 
 /// The rank of an instance among those that it hears, itself included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seat {
+pub struct FleetRank {
     /// How many come before it.
     pub rank: usize,
     /// How many there are.
     pub members: usize,
 }
 
-impl Default for Seat {
+impl Default for FleetRank {
     /// An instance that hears nobody.
-    fn default() -> Seat {
-        Seat { rank: 0, members: 1 }
+    fn default() -> FleetRank {
+        FleetRank { rank: 0, members: 1 }
     }
 }
 
-impl Seat {
+impl FleetRank {
     /// The seat of the instance `name` among `ranked`, which is in the order of [`rank_candidates`].
-    pub fn among(ranked: &[Candidate<'_>], name: &str) -> Seat {
+    pub fn among(ranked: &[Candidate<'_>], name: &str) -> FleetRank {
         let rank = ranked.iter().position(|c| c.name == name);
-        Seat {
+        FleetRank {
             rank: rank.unwrap_or_default(),
             members: ranked.len().max(1),
         }
@@ -116,36 +119,36 @@
 
     /// Whether it watches for the others.
     pub fn is_watcher(self) -> bool {
-        self.rank < count(self.members)
+        self.rank < watcher_count(self.members)
     }
 }
 
 /// The times that follow from how soon a change must be in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bound(pub Duration);
+pub struct ApplyLimit(pub Duration);
 
-impl Bound {
+impl ApplyLimit {
     /// The times by which a change is in force within `time`, as far as a watch can do that.
-    pub fn within(time: Duration) -> Bound {
-        Bound(time.clamp(SOONEST, LATEST))
+    pub fn within(time: Duration) -> ApplyLimit {
+        ApplyLimit(time.clamp(MIN_APPLY_LIMIT, MAX_APPLY_LIMIT))
     }
 
     /// How long a watch waits.
-    pub fn wait(self) -> Duration {
-        self.0.mul_f64(WAIT)
+    pub fn watch_timeout(self) -> Duration {
+        self.0.mul_f64(WATCH_FRACTION)
     }
 
     /// How old what an instance knows may be until it watches by itself.
-    pub fn patience(self, seat: Seat) -> Duration {
+    pub fn fallback_age(self, seat: FleetRank) -> Duration {
         let turn = seat.rank as f64 / seat.members.max(1) as f64;
-        self.0.mul_f64(PATIENCE + SPREAD * turn)
+        self.0.mul_f64(FALLBACK_FRACTION + SPREAD_FRACTION * turn)
     }
 }
 
 /// Which of the peers that know the store furthest beyond `revision` is asked, by their revisions and a draw.
 ///
 /// Failure guarded against: all that listen ask the same one, and on a small link the last gets its answer after a second.
-pub fn furthest(known: &[u64], revision: u64, draw: usize) -> Option<usize> {
+pub fn most_advanced(known: &[u64], revision: u64, draw: usize) -> Option<usize> {
     let most = known.iter().copied().max().filter(|most| *most > revision)?;
     let ahead: Vec<usize> = (0..known.len()).filter(|peer| known[*peer] == most).collect();
     ahead.get(draw % ahead.len()).copied()
@@ -153,29 +156,29 @@
 
 /// What a peer says of its knowledge of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct SyncStatus {
     /// Up to which revision it knows the store.
     pub revision: u64,
     /// How long ago the store had nothing beyond that.
     pub age: Duration,
 }
 
-impl Word {
+impl SyncStatus {
     /// The word as messages carry it: its age in milliseconds.
-    pub fn new(revision: u64, millis: u32) -> Word {
+    pub fn new(revision: u64, millis: u32) -> SyncStatus {
         let age = Duration::from_millis(u64::from(millis));
-        Word { revision, age }
+        SyncStatus { revision, age }
     }
 
     /// Its age in milliseconds, the longest that messages carry if it is longer.
-    pub fn millis(self) -> u32 {
+    pub fn age_millis(self) -> u32 {
         u32::try_from(self.age.as_millis()).unwrap_or(u32::MAX)
     }
 }
 
 /// What an instance is to do now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Duty {
+pub enum WatchAction {
     /// Watch the store.
     Watch,
     /// Listen to the peers until then.
@@ -184,20 +187,20 @@
 
 /// How far this instance knows the store, and since when that is all there is.
 #[derive(Debug, Clone, Default)]
-pub struct Reach {
+pub struct SyncState {
     revision: u64,
     confirmed: Option<Time>,
     /// The last time at which this instance ran.
-    latest: Option<Time>,
+    last_tick: Option<Time>,
     /// When it last ran again after a pause.
-    woken: Option<Time>,
+    resumed: Option<Time>,
     /// Everything up to then was taken in, by proof.
     proven: Option<Time>,
 }
 
 /// Whom an instance asks for a newer proof.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum ProofPeers {
     /// Nobody: its own is new.
     Nobody,
     /// The watchers.
@@ -211,14 +214,14 @@
 ///
 /// Failure guarded against: an answer is held up on its way for seconds. One that came because something happened may have
 /// left at once; one that came because the wait was over left when it was over.
-pub fn proof(now: Time, sent: Time, wait: Duration, is_quiet: bool) -> Time {
+pub fn proven_until(now: Time, sent: Time, wait: Duration, is_quiet: bool) -> Time {
     match is_quiet && now >= sent + wait {
         true => sent + wait,
         false => sent,
     }
 }
 
-impl Reach {
+impl SyncState {
     /// Up to which revision everything was taken in.
     pub fn revision(&self) -> u64 {
         self.revision
@@ -233,7 +236,7 @@
     ///
     /// Failure guarded against: an instance is paused while its watch waits, and when it goes on takes an answer from
     /// before for one of now. The store has answered when the wait was over at the latest.
-    pub fn on_answer(&mut self, now: Time, sent: Time, wait: Duration, revision: u64) {
+    pub fn on_store_answer(&mut self, now: Time, sent: Time, wait: Duration, revision: u64) {
         self.revision = self.revision.max(revision);
         let answered = now.min(sent + wait);
         self.confirmed = self.confirmed.max(Some(answered));
@@ -251,7 +254,7 @@
     }
 
     /// Takes what a peer answered to a question that left at `asked`; whether the peer knows more.
-    pub fn on_peer_proof(&mut self, asked: Time, word: Word) -> bool {
+    pub fn on_peer_proof(&mut self, asked: Time, word: SyncStatus) -> bool {
         if word.revision > self.revision {
             return true;
         }
@@ -262,38 +265,38 @@
     }
 
     /// What it answers to a peer that asks for a proof.
-    pub fn proof_word(&self, now: Time) -> Option<Word> {
+    pub fn proof_status(&self, now: Time) -> Option<SyncStatus> {
         let (revision, age) = (self.revision, self.proof_age(now)?);
-        Some(Word { revision, age })
+        Some(SyncStatus { revision, age })
     }
 
     /// Whom to ask for a newer proof, if one may be `limit` old.
-    pub fn asks(&self, limit: Duration, now: Time) -> Asked {
+    pub fn proof_peers(&self, limit: Duration, now: Time) -> ProofPeers {
         match self.proof_age(now) {
-            Some(age) if age < limit.mul_f64(ASK) => Asked::Nobody,
-            Some(age) if age < limit.mul_f64(ASK_ALL) => Asked::Watchers,
-            _ => Asked::All,
+            Some(age) if age < limit.mul_f64(ASK_WATCHERS_FRACTION) => ProofPeers::Nobody,
+            Some(age) if age < limit.mul_f64(ASK_ALL_FRACTION) => ProofPeers::Watchers,
+            _ => ProofPeers::All,
         }
     }
 
     /// When to ask the store itself for a proof that may be `limit` old: peers have given none in time.
-    pub fn prove_at(&self, seat: Seat, limit: Duration) -> Time {
+    pub fn store_proof_due(&self, seat: FleetRank, limit: Duration) -> Time {
         let turn = seat.rank as f64 / seat.members.max(1) as f64;
-        self.proven.unwrap_or(Time::ZERO) + limit.mul_f64(PROVE + SPREAD * turn)
+        self.proven.unwrap_or(Time::ZERO) + limit.mul_f64(ASK_STORE_FRACTION + SPREAD_FRACTION * turn)
     }
 
     /// Takes in what a peer had: everything up to its word.
-    pub fn on_news(&mut self, now: Time, word: Word) {
+    pub fn on_peer_changes(&mut self, now: Time, word: SyncStatus) {
         self.revision = self.revision.max(word.revision);
-        self.on_word(now, word);
+        self.on_peer_status(now, word);
     }
 
     /// Takes what a peer says; whether the peer knows more.
-    pub fn on_word(&mut self, now: Time, word: Word) -> bool {
+    pub fn on_peer_status(&mut self, now: Time, word: SyncStatus) -> bool {
         if word.revision > self.revision {
             return true;
         }
-        let is_backlog = self.woken.is_some_and(|at| now.since(at) < BACKLOG);
+        let is_backlog = self.resumed.is_some_and(|at| now.since(at) < BACKLOG_TIME);
         if !is_backlog && now.since(Time::ZERO) >= word.age {
             self.confirmed = self.confirmed.max(Some(now - word.age));
         }
@@ -304,27 +307,27 @@
     ///
     /// Failure guarded against: an instance is paused, and the messages that came meanwhile pass for ones of now.
     pub fn on_tick(&mut self, now: Time) {
-        let latest = self.latest.replace(now);
-        if latest.is_some_and(|at| now.since(at) > ASLEEP) {
-            self.woken = Some(now);
+        let latest = self.last_tick.replace(now);
+        if latest.is_some_and(|at| now.since(at) > PAUSE_THRESHOLD) {
+            self.resumed = Some(now);
         }
     }
 
     /// What it tells its peers; nothing before the store has confirmed anything.
-    pub fn word(&self, now: Time) -> Option<Word> {
+    pub fn sync_status(&self, now: Time) -> Option<SyncStatus> {
         let (revision, age) = (self.revision, self.age(now)?);
-        Some(Word { revision, age })
+        Some(SyncStatus { revision, age })
     }
 
     /// Whether to watch, or to listen until what it knows is too old.
-    pub fn duty(&self, seat: Seat, bound: Bound, now: Time) -> Duty {
+    pub fn watch_action(&self, seat: FleetRank, bound: ApplyLimit, now: Time) -> WatchAction {
         let Some(confirmed) = self.confirmed else {
-            return Duty::Watch;
+            return WatchAction::Watch;
         };
-        let until = confirmed + bound.patience(seat);
+        let until = confirmed + bound.fallback_age(seat);
         match seat.is_watcher() || now >= until {
-            true => Duty::Watch,
-            false => Duty::Listen(until),
+            true => WatchAction::Watch,
+            false => WatchAction::Listen(until),
         }
     }
 }
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -16,7 +16,7 @@
 use sequoiastream_core::poison::Ask;
 use sequoiastream_core::poison::Fingerprint;
 use sequoiastream_core::poison::Note;
-use sequoiastream_core::relay::digest::Digest;
+use sequoiastream_core::relay::load_message::LoadMessage;
 use sequoiastream_core::relay::usage::Told;
 use sequoiastream_core::time::WallTime;
 use serde::Deserialize;
@@ -30,7 +30,7 @@
     /// A heartbeat.
     Beat(Beat),
     /// The sender's work at the engines.
-    Load(Digest),
+    Load(LoadMessage),
     /// Asks, under this number, for a proof of what the peer knows of the store.
     Prove(u64),
     /// Answers that question.
--- a/src/ops/relay/follow/listen.rs
+++ b/src/ops/relay/follow/listen.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sequoiastream_core::log_event;
-use sequoiastream_core::relay::watchers::Word;
+use sequoiastream_core::relay::watchers::SyncStatus;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Change;
 use sequoiastream_kv::store::Item;
@@ -64,7 +64,7 @@
     /// Takes all that a peer knows of the store.
     fn on_state(&mut self, told: StorePage) {
         self.doubt();
-        let word = Word::new(told.revision, told.age);
+        let word = SyncStatus::new(told.revision, told.age);
         let items: Vec<Item> = told.items.into_iter().map(known::item).collect();
         self.on_all(word.revision, &items);
         self.known.on_news(clock::now(), word);
@@ -100,7 +100,7 @@
         changes.sort_by_key(revision);
         self.on_changes(changes);
         self.known
-            .on_news(clock::now(), Word::new(told.revision, told.age));
+            .on_news(clock::now(), SyncStatus::new(told.revision, told.age));
         self.complete = true;
         true
     }
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -3,7 +3,7 @@
 //! One watch covers both. It is resumed from the revision of its last answer. Failures guarded against: history that
 //! is no longer kept, a watch that was cut, and one that stays silent on a connection that looks alive. Each ends in
 //! a read of everything, which asks the store itself, not a copy that lags. The longest silence of a watch that
-//! is not noticed is [`Bound::wait`](sequoiastream_core::relay::watchers::Bound::wait) and [`ANSWER`].
+//! is not noticed is [`ApplyLimit::watch_timeout`](sequoiastream_core::relay::watchers::ApplyLimit::watch_timeout) and [`ANSWER`].
 //!
 //! Only a few instances watch, see [`watchers`](sequoiastream_core::relay::watchers): the others listen to their peers and
 //! ask one that knows more.
@@ -25,9 +25,9 @@
 use sequoiastream_core::relay::lead::Record;
 use sequoiastream_core::relay::routes::Table;
 use sequoiastream_core::relay::watchers;
-use sequoiastream_core::relay::watchers::Bound;
-use sequoiastream_core::relay::watchers::Duty;
-use sequoiastream_core::relay::watchers::Word;
+use sequoiastream_core::relay::watchers::ApplyLimit;
+use sequoiastream_core::relay::watchers::SyncStatus;
+use sequoiastream_core::relay::watchers::WatchAction;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Change;
 use sequoiastream_kv::store::Changes;
@@ -130,7 +130,7 @@
 /// How long a watcher waits after changes before it watches again.
 ///
 /// Guards against each of the frequent updates of engine entries ending the watch of every watcher.
-fn watcher_rest(bound: Bound) -> Duration {
+fn watcher_rest(bound: ApplyLimit) -> Duration {
     let rest = bound.0.mul_f64(rand::rng().random_range(GATHER));
     rest.min(LONGEST_WATCHER_REST)
 }
@@ -180,13 +180,15 @@
             .proof_limit()
             .map(|limit| self.known.prove_at(self.fleet.seat(), limit));
         let asked = match (duty, prove) {
-            (Duty::Listen(_), Some(at)) if now >= at && self.complete => self.prove().await,
-            (Duty::Listen(until), at) => return self.listen(at.map_or(until, |at| until.min(at))).await,
-            (Duty::Watch, _) if self.complete => {
+            (WatchAction::Listen(_), Some(at)) if now >= at && self.complete => self.prove().await,
+            (WatchAction::Listen(until), at) => {
+                return self.listen(at.map_or(until, |at| until.min(at))).await;
+            }
+            (WatchAction::Watch, _) if self.complete => {
                 self.log_unconfirmed(now);
                 self.watch(self.known.revision()).await
             }
-            (Duty::Watch, _) => self.read().await,
+            (WatchAction::Watch, _) => self.read().await,
         };
         self.on_result(asked).await;
     }
@@ -205,7 +207,7 @@
         if self.fleet.seat().is_watcher() {
             return;
         }
-        let age = self.known.word(now).map(Word::millis);
+        let age = self.known.word(now).map(SyncStatus::age_millis);
         log_event!(
             info,
             log_event::UNCONFIRMED,
@@ -256,7 +258,7 @@
         let pause = std::mem::take(&mut self.rest);
         self.pass(pause).await;
         // A watch that falls silent is found out as soon as without the rest.
-        let wait = self.shared.tuning().bound.wait().saturating_sub(pause);
+        let wait = self.shared.tuning().bound.watch_timeout().saturating_sub(pause);
         let watch = self.store.clone();
         let sent = clock::now();
         let mut watch = watch.watch(ALL, revision, wait);
@@ -281,7 +283,8 @@
             self.rest = watcher_rest(self.shared.tuning().bound);
         }
         self.known.on_answer(now, sent, wait, revision);
-        self.known.on_proof(watchers::proof(now, sent, wait, is_quiet));
+        self.known
+            .on_proof(watchers::proven_until(now, sent, wait, is_quiet));
         Ok(())
     }
 
@@ -292,7 +295,8 @@
         let revision = changes.revision.max(since);
         self.on_changes(changes.changes);
         if !is_complete {
-            self.known.on_news(clock::now(), Word::new(revision, u32::MAX));
+            self.known
+                .on_news(clock::now(), SyncStatus::new(revision, u32::MAX));
         }
         is_complete.then_some(revision)
     }
--- a/src/ops/relay/known.rs
+++ b/src/ops/relay/known.rs
@@ -13,11 +13,11 @@
 
 use bytes::Bytes;
 use sequoiastream_core::relay::watchers;
-use sequoiastream_core::relay::watchers::Asked;
-use sequoiastream_core::relay::watchers::Duty;
-use sequoiastream_core::relay::watchers::Reach;
-use sequoiastream_core::relay::watchers::Seat;
-use sequoiastream_core::relay::watchers::Word;
+use sequoiastream_core::relay::watchers::FleetRank;
+use sequoiastream_core::relay::watchers::ProofPeers;
+use sequoiastream_core::relay::watchers::SyncState;
+use sequoiastream_core::relay::watchers::SyncStatus;
+use sequoiastream_core::relay::watchers::WatchAction;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Change;
 use sequoiastream_kv::store::Item;
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    reach: Reach,
+    reach: SyncState,
     items: BTreeMap<String, Item>,
     /// Keys of `items`, by revision. Finds the changes after a revision without a full scan.
     revisions: BTreeSet<(u64, String)>,
@@ -66,13 +66,13 @@
     }
 
     /// Whether to watch the store or to listen to the peers.
-    pub fn duty(&self, seat: Seat, bound: watchers::Bound, now: Time) -> Duty {
-        self.0.borrow().reach.duty(seat, bound, now)
+    pub fn duty(&self, seat: FleetRank, bound: watchers::ApplyLimit, now: Time) -> WatchAction {
+        self.0.borrow().reach.watch_action(seat, bound, now)
     }
 
     /// What the peers are told of it.
-    pub fn word(&self, now: Time) -> Option<Word> {
-        self.0.borrow().reach.word(now)
+    pub fn word(&self, now: Time) -> Option<SyncStatus> {
+        self.0.borrow().reach.sync_status(now)
     }
 
     /// When the store last confirmed it.
@@ -81,8 +81,8 @@
     }
 
     /// Takes the word of a peer; whether the peer knows more.
-    pub fn on_word(&self, now: Time, word: Word) -> bool {
-        self.0.borrow_mut().reach.on_word(now, word)
+    pub fn on_word(&self, now: Time, word: SyncStatus) -> bool {
+        self.0.borrow_mut().reach.on_peer_status(now, word)
     }
 
     /// Notes that this instance runs.
@@ -128,9 +128,12 @@
         }
     }
 
-    /// Notes that the store's answer was taken in, see [`Reach::on_answer`].
+    /// Notes that the store's answer was taken in, see [`SyncState::on_store_answer`].
     pub fn on_answer(&self, now: Time, sent: Time, wait: Duration, revision: u64) {
-        self.0.borrow_mut().reach.on_answer(now, sent, wait, revision);
+        self.0
+            .borrow_mut()
+            .reach
+            .on_store_answer(now, sent, wait, revision);
     }
 
     /// Notes what an answer of the store, or a watch that ended quietly, proves.
@@ -139,7 +142,7 @@
     }
 
     /// Takes what a peer answered to a question that left at `asked`; whether the peer knows more.
-    pub fn on_peer_proof(&self, asked: Time, word: Word) -> bool {
+    pub fn on_peer_proof(&self, asked: Time, word: SyncStatus) -> bool {
         self.0.borrow_mut().reach.on_peer_proof(asked, word)
     }
 
@@ -149,23 +152,23 @@
     }
 
     /// What a peer that asks for a proof is answered.
-    pub fn proof_word(&self, now: Time) -> Option<Word> {
-        self.0.borrow().reach.proof_word(now)
+    pub fn proof_word(&self, now: Time) -> Option<SyncStatus> {
+        self.0.borrow().reach.proof_status(now)
     }
 
     /// Whom to ask for a newer proof.
-    pub fn asks(&self, limit: Duration, now: Time) -> Asked {
-        self.0.borrow().reach.asks(limit, now)
+    pub fn asks(&self, limit: Duration, now: Time) -> ProofPeers {
+        self.0.borrow().reach.proof_peers(limit, now)
     }
 
     /// When to ask the store itself for a proof.
-    pub fn prove_at(&self, seat: Seat, limit: Duration) -> Time {
-        self.0.borrow().reach.prove_at(seat, limit)
+    pub fn prove_at(&self, seat: FleetRank, limit: Duration) -> Time {
+        self.0.borrow().reach.store_proof_due(seat, limit)
     }
 
     /// Notes that what a peer had was taken in.
-    pub fn on_news(&self, now: Time, word: Word) {
-        self.0.borrow_mut().reach.on_news(now, word);
+    pub fn on_news(&self, now: Time, word: SyncStatus) {
+        self.0.borrow_mut().reach.on_peer_changes(now, word);
     }
 
     /// The item under a key, if it is known.
@@ -247,7 +250,9 @@
 impl State {
     /// The age as messages carry it; the longest if the store never confirmed anything.
     fn age(&self, now: Time) -> u32 {
-        self.reach.word(now).map_or(u32::MAX, Word::millis)
+        self.reach
+            .sync_status(now)
+            .map_or(u32::MAX, SyncStatus::age_millis)
     }
 
     fn insert(&mut self, item: Item) {
--- a/src/ops/relay/options.rs
+++ b/src/ops/relay/options.rs
@@ -5,7 +5,7 @@
 
 use sequoiastream_core::name::Name;
 use sequoiastream_core::relay::budget::Rule;
-use sequoiastream_core::relay::watchers::Bound;
+use sequoiastream_core::relay::watchers::ApplyLimit;
 use sequoiastream_core::relay::workspaces::KeyAges;
 
 /// How long callers are told to keep an answer about addresses. Some keep it three times as long: that must pass
@@ -83,7 +83,7 @@
     /// Part of a service's model engines that read prompts for the others, 0 to 1.
     pub readers: f64,
     /// Within which time a change of the store must be in force here.
-    pub bound: Bound,
+    pub bound: ApplyLimit,
     /// How old what is known of callers' keys may be.
     pub keys: KeyAges,
     /// How long an engine must be gone until the record of its order is removed, and how long an instance must not be
--- a/src/ops/relay/peers/ask.rs
+++ b/src/ops/relay/peers/ask.rs
@@ -6,7 +6,7 @@
 use sequoiastream_core::log_event;
 use sequoiastream_core::membership::Peer;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::relay::watchers::furthest;
+use sequoiastream_core::relay::watchers::most_advanced;
 use sequoiastream_core::time::Time;
 use sequoiastream_peer::message::Request;
 use sequoiastream_peer::message::Response;
@@ -46,7 +46,7 @@
         let known = |peer: &&Peer| ahead.get(&peer.name).copied().unwrap_or_default();
         let choose = |peers: Vec<&Peer>| {
             let known: Vec<u64> = peers.iter().map(known).collect();
-            let asked = peers[furthest(&known, revision, rand::random::<u32>() as usize)?];
+            let asked = peers[most_advanced(&known, revision, rand::random::<u32>() as usize)?];
             Some((asked.name.clone(), asked.peer))
         };
         choose(heard(true)).or_else(|| choose(heard(false)).filter(|_| other_zones))
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -26,12 +26,12 @@
 use sequoiastream_core::membership::Myself;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::relay::book::Work;
-use sequoiastream_core::relay::digest;
-use sequoiastream_core::relay::digest::Digest;
-use sequoiastream_core::relay::digest::FANOUT;
-use sequoiastream_core::relay::digest::LoadPeers;
 use sequoiastream_core::relay::engines::EngineKey;
-use sequoiastream_core::relay::watchers::Seat;
+use sequoiastream_core::relay::load_message;
+use sequoiastream_core::relay::load_message::FANOUT;
+use sequoiastream_core::relay::load_message::LoadMessage;
+use sequoiastream_core::relay::load_message::LoadPeers;
+use sequoiastream_core::relay::watchers::FleetRank;
 use sequoiastream_core::time::Time;
 use sequoiastream_peer::PeerError;
 use sequoiastream_peer::call;
@@ -180,7 +180,7 @@
     tallies: Tallies,
     started: Time,
     /// Rank of this instance among those that it hears.
-    seat: Cell<Seat>,
+    seat: Cell<FleetRank>,
     /// Wakes whoever listens to the peers instead of the store: one knows more, or the seat changed.
     news: Notify,
 }
@@ -366,7 +366,7 @@
     }
 
     /// Rank of this instance among those that it hears.
-    pub fn seat(&self) -> Seat {
+    pub fn seat(&self) -> FleetRank {
         self.0.seat.get()
     }
 
@@ -375,12 +375,12 @@
         self.0.news.notified().await;
     }
 
-    fn on_load(&self, name: &Name, digest: Digest) {
+    fn on_load(&self, name: &Name, digest: LoadMessage) {
         let now = clock::now();
         self.0.ahead.borrow_mut().insert(name.clone(), digest.revision);
         self.0.proofs.on_told(now, name, digest.proof);
         self.on_clock(now, name, digest.wall);
-        if self.0.known.on_word(now, digest.word()) {
+        if self.0.known.on_word(now, digest.sync_status()) {
             self.0.news.notify_one();
         }
         if self.is_large()
@@ -417,7 +417,7 @@
     /// Whether there are too many peers to tell all of them about load in time.
     fn is_large(&self) -> bool {
         let peers = self.0.heard.borrow().iter().map(Vec::len).sum();
-        digest::is_large_fleet(peers)
+        load_message::is_large_fleet(peers)
     }
 
     /// Recipients of this turn's message about load, and the number of turns in which messages reach all recipients.
@@ -452,14 +452,14 @@
             (ledger.book.all(), ledger.suspects.notes(now), reads)
         };
         let quiet = all.is_empty() && notes.is_empty() && reads.is_empty();
-        if self.0.quiet.replace(quiet) && quiet && !digest::is_quiet_turn(turn) {
+        if self.0.quiet.replace(quiet) && quiet && !load_message::is_quiet_turn(turn) {
             return;
         }
         let ids = self.0.shared.view.load().ids().clone();
         let work = all
             .into_iter()
             .filter_map(|(key, work)| Some((ids.get(&key)?.clone(), work)));
-        let digest = Digest::new(work.collect(), notes, reads).with_word(self.0.known.word(now));
+        let digest = LoadMessage::new(work.collect(), notes, reads).with_sync_status(self.0.known.word(now));
         let mut digest = digest.with_clock(clock::wall_micros(), self.0.known.proof_word(now));
         for peer in peers {
             let mut sent = self.0.socket.send(peer, Datagram::Load(digest.clone())).await;
--- a/src/ops/relay/peers/prove.rs
+++ b/src/ops/relay/peers/prove.rs
@@ -13,8 +13,8 @@
 
 use sequoiastream_core::log_event;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::relay::watchers::Asked;
-use sequoiastream_core::relay::watchers::Word;
+use sequoiastream_core::relay::watchers::ProofPeers;
+use sequoiastream_core::relay::watchers::SyncStatus;
 use sequoiastream_core::time::Time;
 use sequoiastream_peer::message::Datagram;
 use sequoiastream_peer::message::StoreProof;
@@ -109,9 +109,9 @@
             return;
         }
         let peers: BTreeSet<SocketAddr> = match known.asks(limit, now) {
-            Asked::Nobody => return,
-            Asked::Watchers => proofs.watchers.borrow().iter().copied().collect(),
-            Asked::All => proofs.all(),
+            ProofPeers::Nobody => return,
+            ProofPeers::Watchers => proofs.watchers.borrow().iter().copied().collect(),
+            ProofPeers::All => proofs.all(),
         };
         let number = proofs.ask(now);
         for peer in peers {
@@ -142,7 +142,7 @@
                 question,
                 revision: word.revision,
                 // Rounded up: the age must not seem shorter than it is.
-                age: word.millis().saturating_add(1),
+                age: word.age_millis().saturating_add(1),
             };
             self.send(peer, Datagram::Proof(proof));
         }
@@ -156,7 +156,7 @@
         if self
             .0
             .known
-            .on_peer_proof(sent, Word::new(proof.revision, proof.age))
+            .on_peer_proof(sent, SyncStatus::new(proof.revision, proof.age))
         {
             self.0.news.notify_one();
         }
--- a/src/ops/relay/peers/roster.rs
+++ b/src/ops/relay/peers/roster.rs
@@ -13,7 +13,7 @@
 use sequoiastream_core::relay::directory::Entrance;
 use sequoiastream_core::relay::watchers;
 use sequoiastream_core::relay::watchers::Candidate;
-use sequoiastream_core::relay::watchers::Seat;
+use sequoiastream_core::relay::watchers::FleetRank;
 
 use crate::log_event;
 use crate::ops::relay::peers::Fleet;
@@ -105,7 +105,7 @@
         let own = candidate(&listed, &options.name, &options.zone);
         let ranked = watchers::rank_candidates(others.chain([own]).collect());
         let zones: BTreeSet<&str> = ranked.iter().map(|c| c.zone).collect();
-        let watcher_count = watchers::count(ranked.len());
+        let watcher_count = watchers::watcher_count(ranked.len());
         let addresses: BTreeMap<&str, SocketAddr> =
             present.iter().map(|p| (p.name.as_str(), p.peer)).collect();
         let top_addresses = |count: usize| {
@@ -116,10 +116,10 @@
         };
         *self.0.proofs.watchers.borrow_mut() = top_addresses(watcher_count).collect();
         *self.0.proofs.zone_peers.borrow_mut() = top_addresses(zones.len()).collect();
-        self.update_seat(Seat::among(&ranked, options.name.as_str()));
+        self.update_seat(FleetRank::among(&ranked, options.name.as_str()));
     }
 
-    fn update_seat(&self, seat: Seat) {
+    fn update_seat(&self, seat: FleetRank) {
         let watches = seat.is_watcher();
         self.0.shared.metrics.watcher.set(i64::from(watches));
         let former = self.0.seat.replace(seat);
--- a/src/ops/relay/pick.rs
+++ b/src/ops/relay/pick.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use sequoiastream_core::relay::book::Ticket;
-use sequoiastream_core::relay::digest::turns;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::Stage;
+use sequoiastream_core::relay::load_message::turns;
 use sequoiastream_core::relay::pace::Load;
 use sequoiastream_core::relay::place::Chooser;
 use sequoiastream_core::relay::place::Reading;
--- a/tests/testsuite/relay/digest.rs
+++ b/tests/testsuite/relay/digest.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use sequoiastream_core::relay::book::Work;
-use sequoiastream_core::relay::digest::Digest;
-use sequoiastream_core::relay::digest::LoadPeers;
-use sequoiastream_core::relay::digest::part;
+use sequoiastream_core::relay::load_message::LoadMessage;
+use sequoiastream_core::relay::load_message::LoadPeers;
+use sequoiastream_core::relay::load_message::round_robin;
 use sequoiastream_core::relay::parts::Read;
 use sequoiastream_peer::datagram::MAX_DATAGRAM;
 
@@ -21,11 +21,11 @@
 #[test]
 fn part_all_of_few() {
     for turn in 0..5 {
-        let mut told = part(&peers(7), turn, 16);
+        let mut told = round_robin(&peers(7), turn, 16);
         told.sort();
         assert_eq!(told, peers(7));
     }
-    assert_eq!(part(&[], 3, 16), Vec::new());
+    assert_eq!(round_robin(&[], 3, 16), Vec::new());
 }
 
 /// In a large fleet most instances never hear of the others' load. Cause: the first so many by name are told.
@@ -34,7 +34,7 @@
     let peers = peers(349);
     let mut told: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for turn in 0..349 {
-        part(&peers, turn, 16)
+        round_robin(&peers, turn, 16)
             .into_iter()
             .for_each(|peer| *told.entry(peer).or_default() += 1);
     }
@@ -91,7 +91,7 @@
         part,
         tokens: 1,
     });
-    let digest = Digest::new(all.collect(), Vec::new(), reads.collect());
+    let digest = LoadMessage::new(all.collect(), Vec::new(), reads.collect());
     let whole = postcard::to_allocvec(&digest).expect("written").len();
     assert!(whole > MAX_DATAGRAM, "{whole}");
     let cut = digest.trim(MAX_DATAGRAM as f64 / whole as f64 * 0.8);
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -15,7 +15,7 @@
 use sequoiastream::ops::relay::shared::Shared;
 use sequoiastream::util::clock;
 use sequoiastream_core::relay::engines::EngineKey;
-use sequoiastream_core::relay::watchers::Bound;
+use sequoiastream_core::relay::watchers::ApplyLimit;
 
 use super::instance::options;
 use super::instance::shared;
@@ -42,7 +42,7 @@
 async fn listener(served: &FakeStore, own: &FakeStore, bound: Duration) -> [(Arc<Shared>, Fleet); 3] {
     let named = |name: &str| {
         let mut options = options();
-        options.tuning.bound = Bound(bound);
+        options.tuning.bound = ApplyLimit(bound);
         options.name = name.parse().expect("a name");
         options
     };
@@ -121,7 +121,7 @@
     store.set_batch_size(250);
     store.put("config", "3 /a/");
     let mut options = options();
-    options.tuning.bound = Bound(Duration::from_secs(60));
+    options.tuning.bound = ApplyLimit(Duration::from_secs(60));
     let shared = start(options, &store).await;
     until(|| version(&shared) == 3).await;
     for number in 0..4_000 {
@@ -378,7 +378,7 @@
         store.put(&format!("own/a/{name}"), card);
     }
     let mut options = options();
-    options.tuning.bound = Bound(Duration::from_secs(60));
+    options.tuning.bound = ApplyLimit(Duration::from_secs(60));
     let (shared, fleet) = start_seated(options, &store).await;
     until(|| version(&shared) == 3 && !fleet.seat().is_watcher()).await;
     for number in 0..70 {
--- a/tests/testsuite/relay/instance.rs
+++ b/tests/testsuite/relay/instance.rs
@@ -36,7 +36,7 @@
 use sequoiastream_core::relay::scale::ScaleOrder;
 use sequoiastream_core::relay::usage::Counts;
 use sequoiastream_core::relay::usage::Window;
-use sequoiastream_core::relay::watchers::Bound;
+use sequoiastream_core::relay::watchers::ApplyLimit;
 use sequoiastream_core::relay::workspaces::KeyAges;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Item;
@@ -266,7 +266,7 @@
                 slack: 56.0,
             },
             readers: 0.5,
-            bound: Bound(Duration::from_millis(400)),
+            bound: ApplyLimit(Duration::from_millis(400)),
             keys: KeyAges {
                 change: Duration::from_millis(400),
                 revoke: None,
--- a/tests/testsuite/relay/known.rs
+++ b/tests/testsuite/relay/known.rs
@@ -6,7 +6,7 @@
 use sequoiastream::ops::relay::edge::Keys;
 use sequoiastream::ops::relay::edge::Translate;
 use sequoiastream::ops::relay::known::Known;
-use sequoiastream_core::relay::watchers::Word;
+use sequoiastream_core::relay::watchers::SyncStatus;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Change;
 use sequoiastream_kv::store::Item;
@@ -96,7 +96,7 @@
     let later = NOW + Duration::from_millis(300);
     let news = known.tell_since(later, 10).expect("all that happened");
     assert_eq!((news.age, known.tell_page(later, "").age), (300, 300));
-    let word = Word {
+    let word = SyncStatus {
         revision: 10,
         age: Duration::from_millis(40),
     };
--- a/tests/testsuite/relay/proofs.rs
+++ b/tests/testsuite/relay/proofs.rs
@@ -8,11 +8,11 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use sequoiastream_core::relay::watchers::Asked;
-use sequoiastream_core::relay::watchers::Reach;
-use sequoiastream_core::relay::watchers::Seat;
-use sequoiastream_core::relay::watchers::Word;
-use sequoiastream_core::relay::watchers::proof;
+use sequoiastream_core::relay::watchers::FleetRank;
+use sequoiastream_core::relay::watchers::ProofPeers;
+use sequoiastream_core::relay::watchers::SyncState;
+use sequoiastream_core::relay::watchers::SyncStatus;
+use sequoiastream_core::relay::watchers::proven_until;
 use sequoiastream_core::time::Time;
 
 use crate::claims::client::Failing;
@@ -30,43 +30,47 @@
 fn proof_by_answer() {
     let wait = Duration::from_millis(1_500);
     assert_eq!(
-        proof(at(1_510), at(0), wait, true),
+        proven_until(at(1_510), at(0), wait, true),
         at(1_500),
         "it was quiet for the whole wait"
     );
     assert_eq!(
-        proof(at(9_000), at(0), wait, true),
+        proven_until(at(9_000), at(0), wait, true),
         at(1_500),
         "and was held up then"
     );
     assert_eq!(
-        proof(at(1_510), at(0), wait, false),
+        proven_until(at(1_510), at(0), wait, false),
         at(0),
         "it may have left at once"
     );
-    assert_eq!(proof(at(700), at(0), wait, true), at(0), "it was cut short");
+    assert_eq!(
+        proven_until(at(700), at(0), wait, true),
+        at(0),
+        "it was cut short"
+    );
 }
 
 #[test]
 fn asks_by_age() {
-    let mut reach = Reach::default();
-    assert_eq!(reach.asks(LIMIT, at(0)), Asked::All);
+    let mut reach = SyncState::default();
+    assert_eq!(reach.proof_peers(LIMIT, at(0)), ProofPeers::All);
     reach.on_proof(at(0));
-    assert_eq!(reach.asks(LIMIT, at(1_500)), Asked::Nobody);
-    assert_eq!(reach.asks(LIMIT, at(1_700)), Asked::Watchers);
-    assert_eq!(reach.asks(LIMIT, at(2_300)), Asked::All);
-    let seat = Seat { rank: 5, members: 10 };
-    assert_eq!(reach.prove_at(seat, LIMIT), at(3_200));
+    assert_eq!(reach.proof_peers(LIMIT, at(1_500)), ProofPeers::Nobody);
+    assert_eq!(reach.proof_peers(LIMIT, at(1_700)), ProofPeers::Watchers);
+    assert_eq!(reach.proof_peers(LIMIT, at(2_300)), ProofPeers::All);
+    let seat = FleetRank { rank: 5, members: 10 };
+    assert_eq!(reach.store_proof_due(seat, LIMIT), at(3_200));
 }
 
 /// The answer to a question that left long ago makes what is known seem new.
 #[test]
 fn peer_proof_counts_from_question() {
-    let mut reach = Reach::default();
-    let word = |revision, age| Word::new(revision, age);
+    let mut reach = SyncState::default();
+    let word = |revision, age| SyncStatus::new(revision, age);
     assert!(reach.on_peer_proof(at(0), word(3, 10)), "the peer knows more");
     assert_eq!(reach.proof_age(at(0)), None);
-    reach.on_news(at(0), word(3, 10));
+    reach.on_peer_changes(at(0), word(3, 10));
     assert!(!reach.on_peer_proof(at(100), word(3, 10)));
     assert_eq!(reach.proof_age(at(5_000)), Some(Duration::from_millis(4_910)));
     assert!(
@@ -82,7 +86,7 @@
     /// A question of another, and when it left.
     Question(usize, Time),
     /// The answer to a question that left then, and what its sender had told of.
-    Answer(Time, Word),
+    Answer(Time, SyncStatus),
     /// The store's answer to a watch: when it was sent, whether nothing had happened, and up to which revision it goes.
     Watched(Time, bool, u64),
 }
@@ -91,7 +95,7 @@
     rng: ChaCha8Rng,
     /// When each change came; the first at revision 1.
     changes: Vec<Time>,
-    reaches: Vec<Reach>,
+    reaches: Vec<SyncState>,
     paused: Vec<Time>,
     watching: Vec<bool>,
     mail: BTreeMap<(Time, u64), (usize, Message)>,
@@ -107,7 +111,7 @@
         World {
             rng,
             changes: Vec::new(),
-            reaches: vec![Reach::default(); count],
+            reaches: vec![SyncState::default(); count],
             paused: vec![Time::ZERO; count],
             watching: vec![false; count],
             mail: BTreeMap::new(),
@@ -143,21 +147,21 @@
     fn take(&mut self, now: Time, index: usize, message: Message) {
         match message {
             Message::Question(from, sent) => {
-                let word = self.reaches[index].proof_word(now);
-                let word = word.map(|word| Word::new(word.revision, word.millis() + 1));
+                let word = self.reaches[index].proof_status(now);
+                let word = word.map(|word| SyncStatus::new(word.revision, word.age_millis() + 1));
                 if let Some(word) = word {
                     self.post(now, from, Message::Answer(sent, word));
                 }
             }
             Message::Answer(sent, word) => {
                 if self.reaches[index].on_peer_proof(sent, word) {
-                    self.reaches[index].on_news(now, word);
+                    self.reaches[index].on_peer_changes(now, word);
                 }
             }
             Message::Watched(sent, is_quiet, revision) => {
                 self.watching[index] = false;
-                self.reaches[index].on_answer(now, sent, WAIT, revision);
-                self.reaches[index].on_proof(proof(now, sent, WAIT, is_quiet));
+                self.reaches[index].on_store_answer(now, sent, WAIT, revision);
+                self.reaches[index].on_proof(proven_until(now, sent, WAIT, is_quiet));
             }
         }
     }
@@ -182,7 +186,9 @@
                 self.paused[index] = now + Duration::from_millis(self.rng.random_range(500..6_000));
             } else if index < 2 && !self.watching[index] {
                 self.watch(now, index);
-            } else if self.reaches[index].asks(LIMIT, now) != Asked::Nobody && self.rng.random_bool(0.1) {
+            } else if self.reaches[index].proof_peers(LIMIT, now) != ProofPeers::Nobody
+                && self.rng.random_bool(0.1)
+            {
                 let peer = self.rng.random_range(0..self.reaches.len());
                 self.post(now, peer, Message::Question(index, now));
             }
@@ -220,7 +226,7 @@
             world.check(now);
         }
         let now = at(0) + STEP * 2_000;
-        let held = |reach: &Reach| reach.proof_age(now).is_some_and(|age| age < LIMIT);
+        let held = |reach: &SyncState| reach.proof_age(now).is_some_and(|age| age < LIMIT);
         proven += world.reaches.iter().filter(|reach| held(reach)).count();
     }
     assert!(proven > 0, "some may let requests in at the end");
--- a/tests/testsuite/relay/watchers.rs
+++ b/tests/testsuite/relay/watchers.rs
@@ -9,15 +9,15 @@
 use rand::SeedableRng;
 use rand::seq::IteratorRandom;
 use rand_chacha::ChaCha8Rng;
-use sequoiastream_core::relay::watchers::Bound;
+use sequoiastream_core::relay::watchers::ApplyLimit;
 use sequoiastream_core::relay::watchers::Candidate;
-use sequoiastream_core::relay::watchers::Duty;
-use sequoiastream_core::relay::watchers::Reach;
-use sequoiastream_core::relay::watchers::Seat;
-use sequoiastream_core::relay::watchers::Word;
-use sequoiastream_core::relay::watchers::count;
-use sequoiastream_core::relay::watchers::furthest;
+use sequoiastream_core::relay::watchers::FleetRank;
+use sequoiastream_core::relay::watchers::SyncState;
+use sequoiastream_core::relay::watchers::SyncStatus;
+use sequoiastream_core::relay::watchers::WatchAction;
+use sequoiastream_core::relay::watchers::most_advanced;
 use sequoiastream_core::relay::watchers::rank_candidates;
+use sequoiastream_core::relay::watchers::watcher_count;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::ANSWER;
 
@@ -36,7 +36,7 @@
 const SILENT: Duration = Duration::from_millis(1_800);
 
 /// Within which time a change must be in force, on the strictest sheet.
-const BOUND: Bound = Bound(Duration::from_secs(2));
+const BOUND: ApplyLimit = ApplyLimit(Duration::from_secs(2));
 
 /// How long a watcher waits after changes before it watches again.
 const REST: Duration = Duration::from_millis(800);
@@ -54,14 +54,17 @@
     Time::from_millis(10_000 + millis)
 }
 
-fn word(revision: u64, millis: u64) -> Word {
+fn word(revision: u64, millis: u64) -> SyncStatus {
     let age = Duration::from_millis(millis);
-    Word { revision, age }
+    SyncStatus { revision, age }
 }
 
 #[test]
 fn count_by_members() {
-    assert_eq!([1, 2, 8, 64, 195, 985, 2_000].map(count), [1, 2, 2, 2, 7, 31, 63]);
+    assert_eq!(
+        [1, 2, 8, 64, 195, 985, 2_000].map(watcher_count),
+        [1, 2, 2, 2, 7, 31, 63]
+    );
 }
 
 fn candidate<'n>(zone: &'n str, capacity: u32, name: &'n str) -> Candidate<'n> {
@@ -82,16 +85,19 @@
     let ranked = rank_candidates(fleet);
     let names: Vec<&str> = ranked.iter().map(|c| c.name).collect();
     assert_eq!(names, ["a-2", "b-1", "c-1", "a-3", "c-2", "a-1"]);
-    assert_eq!(Seat::among(&ranked, "c-2"), Seat { rank: 4, members: 6 });
+    assert_eq!(
+        FleetRank::among(&ranked, "c-2"),
+        FleetRank { rank: 4, members: 6 }
+    );
 }
 
 /// Guards against no instance watching when instances disagree on who is alive.
 #[test]
 fn seat_alone_watches() {
-    assert!(Seat::default().is_watcher());
+    assert!(FleetRank::default().is_watcher());
     for members in 1..400 {
-        let watchers = (0..members).filter(|rank| Seat { rank: *rank, members }.is_watcher());
-        assert_eq!(watchers.count(), count(members));
+        let watchers = (0..members).filter(|rank| FleetRank { rank: *rank, members }.is_watcher());
+        assert_eq!(watchers.count(), watcher_count(members));
     }
 }
 
@@ -100,39 +106,45 @@
 #[test]
 fn furthest_one_of_several() {
     let known = [7, 9, 3, 9, 9];
-    let asked: Vec<usize> = (0..6).filter_map(|draw| furthest(&known, 8, draw)).collect();
+    let asked: Vec<usize> = (0..6).filter_map(|draw| most_advanced(&known, 8, draw)).collect();
     assert_eq!(asked, [1, 3, 4, 1, 3, 4]);
-    assert_eq!(furthest(&known, 9, 0), None);
-    assert_eq!(furthest(&[], 0, 0), None);
+    assert_eq!(most_advanced(&known, 9, 0), None);
+    assert_eq!(most_advanced(&[], 0, 0), None);
 }
 
 #[test]
 fn duty_listens_while_confirmed() {
-    let seat = Seat { rank: 4, members: 8 };
-    let mut reach = Reach::default();
+    let seat = FleetRank { rank: 4, members: 8 };
+    let mut reach = SyncState::default();
     assert_eq!(
-        reach.duty(seat, BOUND, at(0)),
-        Duty::Watch,
+        reach.watch_action(seat, BOUND, at(0)),
+        WatchAction::Watch,
         "nothing is known yet"
     );
-    reach.on_answer(at(10), at(0), Duration::ZERO, 7);
-    assert_eq!(reach.duty(seat, BOUND, at(10)), Duty::Listen(at(1_500)));
-    assert!(!reach.on_word(at(900), word(7, 300)));
-    assert_eq!(reach.duty(seat, BOUND, at(1_500)), Duty::Listen(at(2_100)));
-    assert_eq!(reach.duty(seat, BOUND, at(2_100)), Duty::Watch);
-    let watcher = Seat { rank: 1, members: 8 };
-    assert_eq!(reach.duty(watcher, BOUND, at(10)), Duty::Watch);
+    reach.on_store_answer(at(10), at(0), Duration::ZERO, 7);
+    assert_eq!(
+        reach.watch_action(seat, BOUND, at(10)),
+        WatchAction::Listen(at(1_500))
+    );
+    assert!(!reach.on_peer_status(at(900), word(7, 300)));
+    assert_eq!(
+        reach.watch_action(seat, BOUND, at(1_500)),
+        WatchAction::Listen(at(2_100))
+    );
+    assert_eq!(reach.watch_action(seat, BOUND, at(2_100)), WatchAction::Watch);
+    let watcher = FleetRank { rank: 1, members: 8 };
+    assert_eq!(reach.watch_action(watcher, BOUND, at(10)), WatchAction::Watch);
 }
 
 /// Work goes to an engine that has left. Order: a peer knows of its leaving, and its word passes for a confirmation of
 /// what is known here.
 #[test]
 fn word_ahead_confirms_nothing() {
-    let mut reach = Reach::default();
-    reach.on_answer(at(0), at(0), Duration::ZERO, 7);
-    assert!(reach.on_word(at(1_000), word(8, 0)));
+    let mut reach = SyncState::default();
+    reach.on_store_answer(at(0), at(0), Duration::ZERO, 7);
+    assert!(reach.on_peer_status(at(1_000), word(8, 0)));
     assert_eq!(reach.age(at(1_000)), Some(Duration::from_secs(1)));
-    reach.on_news(at(1_010), word(8, 5));
+    reach.on_peer_changes(at(1_010), word(8, 5));
     assert_eq!(
         (reach.revision(), reach.age(at(1_010))),
         (8, Some(Duration::from_millis(5)))
@@ -143,22 +155,22 @@
 /// the instance is paused, the answer waits in its socket, it goes on.
 #[test]
 fn answer_after_pause_is_old() {
-    let mut reach = Reach::default();
-    reach.on_answer(at(11_000), at(1_000), BOUND.wait(), 7);
+    let mut reach = SyncState::default();
+    reach.on_store_answer(at(11_000), at(1_000), BOUND.watch_timeout(), 7);
     assert_eq!(reach.age(at(11_000)), Some(Duration::from_secs(9)));
 }
 
 /// The same for messages of peers that waited meanwhile: they say what was so when they were sent.
 #[test]
 fn word_after_pause_not_believed() {
-    let mut reach = Reach::default();
+    let mut reach = SyncState::default();
     reach.on_tick(at(0));
-    reach.on_answer(at(0), at(0), Duration::ZERO, 7);
+    reach.on_store_answer(at(0), at(0), Duration::ZERO, 7);
     reach.on_tick(at(10_000));
-    assert!(!reach.on_word(at(10_001), word(7, 20)));
+    assert!(!reach.on_peer_status(at(10_001), word(7, 20)));
     assert_eq!(reach.age(at(10_001)), Some(Duration::from_millis(10_001)));
     reach.on_tick(at(10_025));
-    reach.on_word(at(10_400), word(7, 20));
+    reach.on_peer_status(at(10_400), word(7, 20));
     assert_eq!(reach.age(at(10_400)), Some(Duration::from_millis(20)));
 }
 
@@ -183,7 +195,7 @@
 #[derive(Debug)]
 struct Instance {
     zone: usize,
-    reach: Reach,
+    reach: SyncState,
     call: Call,
     /// When each peer was last heard.
     heard: Vec<Option<Time>>,
@@ -222,7 +234,7 @@
         let now = at(0);
         let instance = |index: usize| Instance {
             zone: index % zones,
-            reach: Reach::default(),
+            reach: SyncState::default(),
             call: Call::None,
             heard: vec![None; size],
             turn: index,
@@ -281,7 +293,7 @@
     /// After all trouble: the store is called by the watchers only.
     fn calm(mut self) {
         self.rest();
-        let watchers = count(self.instances.len());
+        let watchers = watcher_count(self.instances.len());
         let before = self.calls;
         self.rest();
         let calls = self.calls - before;
@@ -333,7 +345,7 @@
                 // Killed, and started anew.
                 1 => {
                     instance.gone = instance.gone.max(now + long);
-                    instance.reach = Reach::default();
+                    instance.reach = SyncState::default();
                     instance.call = Call::None;
                     instance.heard.fill(None);
                 }
@@ -359,7 +371,7 @@
         let size = self.instances.len();
         for from in (0..size).filter(|index| self.is_up(*index)).collect::<Vec<_>>() {
             self.instances[from].reach.on_tick(now);
-            let word = self.instances[from].reach.word(now);
+            let word = self.instances[from].reach.sync_status(now);
             let turn = self.instances[from].turn;
             self.instances[from].turn += 1;
             for next in 0..FANOUT.min(size - 1) {
@@ -370,20 +382,20 @@
                 }
                 self.instances[to].heard[from] = Some(now);
                 let Some(word) = word else { continue };
-                if self.instances[to].reach.on_word(now, word) {
-                    self.instances[to].reach.on_news(now, word);
+                if self.instances[to].reach.on_peer_status(now, word) {
+                    self.instances[to].reach.on_peer_changes(now, word);
                 }
             }
         }
     }
 
-    fn seat(&self, index: usize) -> Seat {
+    fn seat(&self, index: usize) -> FleetRank {
         let own = &self.instances[index];
         let heard = |peer: &usize| own.heard[*peer].is_some_and(|at| self.now.since(at) <= SILENT);
         let members = (0..self.instances.len()).filter(|peer| *peer == index || heard(peer));
         let candidates =
             members.map(|peer| candidate(&self.zones[self.instances[peer].zone], 1, &self.names[peer]));
-        Seat::among(&rank_candidates(candidates.collect()), &self.names[index])
+        FleetRank::among(&rank_candidates(candidates.collect()), &self.names[index])
     }
 
     fn follow(&mut self, index: usize) {
@@ -392,9 +404,9 @@
         }
         let now = self.now;
         let seat = match self.instances[index].call {
-            Call::Waiting { .. } => Seat::default(),
+            Call::Waiting { .. } => FleetRank::default(),
             Call::Pause(until) | Call::Listening(until) | Call::Resting(until) if now < until => {
-                Seat::default()
+                FleetRank::default()
             }
             Call::None | Call::Pause(_) | Call::Listening(_) | Call::Resting(_) => self.seat(index),
         };
@@ -405,7 +417,7 @@
             Call::None | Call::Pause(_) | Call::Listening(_) | Call::Resting(_) => {
                 let is_rested = matches!(instance.call, Call::Resting(_));
                 let failed = matches!(instance.call, Call::Pause(_));
-                if let Duty::Listen(until) = instance.reach.duty(seat, BOUND, now) {
+                if let WatchAction::Listen(until) = instance.reach.watch_action(seat, BOUND, now) {
                     // Looks again then, or when its seat may have changed.
                     instance.call = Call::Listening(until.min(now + SEAT));
                     return;
@@ -414,8 +426,8 @@
                 let read = failed || instance.reach.revision() == 0;
                 let wait = match (read, is_rested) {
                     (true, _) => Duration::ZERO,
-                    (false, true) => BOUND.wait() - REST,
-                    (false, false) => BOUND.wait(),
+                    (false, true) => BOUND.watch_timeout() - REST,
+                    (false, false) => BOUND.watch_timeout(),
                 };
                 let revision = instance.reach.revision();
                 // Silence strikes connections that are open, not new ones.
@@ -429,7 +441,9 @@
             Call::Waiting { sent, wait, revision } => {
                 let due = now.since(sent) >= CALL && (self.revision > revision || now.since(sent) >= wait);
                 if due && reached && !instance.silent {
-                    instance.reach.on_answer(now, sent, wait.max(CALL), self.revision);
+                    instance
+                        .reach
+                        .on_store_answer(now, sent, wait.max(CALL), self.revision);
                     instance.call = match self.revision > revision && revision > 0 {
                         true => Call::Resting(now + REST),
                         false => Call::None,
