--- a/crates/core/src/relay/budget.rs
+++ b/crates/core/src/relay/budget.rs
@@ -13,7 +13,7 @@
 
 /// Part of the bound that is used: clocks and windows of instances differ, and a call may be counted at an engine
 /// later than here.
-const USED: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 
 /// What bounds extra attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -27,12 +27,12 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Counts {
+struct ServiceCounts {
     requests: VecDeque<Time>,
     extras: VecDeque<Time>,
 }
 
-impl Counts {
+impl ServiceCounts {
     fn expire(&mut self, now: Time, window: Duration) {
         for times in [&mut self.requests, &mut self.extras] {
             while times.front().is_some_and(|at| now.since(*at) > window) {
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub struct Budget {
     rule: Rule,
-    services: BTreeMap<String, Counts>,
+    services: BTreeMap<String, ServiceCounts>,
 }
 
 impl Budget {
@@ -86,13 +86,13 @@
         let counts = self.counts(service);
         counts.expire(now, rule.window);
         let part = rule.slack / instances.max(1) as f64;
-        let allowed = USED * (rule.ratio * counts.requests.len() as f64 + part);
+        let allowed = USED_FRACTION * (rule.ratio * counts.requests.len() as f64 + part);
         (allowed - counts.extras.len() as f64).max(0.0)
     }
 
-    fn counts(&mut self, service: &str) -> &mut Counts {
+    fn counts(&mut self, service: &str) -> &mut ServiceCounts {
         if !self.services.contains_key(service) {
-            self.services.insert(service.to_string(), Counts::default());
+            self.services.insert(service.to_string(), ServiceCounts::default());
         }
         self.services.get_mut(service).expect("it was just inserted")
     }
--- a/crates/core/src/relay/lead.rs
+++ b/crates/core/src/relay/lead.rs
@@ -11,19 +11,19 @@
 use crate::time::Time;
 
 /// Part of a lease's time after which it is renewed: a renewal may fail.
-const RENEW: f64 = 0.33;
+const RENEW_FRACTION: f64 = 0.33;
 
 /// Part of a lease's time that a holder doesn't count on: a call that it begins has left by then.
-const MARGIN: f64 = 0.3;
+const MARGIN_FRACTION: f64 = 0.3;
 
 /// How much later each next instance tries to become the holder: the store may turn the first ones away.
-const TURN: Duration = Duration::from_millis(300);
+const ACQUIRE_STAGGER: Duration = Duration::from_millis(300);
 
 /// Turns that an instance waits at most.
-const MAX_TURNS: u32 = 16;
+const MAX_STAGGER_STEPS: u32 = 16;
 
 /// Pause after a call for the lease that failed.
-const PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// A holder's record as the store shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -55,9 +55,9 @@
     /// Fencing number and when calls may begin.
     held: Option<(u64, Time)>,
     /// Since when the store shows no holder.
-    free: Option<Time>,
+    free_since: Option<Time>,
     /// Nothing is done for the lease before.
-    next: Time,
+    next_call: Time,
 }
 
 impl Lead {
@@ -65,10 +65,10 @@
     pub fn new(lease: Duration) -> Lead {
         Lead {
             lease,
-            belief: LeaseBelief::new(lease, lease.mul_f64(MARGIN)),
+            belief: LeaseBelief::new(lease, lease.mul_f64(MARGIN_FRACTION)),
             held: None,
-            free: None,
-            next: Time::ZERO,
+            free_since: None,
+            next_call: Time::ZERO,
         }
     }
 
@@ -80,17 +80,17 @@
     /// What is to be done, if the store shows a holder or none, by the one of this `rank` among the live instances.
     pub fn step(&mut self, now: Time, is_free: bool, rank: u32) -> Step {
         if self.held.is_some() {
-            return match now >= self.next {
+            return match now >= self.next_call {
                 true => Step::Renew,
                 false => Step::Rest,
             };
         }
         if !is_free {
-            self.free = None;
+            self.free_since = None;
             return Step::Rest;
         }
-        let since = *self.free.get_or_insert(now);
-        match now >= self.next && now.since(since) >= TURN * rank.min(MAX_TURNS) {
+        let since = *self.free_since.get_or_insert(now);
+        match now >= self.next_call && now.since(since) >= ACQUIRE_STAGGER * rank.min(MAX_STAGGER_STEPS) {
             true => Step::Take,
             false => Step::Rest,
         }
@@ -103,26 +103,26 @@
     pub fn on_taken(&mut self, now: Time, sent: Time, fence: u64) {
         self.belief.confirm(sent);
         self.held = Some((fence, now + self.lease));
-        self.next = sent + self.lease.mul_f64(RENEW);
+        self.next_call = sent + self.lease.mul_f64(RENEW_FRACTION);
     }
 
     /// Notes that a renewal sent at `sent` was confirmed.
     pub fn on_renewed(&mut self, sent: Time) {
         self.belief.confirm(sent);
-        self.next = sent + self.lease.mul_f64(RENEW);
+        self.next_call = sent + self.lease.mul_f64(RENEW_FRACTION);
     }
 
     /// Notes that a call for the lease failed.
     pub fn on_failure(&mut self, now: Time) {
-        self.next = now + PAUSE;
+        self.next_call = now + RETRY_DELAY;
     }
 
     /// Notes that the lease is lost, or somebody else has it.
     pub fn on_lost(&mut self, now: Time) {
         self.belief.clear();
         self.held = None;
-        self.free = None;
-        self.next = now + PAUSE;
+        self.free_since = None;
+        self.next_call = now + RETRY_DELAY;
     }
 
     /// Whether this instance has the lease, as far as it knows.
--- a/crates/core/src/relay/scale.rs
+++ b/crates/core/src/relay/scale.rs
@@ -10,13 +10,13 @@
 use crate::time::Time;
 
 /// Time beyond an engine's start after which one that was ordered and has not come is ordered anew.
-const SLACK: Duration = Duration::from_secs(3);
+const ARRIVAL_MARGIN: Duration = Duration::from_secs(3);
 
 /// How long nothing is ordered of a kind that was refused in a zone.
-const REFUSED: Duration = Duration::from_secs(2);
+const REFUSED_PAUSE: Duration = Duration::from_secs(2);
 
 /// How long an order whose answer was lost rests.
-const UNANSWERED: Duration = Duration::from_secs(1);
+const UNANSWERED_PAUSE: Duration = Duration::from_secs(1);
 
 /// What operators allow and pay for a service.
 #[derive(Debug, Clone, PartialEq)]
@@ -94,7 +94,7 @@
 
 /// The numbers to be ordered now in a zone that has `present`: both kinds together never pass what is allowed, and no engine
 /// is given back before others have come in its place.
-fn step(scale: &Scale, wanted: Present, present: Present) -> Present {
+fn next_counts(scale: &Scale, wanted: Present, present: Present) -> Present {
     let spot = wanted.spot.min(scale.most.saturating_sub(present.reserved));
     // As many of the others may go as spot engines are there beyond those that would replace them.
     let kept = present.total().min(wanted.spot + wanted.reserved);
@@ -106,17 +106,17 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Ordered {
+struct OrderState {
     count: u32,
     at: Time,
     accepted: bool,
     /// Nothing is ordered before.
-    rest: Time,
+    paused_until: Time,
 }
 
 /// What was ordered by this instance since it acts for all.
 #[derive(Debug, Clone, Default)]
-pub struct Planner(BTreeMap<Subject, Ordered>);
+pub struct Planner(BTreeMap<Subject, OrderState>);
 
 impl Planner {
     /// The orders that are due for a service whose engines are `present`.
@@ -132,7 +132,7 @@
         };
         let orders = scale.prices.keys().flat_map(|zone| {
             let here = present.get(zone).copied().unwrap_or_default();
-            let next = step(scale, wanted, here);
+            let next = next_counts(scale, wanted, here);
             let kinds = [
                 (true, next.spot, here.spot),
                 (false, next.reserved, here.reserved),
@@ -155,10 +155,10 @@
         let Some(last) = self.0.get(subject) else {
             return count != there;
         };
-        if now < last.rest {
+        if now < last.paused_until {
             return false;
         }
-        let is_missing = there < count && now.since(last.at) > scale.boot + SLACK;
+        let is_missing = there < count && now.since(last.at) > scale.boot + ARRIVAL_MARGIN;
         last.count != count || !last.accepted || is_missing
     }
 
@@ -169,17 +169,17 @@
 
     /// Notes that an order was refused, or that its answer was lost.
     pub fn on_failed(&mut self, now: Time, order: ScaleOrder, refused: bool) {
-        let rest = now + if refused { REFUSED } else { UNANSWERED };
-        self.note(now, order, false, rest);
+        let paused_until = now + if refused { REFUSED_PAUSE } else { UNANSWERED_PAUSE };
+        self.note(now, order, false, paused_until);
     }
 
-    fn note(&mut self, at: Time, order: ScaleOrder, accepted: bool, rest: Time) {
+    fn note(&mut self, at: Time, order: ScaleOrder, accepted: bool, paused_until: Time) {
         let count = order.count;
-        let ordered = Ordered {
+        let ordered = OrderState {
             count,
             at,
             accepted,
-            rest,
+            paused_until,
         };
         self.0.insert(order.subject, ordered);
     }
--- a/crates/core/src/relay/suspects.rs
+++ b/crates/core/src/relay/suspects.rs
@@ -20,22 +20,22 @@
 pub const MEMORY: Duration = Duration::from_secs(120);
 
 /// How long an instance tells the others in every message what it saw: some may be lost.
-const TELL: Duration = Duration::from_millis(500);
+const NEW_NOTE_TIME: Duration = Duration::from_millis(500);
 
 /// Time between two times that it tells them again, for as long as it counts.
 ///
 /// Failure guarded against: an instance that was paused, cut off or started later never hears of a crash, and sends the
 /// request to one engine more each time it comes. Three seconds after such trouble it must know.
-const AGAIN: Duration = Duration::from_millis(100);
+const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Notes in a message, the latest first: 640 bytes at most, beside the load of 50 engines in one packet.
 const MAX_NOTES: usize = 32;
 
 /// Notes of its own that an instance keeps.
-const MAX_OWN: usize = 256;
+const MAX_OWN_NOTES: usize = 256;
 
 /// Requests remembered; the oldest go first.
-const MAX_CASES: usize = 1_024;
+const MAX_REQUESTS: usize = 1_024;
 
 /// What an instance tells the others: this engine broke off under this request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -49,10 +49,10 @@
 /// What this instance knows of such requests.
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
-    cases: BTreeMap<u64, BTreeMap<u64, Time>>,
+    requests: BTreeMap<u64, BTreeMap<u64, Time>>,
     own: VecDeque<(Time, Note)>,
     /// When all of its own were last told.
-    told: Time,
+    last_resend: Time,
 }
 
 impl Suspects {
@@ -64,7 +64,7 @@
     /// Notes what this instance saw.
     pub fn on_break(&mut self, now: Time, note: Note) {
         self.own.push_back((now, note));
-        if self.own.len() > MAX_OWN {
+        if self.own.len() > MAX_OWN_NOTES {
             self.own.pop_front();
         }
         self.on_note(now, note);
@@ -72,44 +72,44 @@
 
     /// Notes what a peer saw, perhaps once more.
     pub fn on_note(&mut self, now: Time, note: Note) {
-        let case = self.cases.entry(note.request).or_default();
-        case.entry(note.engine).or_insert(now);
-        if self.cases.len() > MAX_CASES {
-            self.shrink(now);
+        let engines = self.requests.entry(note.request).or_default();
+        engines.entry(note.engine).or_insert(now);
+        if self.requests.len() > MAX_REQUESTS {
+            self.evict(now);
         }
     }
 
     /// What to tell the peers now.
     pub fn notes(&mut self, now: Time) -> Vec<Note> {
         self.own.retain(|(at, _)| now.since(*at) < MEMORY);
-        let again = now.since(self.told) >= AGAIN;
+        let again = now.since(self.last_resend) >= RESEND_INTERVAL;
         if again {
-            self.told = now;
+            self.last_resend = now;
         }
         let due = self.own.iter().rev();
-        let due = due.filter(|(at, _)| again || now.since(*at) < TELL);
+        let due = due.filter(|(at, _)| again || now.since(*at) < NEW_NOTE_TIME);
         due.map(|(_, note)| *note).take(MAX_NOTES).collect()
     }
 
     /// Whether a request is run no more.
     pub fn is_convicted(&self, now: Time, request: u64) -> bool {
-        let case = self.cases.get(&request);
+        let engines = self.requests.get(&request);
         let recent = |at: &&Time| now.since(**at) < MEMORY;
-        case.is_some_and(|engines| engines.values().filter(recent).count() >= CRASHES)
+        engines.is_some_and(|engines| engines.values().filter(recent).count() >= CRASHES)
     }
 
-    fn shrink(&mut self, now: Time) {
-        self.cases.retain(|_, engines| {
+    fn evict(&mut self, now: Time) {
+        self.requests.retain(|_, engines| {
             engines.retain(|_, at| now.since(*at) < MEMORY);
             !engines.is_empty()
         });
-        while self.cases.len() > MAX_CASES {
+        while self.requests.len() > MAX_REQUESTS {
             let last = |engines: &BTreeMap<u64, Time>| engines.values().max().copied();
-            let oldest = self.cases.iter().min_by_key(|(_, engines)| last(engines));
+            let oldest = self.requests.iter().min_by_key(|(_, engines)| last(engines));
             let Some(request) = oldest.map(|(request, _)| *request) else {
                 break;
             };
-            self.cases.remove(&request);
+            self.requests.remove(&request);
         }
     }
 }
--- a/crates/core/src/relay/truth.rs
+++ b/crates/core/src/relay/truth.rs
@@ -10,23 +10,23 @@
 use crate::time::Time;
 
 /// Messages wait on their way and in queues; the one that waited least of so long a time counts.
-const EPOCH: Duration = Duration::from_secs(2);
+const SAMPLE_PERIOD: Duration = Duration::from_secs(2);
 
 /// How long a peer's clock counts that is no longer heard of: monotonic clocks hardly drift, but peers are replaced.
-const KEPT: Duration = Duration::from_secs(60);
+const CLOCK_TTL: Duration = Duration::from_secs(60);
 
 /// How far a peer's clock was ahead of the monotonic clock here, in microseconds: the most of this epoch and the last.
 #[derive(Debug, Clone, Copy)]
-struct Lead {
-    begun: Time,
-    seen: Time,
+struct ClockOffset {
+    period_start: Time,
+    last_seen: Time,
     current: u64,
-    former: u64,
+    previous: u64,
 }
 
 /// The clocks of all instances.
 #[derive(Debug, Clone, Default)]
-pub struct TrueTime(BTreeMap<String, Lead>);
+pub struct TrueTime(BTreeMap<String, ClockOffset>);
 
 impl TrueTime {
     /// Takes a message that an instance sent when its wall clock showed `wall`, in microseconds since the epoch.
@@ -35,20 +35,20 @@
         if lead == 0 {
             return;
         }
-        let fresh = Lead {
-            begun: now,
-            seen: now,
+        let fresh = ClockOffset {
+            period_start: now,
+            last_seen: now,
             current: lead,
-            former: 0,
+            previous: 0,
         };
         match self.0.get_mut(instance) {
-            Some(known) if now.since(known.begun) < EPOCH => {
+            Some(known) if now.since(known.period_start) < SAMPLE_PERIOD => {
                 known.current = known.current.max(lead);
-                known.seen = now;
+                known.last_seen = now;
             }
             Some(known) => {
-                *known = Lead {
-                    former: known.current,
+                *known = ClockOffset {
+                    previous: known.current,
                     ..fresh
                 }
             }
@@ -58,10 +58,10 @@
         }
     }
 
-    /// How far true time is ahead of the monotonic clock here, in microseconds; `None` before any clock was seen.
+    /// How far true time is ahead of the monotonic clock here, in microseconds; `None` before any clock was last_seen.
     pub fn lead(&mut self, now: Time) -> Option<u64> {
-        self.0.retain(|_, lead| now.since(lead.seen) < KEPT);
-        let mut leads: Vec<u64> = self.0.values().map(|l| l.current.max(l.former)).collect();
+        self.0.retain(|_, lead| now.since(lead.last_seen) < CLOCK_TTL);
+        let mut leads: Vec<u64> = self.0.values().map(|l| l.current.max(l.previous)).collect();
         leads.sort_unstable();
         leads.get(leads.len() / 2).copied()
     }
--- a/crates/core/src/relay/workspaces.rs
+++ b/crates/core/src/relay/workspaces.rs
@@ -10,10 +10,10 @@
 
 /// Part of the time after which a key that was taken away must no longer work for which what is known counts as complete:
 /// a store may keep watches waiting for a second while it changes.
-const PROVEN: f64 = 0.8;
+const PROOF_FRACTION: f64 = 0.8;
 
 /// Bytes of a digest that a log shows.
-const SHOWN: usize = 4;
+const DISPLAY_BYTES: usize = 4;
 
 /// Digest of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -29,7 +29,7 @@
 impl fmt::Display for KeyDigest {
     /// The first bytes: enough to tell keys apart, too little to find one.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&hex::encode(&self.0[..SHOWN]))
+        f.write_str(&hex::encode(&self.0[..DISPLAY_BYTES]))
     }
 }
 
@@ -60,13 +60,13 @@
 
 /// A workspace's place in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct WorkspaceKey(usize);
+struct WorkspaceIndex(usize);
 
 /// All workspaces of one version of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Workspaces {
     all: Vec<Workspace>,
-    holders: BTreeMap<KeyDigest, WorkspaceKey>,
+    holders: BTreeMap<KeyDigest, WorkspaceIndex>,
 }
 
 impl Workspaces {
@@ -76,10 +76,10 @@
     ///
     /// [`WorkspacesError`] if it isn't clear whose a key is.
     pub fn new(all: Vec<Workspace>) -> Result<Workspaces, WorkspacesError> {
-        let mut holders: BTreeMap<KeyDigest, WorkspaceKey> = BTreeMap::new();
-        let mut names: BTreeMap<&str, WorkspaceKey> = BTreeMap::new();
+        let mut holders: BTreeMap<KeyDigest, WorkspaceIndex> = BTreeMap::new();
+        let mut names: BTreeMap<&str, WorkspaceIndex> = BTreeMap::new();
         for (index, workspace) in all.iter().enumerate() {
-            let place = WorkspaceKey(index);
+            let place = WorkspaceIndex(index);
             if workspace.name.is_empty() {
                 return Err(WorkspacesError::Unnamed);
             }
@@ -125,7 +125,7 @@
 impl KeyAges {
     /// The age from which on nothing can be said of keys, if there is one.
     pub fn limit(&self) -> Option<Duration> {
-        self.revoke.map(|revoke| revoke.mul_f64(PROVEN))
+        self.revoke.map(|revoke| revoke.mul_f64(PROOF_FRACTION))
     }
 }
 
