--- a/crates/core/benches/relay.rs
+++ b/crates/core/benches/relay.rs
@@ -11,8 +11,8 @@
 use criterion::criterion_main;
 use sequoiastream_core::relay::book::Book;
 use sequoiastream_core::relay::book::Work;
-use sequoiastream_core::relay::budget::Budget;
-use sequoiastream_core::relay::budget::Rule;
+use sequoiastream_core::relay::budget::BudgetLimits;
+use sequoiastream_core::relay::budget::RetryBudget;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::engines::Entry;
@@ -22,11 +22,11 @@
 use sequoiastream_core::relay::place::Reading;
 use sequoiastream_core::relay::prompt::Part;
 use sequoiastream_core::relay::prompt::Prompt;
-use sequoiastream_core::relay::routes::Kind;
-use sequoiastream_core::relay::routes::Limits;
+use sequoiastream_core::relay::routes::CallerLimits;
 use sequoiastream_core::relay::routes::Route;
-use sequoiastream_core::relay::routes::Table;
-use sequoiastream_core::relay::routes::Target;
+use sequoiastream_core::relay::routes::RouteKind;
+use sequoiastream_core::relay::routes::RouteTarget;
+use sequoiastream_core::relay::routes::RoutingTable;
 use sequoiastream_core::relay::stages::plan;
 use sequoiastream_core::relay::workspaces::KeyDigest;
 use sequoiastream_core::relay::workspaces::Workspace;
@@ -177,20 +177,25 @@
             name: format!("route-{index}"),
             host: "gsp.example".to_string(),
             prefix: format!("/product-{index}/v1/"),
-            kind: Kind::Resumable,
+            kind: RouteKind::Resumable,
             timeout: Duration::from_secs(2),
-            target: Duration::from_millis(150),
-            pause: Duration::from_millis(150),
+            latency_target: Duration::from_millis(150),
+            gap_target: Duration::from_millis(150),
             priority: 1,
-            attempts: 3,
-            affine: true,
+            max_attempts: 3,
+            sticky: true,
             public: false,
-            targets: vec![Target {
+            targets: vec![RouteTarget {
                 service: "assistente".to_string(),
                 weight: 1,
             }],
         };
-        let table = Table::new(1, Limits::default(), (0..routes).map(route).collect(), Vec::new());
+        let table = RoutingTable::new(
+            1,
+            CallerLimits::default(),
+            (0..routes).map(route).collect(),
+            Vec::new(),
+        );
         let path = format!("/product-{}/v1/check/contract-123", routes - 1);
         group.bench_function(BenchmarkId::new("find", routes), |b| {
             b.iter(|| table.find("gsp.example", black_box(&path)));
@@ -217,19 +222,19 @@
 }
 
 fn budget(c: &mut Criterion) {
-    let rule = Rule {
+    let rule = BudgetLimits {
         ratio: 0.2,
         window: Duration::from_secs(10),
         slack: 56.0,
     };
-    let mut budget = Budget::new(rule);
+    let mut budget = RetryBudget::new(rule);
     let mut now = NOW;
     c.bench_function("budget/request", |b| {
         b.iter(|| {
             // 100 requests a second at one instance.
             now = now + Duration::from_millis(10);
-            budget.request(now, black_box("assistente"));
-            budget.take(now, "assistente", 8)
+            budget.on_request(now, black_box("assistente"));
+            budget.try_take(now, "assistente", 8)
         });
     });
 }
--- a/crates/core/src/relay/budget.rs
+++ b/crates/core/src/relay/budget.rs
@@ -17,7 +17,7 @@
 
 /// What bounds extra attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rule {
+pub struct BudgetLimits {
     /// Extra attempts for each request.
     pub ratio: f64,
     /// Length of a window.
@@ -44,36 +44,36 @@
 
 /// Budgets of all services at one instance.
 #[derive(Debug, Clone)]
-pub struct Budget {
-    rule: Rule,
+pub struct RetryBudget {
+    limits: BudgetLimits,
     services: BTreeMap<String, ServiceCounts>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Nothing counted yet.
-    pub fn new(rule: Rule) -> Budget {
-        Budget {
-            rule,
+    pub fn new(limits: BudgetLimits) -> RetryBudget {
+        RetryBudget {
+            limits,
             services: BTreeMap::new(),
         }
     }
 
     /// Bounds by another rule from now on.
-    pub fn set_rule(&mut self, rule: Rule) {
-        self.rule = rule;
+    pub fn set_limits(&mut self, limits: BudgetLimits) {
+        self.limits = limits;
     }
 
     /// Counts a request for `service`.
-    pub fn request(&mut self, now: Time, service: &str) {
-        let window = self.rule.window;
+    pub fn on_request(&mut self, now: Time, service: &str) {
+        let window = self.limits.window;
         let counts = self.counts(service);
         counts.expire(now, window);
         counts.requests.push_back(now);
     }
 
     /// Takes one extra attempt at `service` if there is one left, at one of `instances`.
-    pub fn take(&mut self, now: Time, service: &str, instances: usize) -> bool {
-        if self.left(now, service, instances) < 1.0 {
+    pub fn try_take(&mut self, now: Time, service: &str, instances: usize) -> bool {
+        if self.remaining(now, service, instances) < 1.0 {
             return false;
         }
         self.counts(service).extras.push_back(now);
@@ -81,18 +81,19 @@
     }
 
     /// Extra attempts at `service` that are left now at one of `instances`.
-    pub fn left(&mut self, now: Time, service: &str, instances: usize) -> f64 {
-        let rule = self.rule;
+    pub fn remaining(&mut self, now: Time, service: &str, instances: usize) -> f64 {
+        let limits = self.limits;
         let counts = self.counts(service);
-        counts.expire(now, rule.window);
-        let part = rule.slack / instances.max(1) as f64;
-        let allowed = USED_FRACTION * (rule.ratio * counts.requests.len() as f64 + part);
+        counts.expire(now, limits.window);
+        let part = limits.slack / instances.max(1) as f64;
+        let allowed = USED_FRACTION * (limits.ratio * counts.requests.len() as f64 + part);
         (allowed - counts.extras.len() as f64).max(0.0)
     }
 
     fn counts(&mut self, service: &str) -> &mut ServiceCounts {
         if !self.services.contains_key(service) {
-            self.services.insert(service.to_string(), ServiceCounts::default());
+            self.services
+                .insert(service.to_string(), ServiceCounts::default());
         }
         self.services.get_mut(service).expect("it was just inserted")
     }
--- a/crates/core/src/relay/directory.rs
+++ b/crates/core/src/relay/directory.rs
@@ -29,7 +29,7 @@
 
 /// An instance that callers may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Entrance {
+pub struct Endpoint {
     /// Where it takes requests.
     pub address: SocketAddr,
     /// Its availability zone.
@@ -41,7 +41,7 @@
 /// How many addresses a caller may be told: it picks among them at random, so with more of them the largest instances would
 /// get less than they can carry, and the others more. Where all are alike, any number is fair; the more they differ, the
 /// fewer are drawn by what each can carry.
-fn fair_count(entrances: &[Entrance]) -> usize {
+fn fair_count(entrances: &[Endpoint]) -> usize {
     let weights = entrances.iter().map(|e| f64::from(e.capacity.max(1)));
     let (least, largest) = weights.clone().fold((f64::MAX, 1.0), |(least, largest), weight| {
         (weight.min(least), weight.max(largest))
@@ -55,7 +55,7 @@
 ///
 /// Failures guarded against: callers take the first so many of a longer list, and all go to the same few instances while the
 /// others stand idle; small instances get as much as large ones, and in a burst their links are full.
-pub fn choose(entrances: &[Entrance], zone: Option<&str>, caller: &str, most: usize) -> Vec<SocketAddr> {
+pub fn choose(entrances: &[Endpoint], zone: Option<&str>, caller: &str, most: usize) -> Vec<SocketAddr> {
     let most = most.min(fair_count(entrances));
     if entrances.len() <= most {
         return entrances.iter().map(|e| e.address).collect();
@@ -70,7 +70,7 @@
 
 /// Where an instance comes among all that a caller may be told: each at a time drawn for it and the caller, at a rate of what
 /// it can carry. So another's coming or going changes one place of an answer.
-fn draw_rank(entrance: &Entrance, zone: Option<&str>, caller: &str) -> f64 {
+fn draw_rank(entrance: &Endpoint, zone: Option<&str>, caller: &str) -> f64 {
     let near = match zone == Some(entrance.zone.as_str()) {
         true => SAME_ZONE_WEIGHT,
         false => 1.0,
@@ -79,7 +79,7 @@
     -unit_interval(draw).ln() / (near * f64::from(entrance.capacity.max(1)))
 }
 
-fn address_hash(entrance: &Entrance) -> Hash {
+fn address_hash(entrance: &Endpoint) -> Hash {
     Hash::new().with(entrance.address.to_string().as_bytes())
 }
 
--- a/crates/core/src/relay/lead.rs
+++ b/crates/core/src/relay/leader_lease.rs
@@ -27,7 +27,7 @@
 
 /// A holder's record as the store shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Record {
+pub struct LeaseRecord {
     /// The instance.
     pub holder: String,
     /// The process: it changes with each start.
@@ -38,18 +38,18 @@
 
 /// What is to be done for the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum LeaseAction {
     /// Nothing now.
-    Rest,
+    Wait,
     /// Take it, if it is free.
-    Take,
+    Acquire,
     /// Renew it.
     Renew,
 }
 
 /// An instance on its way to the lease, or with it.
 #[derive(Debug, Clone)]
-pub struct Lead {
+pub struct LeaderLease {
     lease: Duration,
     belief: LeaseBelief,
     /// Fencing number and when calls may begin.
@@ -60,10 +60,10 @@
     next_call: Time,
 }
 
-impl Lead {
+impl LeaderLease {
     /// Nobody's lease, for leases of the time `lease`.
-    pub fn new(lease: Duration) -> Lead {
-        Lead {
+    pub fn new(lease: Duration) -> LeaderLease {
+        LeaderLease {
             lease,
             belief: LeaseBelief::new(lease, lease.mul_f64(MARGIN_FRACTION)),
             held: None,
@@ -78,21 +78,21 @@
     }
 
     /// What is to be done, if the store shows a holder or none, by the one of this `rank` among the live instances.
-    pub fn step(&mut self, now: Time, is_free: bool, rank: u32) -> Step {
+    pub fn next_action(&mut self, now: Time, is_free: bool, rank: u32) -> LeaseAction {
         if self.held.is_some() {
             return match now >= self.next_call {
-                true => Step::Renew,
-                false => Step::Rest,
+                true => LeaseAction::Renew,
+                false => LeaseAction::Wait,
             };
         }
         if !is_free {
             self.free_since = None;
-            return Step::Rest;
+            return LeaseAction::Wait;
         }
         let since = *self.free_since.get_or_insert(now);
         match now >= self.next_call && now.since(since) >= ACQUIRE_STAGGER * rank.min(MAX_STAGGER_STEPS) {
-            true => Step::Take,
-            false => Step::Rest,
+            true => LeaseAction::Acquire,
+            false => LeaseAction::Wait,
         }
     }
 
@@ -100,7 +100,7 @@
     ///
     /// Failure guarded against: the former holder's last call is still on its way, or this instance was the holder before
     /// that one: no call leaves before a lease's time is over.
-    pub fn on_taken(&mut self, now: Time, sent: Time, fence: u64) {
+    pub fn on_acquired(&mut self, now: Time, sent: Time, fence: u64) {
         self.belief.confirm(sent);
         self.held = Some((fence, now + self.lease));
         self.next_call = sent + self.lease.mul_f64(RENEW_FRACTION);
--- a/crates/core/src/relay/load_message.rs
+++ b/crates/core/src/relay/load_message.rs
@@ -8,7 +8,7 @@
 
 use crate::relay::book::Work;
 use crate::relay::parts::Read;
-use crate::relay::suspects::Note;
+use crate::relay::suspects::CrashNote;
 use crate::relay::watchers::SyncStatus;
 
 /// Peers that get each heartbeat and each message about load. In a fleet with more peers, successive messages about load
@@ -46,7 +46,7 @@
     /// The sender's work, engine by engine.
     pub shares: Vec<EngineLoad>,
     /// Engines that broke off under a request lately.
-    pub notes: Vec<Note>,
+    pub notes: Vec<CrashNote>,
     /// What the sender has had read lately.
     pub reads: Vec<Read>,
     /// Revision of the store up to which the sender knows the engines.
@@ -61,7 +61,7 @@
 
 impl LoadMessage {
     /// The message about `work`; it says nothing of the store yet.
-    pub fn new(work: BTreeMap<String, Work>, notes: Vec<Note>, reads: Vec<Read>) -> LoadMessage {
+    pub fn new(work: BTreeMap<String, Work>, notes: Vec<CrashNote>, reads: Vec<Read>) -> LoadMessage {
         let shares = work.into_iter().map(|(engine, work)| EngineLoad {
             engine,
             requests: work.requests,
--- a/crates/core/src/relay/records.rs
+++ b/crates/core/src/relay/records.rs
@@ -11,14 +11,14 @@
 
 /// Since when engines are not there that have a record.
 #[derive(Debug, Clone, Default)]
-pub struct Absences {
+pub struct AbsentEngines {
     since: BTreeMap<String, Time>,
 }
 
-impl Absences {
+impl AbsentEngines {
     /// None.
-    pub fn new() -> Absences {
-        Absences::default()
+    pub fn new() -> AbsentEngines {
+        AbsentEngines::default()
     }
 
     /// The engines of `recorded` that were not there for `forget`, `known` asked at each look.
--- a/crates/core/src/relay/routes.rs
+++ b/crates/core/src/relay/routes.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 use crate::config::Repeat;
-use crate::relay::scale::Scale;
+use crate::relay::scale::ScalePolicy;
 use crate::relay::workspaces;
-use crate::relay::workspaces::Ages;
-use crate::relay::workspaces::Grant;
-use crate::relay::workspaces::KeyAges;
+use crate::relay::workspaces::KeyAccess;
+use crate::relay::workspaces::KeyAgeLimits;
+use crate::relay::workspaces::StoreAges;
 use crate::relay::workspaces::Workspaces;
 
 /// What may be repeated of a request, by the route it came on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
@@ -25,34 +25,34 @@
     Resumable,
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request that may have run may run again.
     pub fn repeat(self) -> Repeat {
         match self {
-            Kind::Idempotent | Kind::Resumable => Repeat::Safe,
-            Kind::Once | Kind::Stream => Repeat::Never,
+            RouteKind::Idempotent | RouteKind::Resumable => Repeat::Safe,
+            RouteKind::Once | RouteKind::Stream => Repeat::Never,
         }
     }
 
     /// Its name in metrics.
     pub fn label(self) -> &'static str {
         match self {
-            Kind::Idempotent => "idempotent",
-            Kind::Once => "once",
-            Kind::Stream => "stream",
-            Kind::Resumable => "resumable",
+            RouteKind::Idempotent => "idempotent",
+            RouteKind::Once => "once",
+            RouteKind::Stream => "stream",
+            RouteKind::Resumable => "resumable",
         }
     }
 
     /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream | Kind::Resumable)
+        matches!(self, RouteKind::Stream | RouteKind::Resumable)
     }
 }
 
 /// A service that a route leads to, with its part of the requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Target {
+pub struct RouteTarget {
     /// The service.
     pub service: String,
     /// Its part, against the sum of all parts.
@@ -69,23 +69,23 @@
     /// What their path begins with; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time for which a caller is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer, or the first event of a stream, is worth all.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Longest pause between two events of a stream that is on time.
-    pub pause: Duration,
+    pub gap_target: Duration,
     /// Rank; 0 goes first.
     pub priority: u8,
     /// Engines that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether its requests carry a prompt and gain from the engine that knows its parts.
-    pub affine: bool,
+    pub sticky: bool,
     /// Whether its requests need no key.
     pub public: bool,
     /// Where its requests go.
-    pub targets: Vec<Target>,
+    pub targets: Vec<RouteTarget>,
 }
 
 impl Route {
@@ -106,19 +106,19 @@
 
 /// What the engines of a service can do, as the operators describe it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Memory {
+pub struct EngineSpec {
     /// Tokens that an engine keeps.
-    pub tokens: u64,
+    pub cache_tokens: u64,
     /// Bytes of one token.
-    pub bytes: u64,
+    pub token_bytes: u64,
     /// Megabits a second of an engine's link.
-    pub megabits: f64,
+    pub link_megabits: f64,
     /// How long an engine keeps a prompt that was read for another.
-    pub keep: Duration,
+    pub cache_ttl: Duration,
     /// How long an engine is away when its stage changes.
-    pub switch: Duration,
+    pub switch_time: Duration,
     /// How many calls for cache events an engine keeps waiting.
-    pub waiting: u32,
+    pub max_polls: u32,
 }
 
 /// A service.
@@ -129,9 +129,9 @@
     /// Connections that one of its engines accepts from all callers, 0 if it doesn't say.
     pub connections: u32,
     /// Set where its engines run models.
-    pub memory: Option<Memory>,
+    pub engine_spec: Option<EngineSpec>,
     /// Set where its engines are bought as the work needs them.
-    pub scale: Option<Scale>,
+    pub scale: Option<ScalePolicy>,
 }
 
 impl Service {
@@ -145,31 +145,31 @@
 
 /// What a caller may send, and how long it may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Limits {
+pub struct CallerLimits {
     /// Largest body, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// How long a connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl Default for Limits {
+impl Default for CallerLimits {
     /// Before any configuration: more than any is known to allow, since whoever is refused then is refused for want of a
     /// configuration; and the idle time that the HTTP libraries use by default.
-    fn default() -> Limits {
-        Limits {
-            body: 16 << 20,
-            idle: Duration::from_secs(5),
+    fn default() -> CallerLimits {
+        CallerLimits {
+            max_body: 16 << 20,
+            idle_timeout: Duration::from_secs(5),
         }
     }
 }
 
 /// All routes and services of one version of the configuration.
 #[derive(Debug, Clone, Default)]
-pub struct Table {
+pub struct RoutingTable {
     /// The version; 0 before any.
     pub version: u64,
     /// Limits on callers.
-    pub limits: Limits,
+    pub limits: CallerLimits,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
     /// Who may ask, where callers have keys.
@@ -179,9 +179,14 @@
     ranks: BTreeMap<String, u8>,
 }
 
-impl Table {
+impl RoutingTable {
     /// A table of `routes` and `services`.
-    pub fn new(version: u64, limits: Limits, routes: Vec<Route>, services: Vec<Service>) -> Table {
+    pub fn new(
+        version: u64,
+        limits: CallerLimits,
+        routes: Vec<Route>,
+        services: Vec<Service>,
+    ) -> RoutingTable {
         let mut hosts: BTreeMap<String, BTreeMap<String, Arc<Route>>> = BTreeMap::new();
         for route in routes {
             let host = hosts.entry(route.host.to_ascii_lowercase()).or_default();
@@ -195,7 +200,7 @@
             }
         }
         let services = services.into_iter().map(|s| (s.name.clone(), s)).collect();
-        Table {
+        RoutingTable {
             version,
             limits,
             services,
@@ -206,15 +211,21 @@
     }
 
     /// The table with the workspaces whose keys callers need.
-    pub fn with_workspaces(self, workspaces: Option<Workspaces>) -> Table {
-        Table { workspaces, ..self }
+    pub fn with_workspaces(self, workspaces: Option<Workspaces>) -> RoutingTable {
+        RoutingTable { workspaces, ..self }
     }
 
     /// What a request's key allows on a route.
-    pub fn grant(&self, route: &Route, key: Option<&[u8]>, ages: Ages, limits: KeyAges) -> Grant<'_> {
+    pub fn grant(
+        &self,
+        route: &Route,
+        key: Option<&[u8]>,
+        ages: StoreAges,
+        limits: KeyAgeLimits,
+    ) -> KeyAccess<'_> {
         match &self.workspaces {
             Some(workspaces) if !route.public => workspaces::grant(workspaces, key, ages, limits),
-            _ => Grant::Open,
+            _ => KeyAccess::Open,
         }
     }
 
@@ -236,7 +247,7 @@
 
     /// Whether another route to one of the same services is more urgent than a request of this `priority`.
     pub fn is_outranked(&self, route: &Route, priority: u8) -> bool {
-        let rank = |target: &Target| self.ranks.get(&target.service).copied();
+        let rank = |target: &RouteTarget| self.ranks.get(&target.service).copied();
         let mut ranks = route.targets.iter().filter_map(rank);
         ranks.any(|rank| rank < priority)
     }
--- a/crates/core/src/relay/scale.rs
+++ b/crates/core/src/relay/scale.rs
@@ -20,35 +20,35 @@
 
 /// What operators allow and pay for a service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Scale {
+pub struct ScalePolicy {
     /// Engines of both kinds in a zone, at least.
-    pub least: u32,
+    pub min: u32,
     /// Engines of both kinds in a zone, at most.
-    pub most: u32,
+    pub max: u32,
     /// How long a new engine takes to start.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// What a spot engine costs against another, if there are any.
-    pub spot: Option<f64>,
+    pub spot_price: Option<f64>,
     /// What an engine costs in each zone.
-    pub prices: BTreeMap<String, f64>,
+    pub zone_prices: BTreeMap<String, f64>,
 }
 
 /// Engines of a service in a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Present {
+pub struct EngineCounts {
     /// Spot engines.
     pub spot: u32,
     /// The others.
     pub reserved: u32,
 }
 
-impl Present {
+impl EngineCounts {
     /// The engines that stay, by zone.
-    pub fn count<'e, I>(engines: I) -> BTreeMap<String, Present>
+    pub fn by_zone<'e, I>(engines: I) -> BTreeMap<String, EngineCounts>
     where
         I: Iterator<Item = &'e Entry>,
     {
-        let mut zones: BTreeMap<String, Present> = BTreeMap::new();
+        let mut zones: BTreeMap<String, EngineCounts> = BTreeMap::new();
         for entry in engines {
             let zone = zones.entry(entry.zone.clone()).or_default();
             match entry.spot {
@@ -66,7 +66,7 @@
 
 /// What is ordered: one kind of a service's engines in a zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Subject {
+pub struct EngineGroup {
     /// The service.
     pub service: String,
     /// The zone.
@@ -79,30 +79,30 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScaleOrder {
     /// What is ordered.
-    pub subject: Subject,
+    pub group: EngineGroup,
     /// How many there are to be.
     pub count: u32,
 }
 
 /// What is wanted in the end in a zone: nothing can be said unless spot engines are the cheaper ones.
-pub fn wanted(scale: &Scale) -> Option<Present> {
-    scale.spot.filter(|price| (0.0..1.0).contains(price))?;
-    let reserved = scale.least.max(1).min(scale.most);
-    let spot = scale.most - reserved;
-    Some(Present { spot, reserved })
+pub fn target_counts(scale: &ScalePolicy) -> Option<EngineCounts> {
+    scale.spot_price.filter(|price| (0.0..1.0).contains(price))?;
+    let reserved = scale.min.max(1).min(scale.max);
+    let spot = scale.max - reserved;
+    Some(EngineCounts { spot, reserved })
 }
 
 /// The numbers to be ordered now in a zone that has `present`: both kinds together never pass what is allowed, and no engine
 /// is given back before others have come in its place.
-fn next_counts(scale: &Scale, wanted: Present, present: Present) -> Present {
-    let spot = wanted.spot.min(scale.most.saturating_sub(present.reserved));
+fn next_counts(scale: &ScalePolicy, wanted: EngineCounts, present: EngineCounts) -> EngineCounts {
+    let spot = wanted.spot.min(scale.max.saturating_sub(present.reserved));
     // As many of the others may go as spot engines are there beyond those that would replace them.
     let kept = present.total().min(wanted.spot + wanted.reserved);
     let reserved = match present.spot >= spot {
         true => wanted.reserved,
         false => wanted.reserved.max(present.reserved.min(kept)),
     };
-    Present { spot, reserved }
+    EngineCounts { spot, reserved }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -116,7 +116,7 @@
 
 /// What was ordered by this instance since it acts for all.
 #[derive(Debug, Clone, Default)]
-pub struct Planner(BTreeMap<Subject, OrderState>);
+pub struct Planner(BTreeMap<EngineGroup, OrderState>);
 
 impl Planner {
     /// The orders that are due for a service whose engines are `present`.
@@ -124,13 +124,13 @@
         &self,
         now: Time,
         service: &str,
-        scale: &Scale,
-        present: &BTreeMap<String, Present>,
+        scale: &ScalePolicy,
+        present: &BTreeMap<String, EngineCounts>,
     ) -> Vec<ScaleOrder> {
-        let Some(wanted) = wanted(scale) else {
+        let Some(wanted) = target_counts(scale) else {
             return Vec::new();
         };
-        let orders = scale.prices.keys().flat_map(|zone| {
+        let orders = scale.zone_prices.keys().flat_map(|zone| {
             let here = present.get(zone).copied().unwrap_or_default();
             let next = next_counts(scale, wanted, here);
             let kinds = [
@@ -138,27 +138,30 @@
                 (false, next.reserved, here.reserved),
             ];
             kinds.into_iter().filter_map(move |(spot, count, there)| {
-                let subject = Subject {
+                let subject = EngineGroup {
                     service: service.to_string(),
                     zone: zone.clone(),
                     spot,
                 };
                 self.is_due(now, scale, &subject, count, there)
-                    .then_some(ScaleOrder { subject, count })
+                    .then_some(ScaleOrder {
+                        group: subject,
+                        count,
+                    })
             })
         });
         orders.collect()
     }
 
     /// A number that is there already needn't be ordered; one that was ordered is ordered again only if it doesn't come.
-    fn is_due(&self, now: Time, scale: &Scale, subject: &Subject, count: u32, there: u32) -> bool {
+    fn is_due(&self, now: Time, scale: &ScalePolicy, subject: &EngineGroup, count: u32, there: u32) -> bool {
         let Some(last) = self.0.get(subject) else {
             return count != there;
         };
         if now < last.paused_until {
             return false;
         }
-        let is_missing = there < count && now.since(last.at) > scale.boot + ARRIVAL_MARGIN;
+        let is_missing = there < count && now.since(last.at) > scale.boot_time + ARRIVAL_MARGIN;
         last.count != count || !last.accepted || is_missing
     }
 
@@ -181,6 +184,6 @@
             accepted,
             paused_until,
         };
-        self.0.insert(order.subject, ordered);
+        self.0.insert(order.group, ordered);
     }
 }
--- a/crates/core/src/relay/suspects.rs
+++ b/crates/core/src/relay/suspects.rs
@@ -14,10 +14,10 @@
 use crate::time::Time;
 
 /// Engines that must have broken off under a request before it is run no more. Two may be chance: links lose answers.
-pub const CRASHES: usize = 3;
+pub const MIN_CRASHES: usize = 3;
 
 /// How long what was seen counts: crashed engines are back after some seconds, and callers come again within minutes.
-pub const MEMORY: Duration = Duration::from_secs(120);
+pub const NOTE_TTL: Duration = Duration::from_secs(120);
 
 /// How long an instance tells the others in every message what it saw: some may be lost.
 const NEW_NOTE_TIME: Duration = Duration::from_millis(500);
@@ -39,7 +39,7 @@
 
 /// What an instance tells the others: this engine broke off under this request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Note {
+pub struct CrashNote {
     /// Hash of the request's method, path and body.
     pub request: u64,
     /// Hash of the engine's id.
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
     requests: BTreeMap<u64, BTreeMap<u64, Time>>,
-    own: VecDeque<(Time, Note)>,
+    own: VecDeque<(Time, CrashNote)>,
     /// When all of its own were last told.
     last_resend: Time,
 }
@@ -62,7 +62,7 @@
     }
 
     /// Notes what this instance saw.
-    pub fn on_break(&mut self, now: Time, note: Note) {
+    pub fn on_engine_broke(&mut self, now: Time, note: CrashNote) {
         self.own.push_back((now, note));
         if self.own.len() > MAX_OWN_NOTES {
             self.own.pop_front();
@@ -71,7 +71,7 @@
     }
 
     /// Notes what a peer saw, perhaps once more.
-    pub fn on_note(&mut self, now: Time, note: Note) {
+    pub fn on_note(&mut self, now: Time, note: CrashNote) {
         let engines = self.requests.entry(note.request).or_default();
         engines.entry(note.engine).or_insert(now);
         if self.requests.len() > MAX_REQUESTS {
@@ -80,8 +80,8 @@
     }
 
     /// What to tell the peers now.
-    pub fn notes(&mut self, now: Time) -> Vec<Note> {
-        self.own.retain(|(at, _)| now.since(*at) < MEMORY);
+    pub fn notes(&mut self, now: Time) -> Vec<CrashNote> {
+        self.own.retain(|(at, _)| now.since(*at) < NOTE_TTL);
         let again = now.since(self.last_resend) >= RESEND_INTERVAL;
         if again {
             self.last_resend = now;
@@ -92,15 +92,15 @@
     }
 
     /// Whether a request is run no more.
-    pub fn is_convicted(&self, now: Time, request: u64) -> bool {
+    pub fn is_blocked(&self, now: Time, request: u64) -> bool {
         let engines = self.requests.get(&request);
-        let recent = |at: &&Time| now.since(**at) < MEMORY;
-        engines.is_some_and(|engines| engines.values().filter(recent).count() >= CRASHES)
+        let recent = |at: &&Time| now.since(**at) < NOTE_TTL;
+        engines.is_some_and(|engines| engines.values().filter(recent).count() >= MIN_CRASHES)
     }
 
     fn evict(&mut self, now: Time) {
         self.requests.retain(|_, engines| {
-            engines.retain(|_, at| now.since(*at) < MEMORY);
+            engines.retain(|_, at| now.since(*at) < NOTE_TTL);
             !engines.is_empty()
         });
         while self.requests.len() > MAX_REQUESTS {
--- a/crates/core/src/relay/truth.rs
+++ b/crates/core/src/relay/true_time.rs
@@ -59,7 +59,7 @@
     }
 
     /// How far true time is ahead of the monotonic clock here, in microseconds; `None` before any clock was last_seen.
-    pub fn lead(&mut self, now: Time) -> Option<u64> {
+    pub fn offset(&mut self, now: Time) -> Option<u64> {
         self.0.retain(|_, lead| now.since(lead.last_seen) < CLOCK_TTL);
         let mut leads: Vec<u64> = self.0.values().map(|l| l.current.max(l.previous)).collect();
         leads.sort_unstable();
--- a/crates/core/src/relay/usage.rs
+++ b/crates/core/src/relay/usage.rs
@@ -65,7 +65,7 @@
     }
 
     /// The same counts in parts of at most `most` workspaces of a window each: a message has an end.
-    pub fn parts(&self, most: usize) -> Vec<Tally> {
+    pub fn chunks(&self, most: usize) -> Vec<Tally> {
         let windows = self.0.iter().flat_map(|(window, counts)| {
             let all: Vec<(&String, &u64)> = counts.iter().collect();
             let parts = all.chunks(most.max(1)).map(|part| {
@@ -88,7 +88,7 @@
 
 /// A process that counts: another start of an instance begins anew.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Source {
+pub struct CountSource {
     /// The instance.
     pub instance: String,
     /// Its start.
@@ -97,7 +97,7 @@
 
 /// What an instance tells of its counts: running ones, so that the later of two messages says more.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct CountsMessage {
     /// The start of the sender.
     pub process: u64,
     /// Its counts of the latest windows.
@@ -106,11 +106,11 @@
 
 /// The counts of all instances.
 #[derive(Debug, Clone, Default)]
-pub struct Sums(BTreeMap<Source, Tally>);
+pub struct FleetCounts(BTreeMap<CountSource, Tally>);
 
-impl Sums {
+impl FleetCounts {
     /// Takes what an instance tells. Messages may cross: running counts never fall.
-    pub fn on_told(&mut self, source: Source, tally: Tally) {
+    pub fn on_counts(&mut self, source: CountSource, tally: Tally) {
         let known = self.0.entry(source).or_default();
         for (window, counts) in tally.0 {
             let known = known.0.entry(window).or_default();
@@ -119,7 +119,7 @@
                 *former = count.max(*former);
             }
         }
-        let latest = self.latest();
+        let latest = self.latest_window();
         let horizon = Window(latest.0.saturating_sub(MAX_WINDOWS as u64));
         for tally in self.0.values_mut() {
             tally.0 = tally.0.split_off(&horizon);
@@ -139,7 +139,7 @@
     }
 
     /// The first window of which something is known.
-    pub fn first(&self) -> Option<Window> {
+    pub fn first_window(&self) -> Option<Window> {
         self.0
             .values()
             .filter_map(|tally| tally.0.keys().next())
@@ -147,7 +147,7 @@
             .copied()
     }
 
-    fn latest(&self) -> Window {
+    fn latest_window(&self) -> Window {
         let latest = self
             .0
             .values()
@@ -171,23 +171,29 @@
 /// Failure guarded against: two holders report a window with different counts. What is reported is written here first, on
 /// the condition that nobody else has changed it, and then only repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Decided {
+pub struct DecidedReports {
     /// No earlier window is decided on any more.
     pub next: Window,
     /// Reports that the platform may not have yet.
     pub open: Vec<Report>,
 }
 
-impl Decided {
+impl DecidedReports {
     /// Nothing before `next`.
-    pub fn from(next: Window) -> Decided {
+    pub fn starting_at(next: Window) -> DecidedReports {
         let open = Vec::new();
-        Decided { next, open }
+        DecidedReports { next, open }
     }
 
     /// With the reports of the windows up to `next`, and without those that the platform has accepted; at most the latest
     /// `most` stay.
-    pub fn with(&self, next: Window, reports: Vec<Report>, accepted: &[Window], most: usize) -> Decided {
+    pub fn advance(
+        &self,
+        next: Window,
+        reports: Vec<Report>,
+        accepted: &[Window],
+        most: usize,
+    ) -> DecidedReports {
         let open = self
             .open
             .iter()
@@ -195,6 +201,6 @@
             .cloned();
         let mut open: Vec<Report> = open.chain(reports).collect();
         open.drain(..open.len().saturating_sub(most));
-        Decided { next, open }
+        DecidedReports { next, open }
     }
 }
--- a/crates/core/src/relay/workspaces.rs
+++ b/crates/core/src/relay/workspaces.rs
@@ -52,10 +52,10 @@
     Unnamed,
     /// Two have the same name.
     #[error("two workspaces of the name {0}")]
-    Repeated(String),
+    DuplicateName(String),
     /// Two hold the same key.
     #[error("the workspaces {0} and {1} hold the same key")]
-    Shared(String, String),
+    SharedKey(String, String),
 }
 
 /// A workspace's place in the configuration.
@@ -84,13 +84,13 @@
                 return Err(WorkspacesError::Unnamed);
             }
             if names.insert(&workspace.name, place).is_some() {
-                return Err(WorkspacesError::Repeated(workspace.name.clone()));
+                return Err(WorkspacesError::DuplicateName(workspace.name.clone()));
             }
             for key in &workspace.keys {
                 let former = holders.insert(*key, place).filter(|former| *former != place);
                 if let Some(former) = former {
                     let first = all[former.0].name.clone();
-                    return Err(WorkspacesError::Shared(first, workspace.name.clone()));
+                    return Err(WorkspacesError::SharedKey(first, workspace.name.clone()));
                 }
             }
         }
@@ -115,54 +115,59 @@
 
 /// How old what is known of keys may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeyAges {
+pub struct KeyAgeLimits {
     /// Within which time a change must be in force here.
     pub change: Duration,
     /// After which time a key that was taken away must not work anywhere, if that is asked for.
     pub revoke: Option<Duration>,
 }
 
-impl KeyAges {
+impl KeyAgeLimits {
     /// The age from which on nothing can be said of keys, if there is one.
-    pub fn limit(&self) -> Option<Duration> {
+    pub fn max_proof_age(&self) -> Option<Duration> {
         self.revoke.map(|revoke| revoke.mul_f64(PROOF_FRACTION))
     }
 }
 
 /// How old what is known of the store is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ages {
+pub struct StoreAges {
     /// By the messages of peers.
-    pub heard: Duration,
+    pub reported: Duration,
     /// By proof: nothing happened that is not known, up to so long ago; the longest time without one.
     pub proven: Duration,
 }
 
 /// What a request's key allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Grant<'a> {
+pub enum KeyAccess<'a> {
     /// No key is needed.
     Open,
     /// It is a request of this workspace.
-    Held(&'a Workspace),
+    Granted(&'a Workspace),
     /// Nobody holds the key.
     Denied,
     /// What is known is too old to tell: the caller may ask elsewhere.
-    Unsure,
+    Unknown,
 }
 
 /// What the key of a request allows on a route that needs one.
 ///
 /// Failures guarded against: an instance that lost touch runs requests with a key that was taken away long ago; one that
 /// lags denies a key that was just added, and its caller, for whom that is final, never asks again.
-pub fn grant<'a>(workspaces: &'a Workspaces, key: Option<&[u8]>, ages: Ages, limits: KeyAges) -> Grant<'a> {
-    if limits.limit().is_some_and(|limit| ages.proven > limit) {
-        return Grant::Unsure;
+pub fn grant<'a>(
+    workspaces: &'a Workspaces,
+    key: Option<&[u8]>,
+    ages: StoreAges,
+    limits: KeyAgeLimits,
+) -> KeyAccess<'a> {
+    if limits.max_proof_age().is_some_and(|limit| ages.proven > limit) {
+        return KeyAccess::Unknown;
     }
     let holder = key.and_then(|key| workspaces.holder(KeyDigest::of(key)));
     match holder {
-        Some(workspace) => Grant::Held(workspace),
-        None if ages.heard > limits.change => Grant::Unsure,
-        None => Grant::Denied,
+        Some(workspace) => KeyAccess::Granted(workspace),
+        None if ages.reported > limits.change => KeyAccess::Unknown,
+        None => KeyAccess::Denied,
     }
 }
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -17,7 +17,7 @@
 use sequoiastream_core::poison::Fingerprint;
 use sequoiastream_core::poison::Note;
 use sequoiastream_core::relay::load_message::LoadMessage;
-use sequoiastream_core::relay::usage::Told;
+use sequoiastream_core::relay::usage::CountsMessage;
 use sequoiastream_core::time::WallTime;
 use serde::Deserialize;
 use serde::Serialize;
@@ -36,7 +36,7 @@
     /// Answers that question.
     Proof(StoreProof),
     /// Requests that engines began for the sender.
-    Counts(Told),
+    Counts(CountsMessage),
 }
 
 /// A question over TCP.
--- a/src/ops/relay/edge.rs
+++ b/src/ops/relay/edge.rs
@@ -4,7 +4,7 @@
 use sequoiastream_core::relay::engines::Entry;
 use sequoiastream_core::relay::engines::Stage;
 use sequoiastream_core::relay::prompt::Prompt;
-use sequoiastream_core::relay::routes::Table;
+use sequoiastream_core::relay::routes::RoutingTable;
 use sequoiastream_core::relay::scale::ScaleOrder;
 use sequoiastream_core::relay::usage::Counts;
 use sequoiastream_core::relay::usage::Window;
@@ -152,7 +152,7 @@
     /// # Errors
     ///
     /// [`Malformed`] if it can't be read.
-    fn config(&self, value: &[u8]) -> Result<Table, Malformed>;
+    fn config(&self, value: &[u8]) -> Result<RoutingTable, Malformed>;
 
     /// Reads an engine's entry.
     ///
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -22,8 +22,8 @@
 use sequoiastream_core::relay::engines::Engines;
 use sequoiastream_core::relay::engines::Entry;
 use sequoiastream_core::relay::engines::News;
-use sequoiastream_core::relay::lead::Record;
-use sequoiastream_core::relay::routes::Table;
+use sequoiastream_core::relay::leader_lease::LeaseRecord;
+use sequoiastream_core::relay::routes::RoutingTable;
 use sequoiastream_core::relay::watchers;
 use sequoiastream_core::relay::watchers::ApplyLimit;
 use sequoiastream_core::relay::watchers::SyncStatus;
@@ -104,7 +104,7 @@
     known: Known,
     engines: Engines,
     ordered: Ordered,
-    lead: Option<Record>,
+    lead: Option<LeaseRecord>,
     /// Revision of the configuration that is in force.
     config: u64,
     failures: u32,
@@ -409,7 +409,7 @@
     }
 
     /// Versions never go back, whoever offers them.
-    fn install(&mut self, revision: u64, table: Table) {
+    fn install(&mut self, revision: u64, table: RoutingTable) {
         let before = self.shared.view.load().table.version;
         if table.version < before {
             log_event!(warn, log_event::CONFIG_STALE, before, offered = table.version);
--- a/src/ops/relay/forward.rs
+++ b/src/ops/relay/forward.rs
@@ -20,7 +20,7 @@
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::hash::Hash;
 use sequoiastream_core::relay::routes::Route;
-use sequoiastream_core::relay::suspects::Note;
+use sequoiastream_core::relay::suspects::CrashNote;
 use sequoiastream_core::retry;
 use sequoiastream_core::time::Time;
 use sequoiastream_upstream::channel::Answer;
@@ -94,7 +94,7 @@
         running: Running,
     ) -> Forward {
         let draw = Hash::new().with(ask.id.as_bytes()).value();
-        let attempts = Attempts::new(route.kind.repeat(), Bound::Sent(route.attempts));
+        let attempts = Attempts::new(route.kind.repeat(), Bound::Sent(route.max_attempts));
         let service = route.service(draw).map(str::to_string);
         Forward {
             shared,
@@ -119,12 +119,12 @@
     /// Makes the attempts and returns the final answer.
     pub async fn run(mut self) -> HttpResponse {
         if let Some(print) = self.ask.print
-            && self.shared.ledger().suspects.is_convicted(clock::now(), print)
+            && self.shared.ledger().suspects.is_blocked(clock::now(), print)
         {
             return self.finish(Reply::Convicted);
         }
         if let Some(service) = &self.service {
-            self.shared.ledger().budget.request(clock::now(), service);
+            self.shared.ledger().budget.on_request(clock::now(), service);
         }
         if self.route.kind.is_stream() {
             return self.stream().await;
@@ -363,7 +363,9 @@
         };
         let engine = engine.hash;
         let mut ledger = self.shared.ledger();
-        ledger.suspects.on_break(clock::now(), Note { request, engine });
+        ledger
+            .suspects
+            .on_engine_broke(clock::now(), CrashNote { request, engine });
     }
 
     /// Whether another attempt may follow one that ended so: by what it proved, and by the budget of all.
@@ -389,7 +391,11 @@
             return false;
         };
         let instances = self.shared.view.load().instances;
-        let allowed = self.shared.ledger().budget.take(clock::now(), service, instances);
+        let allowed = self
+            .shared
+            .ledger()
+            .budget
+            .try_take(clock::now(), service, instances);
         self.shared.metrics.extra(allowed);
         allowed
     }
--- a/src/ops/relay/gauges.rs
+++ b/src/ops/relay/gauges.rs
@@ -33,7 +33,7 @@
         let own = sum(engines.iter().map(|e| ledger.book.own(e.key)));
         let fleet = sum(engines.iter().map(|e| ledger.book.work(now, e.key)));
         let slots: u32 = engines.iter().map(|e| e.entry.slots).sum();
-        let left = ledger.budget.left(now, service, view.instances);
+        let left = ledger.budget.remaining(now, service, view.instances);
         metrics.work(service, "own", own.requests);
         metrics.work(service, "fleet", fleet.requests);
         metrics.work(service, "slots", slots);
--- a/src/ops/relay/lead.rs
+++ b/src/ops/relay/lead.rs
@@ -1,4 +1,4 @@
-//! Holding the lease under which one instance acts for all, as [`sequoiastream_core::relay::lead`] decides.
+//! Holding the lease under which one instance acts for all, as [`sequoiastream_core::relay::leader_lease`] decides.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,9 +7,9 @@
 
 use bytes::Bytes;
 use sequoiastream_core::log_event;
-use sequoiastream_core::relay::lead::Lead;
-use sequoiastream_core::relay::lead::Record;
-use sequoiastream_core::relay::lead::Step;
+use sequoiastream_core::relay::leader_lease::LeaderLease;
+use sequoiastream_core::relay::leader_lease::LeaseAction;
+use sequoiastream_core::relay::leader_lease::LeaseRecord;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Item;
 use sequoiastream_kv::store::LeaseId;
@@ -37,7 +37,7 @@
 }
 
 /// The record of a holder in the store, if the item is one.
-pub fn record(translate: &dyn Translate, item: &Item) -> Option<Record> {
+pub fn record(translate: &dyn Translate, item: &Item) -> Option<LeaseRecord> {
     if item.key != translate.keys().lead {
         return None;
     }
@@ -49,7 +49,7 @@
             process: String::new(),
         }
     });
-    Some(Record {
+    Some(LeaseRecord {
         holder: card.holder,
         process: card.process,
         revision: item.created,
@@ -58,7 +58,7 @@
 
 #[derive(Debug)]
 struct State {
-    lead: RefCell<Lead>,
+    lead: RefCell<LeaderLease>,
     lease: RefCell<Option<LeaseId>>,
     process: String,
 }
@@ -77,7 +77,7 @@
 /// Competes for leases of the time `lease`, and keeps one that it got.
 pub fn start(shared: Arc<Shared>, store: Rc<dyn Store>, lease: Duration) -> Leadership {
     let leadership = Leadership(Rc::new(State {
-        lead: RefCell::new(Lead::new(lease)),
+        lead: RefCell::new(LeaderLease::new(lease)),
         lease: RefCell::default(),
         process: Uuid::new_v4().to_string(),
     }));
@@ -100,11 +100,11 @@
             .metrics
             .leads
             .set(i64::from(leadership.fence(now).is_some()));
-        let step = leadership.0.lead.borrow_mut().step(now, is_free, rank);
+        let step = leadership.0.lead.borrow_mut().next_action(now, is_free, rank);
         match step {
-            Step::Rest => {}
-            Step::Renew => leadership.renew(store.as_ref()).await,
-            Step::Take => leadership.take(&shared, store.as_ref()).await,
+            LeaseAction::Wait => {}
+            LeaseAction::Renew => leadership.renew(store.as_ref()).await,
+            LeaseAction::Acquire => leadership.take(&shared, store.as_ref()).await,
         }
     }
 }
@@ -115,7 +115,7 @@
         match self.create(shared, store).await {
             Ok(Some((lease, fence))) => {
                 *self.0.lease.borrow_mut() = Some(lease);
-                self.0.lead.borrow_mut().on_taken(clock::now(), sent, fence);
+                self.0.lead.borrow_mut().on_acquired(clock::now(), sent, fence);
                 log_event!(info, log_event::LEAD_TAKEN, fence);
             }
             Ok(None) => self.0.lead.borrow_mut().on_failure(clock::now()),
--- a/src/ops/relay/options.rs
+++ b/src/ops/relay/options.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use sequoiastream_core::name::Name;
-use sequoiastream_core::relay::budget::Rule;
+use sequoiastream_core::relay::budget::BudgetLimits;
 use sequoiastream_core::relay::watchers::ApplyLimit;
-use sequoiastream_core::relay::workspaces::KeyAges;
+use sequoiastream_core::relay::workspaces::KeyAgeLimits;
 
 /// How long callers are told to keep an answer about addresses. Some keep it three times as long: that must pass
 /// within the grace period of a shutdown, with time left for the longest streams: these take five seconds.
@@ -79,13 +79,13 @@
     /// Time between SIGTERM and the end.
     pub grace: Duration,
     /// What bounds extra attempts.
-    pub rule: Rule,
+    pub rule: BudgetLimits,
     /// Part of a service's model engines that read prompts for the others, 0 to 1.
     pub readers: f64,
     /// Within which time a change of the store must be in force here.
     pub bound: ApplyLimit,
     /// How old what is known of callers' keys may be.
-    pub keys: KeyAges,
+    pub keys: KeyAgeLimits,
     /// How long an engine must be gone until the record of its order is removed, and how long an instance must not be
     /// heard until its key is removed.
     pub forget: Duration,
--- a/src/ops/relay/orders.rs
+++ b/src/ops/relay/orders.rs
@@ -17,7 +17,7 @@
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::engines::Entry;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::records::Absences;
+use sequoiastream_core::relay::records::AbsentEngines;
 use sequoiastream_core::relay::stages::StageOrder;
 use sequoiastream_core::relay::stages::limit_readers;
 use sequoiastream_core::relay::stages::plan;
@@ -158,7 +158,7 @@
     let mut tried: BTreeSet<String> = BTreeSet::new();
     let mut due: BTreeMap<String, u32> = BTreeMap::new();
     let mut steady = Steady::default();
-    let mut absences = Absences::new();
+    let mut absences = AbsentEngines::new();
     loop {
         tokio::time::sleep(LOOK).await;
         if shared.is_leaving() || !shared.view.load().is_configured() {
@@ -238,7 +238,7 @@
 }
 
 /// Engines with a record that are gone for so long that nobody needs it.
-fn absent(shared: &Shared, absences: &mut Absences) -> Vec<String> {
+fn absent(shared: &Shared, absences: &mut AbsentEngines) -> Vec<String> {
     let view = shared.view.load();
     let keys = view.keys();
     let recorded = view.ordered.engines().keys().map(String::as_str);
--- a/src/ops/relay/peers/counts.rs
+++ b/src/ops/relay/peers/counts.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use sequoiastream_core::name::Name;
-use sequoiastream_core::relay::truth::TrueTime;
+use sequoiastream_core::relay::true_time::TrueTime;
+use sequoiastream_core::relay::usage::CountSource;
 use sequoiastream_core::relay::usage::Counts;
-use sequoiastream_core::relay::usage::Source;
-use sequoiastream_core::relay::usage::Sums;
-use sequoiastream_core::relay::usage::Told;
+use sequoiastream_core::relay::usage::CountsMessage;
+use sequoiastream_core::relay::usage::FleetCounts;
 use sequoiastream_core::relay::usage::Window;
 use sequoiastream_core::time::Time;
 use sequoiastream_peer::message::Datagram;
@@ -34,7 +34,7 @@
 /// What is counted here and heard of others.
 #[derive(Debug, Default)]
 pub(super) struct Tallies {
-    sums: RefCell<Sums>,
+    sums: RefCell<FleetCounts>,
     truth: RefCell<TrueTime>,
     /// Instances that sum up, besides the holder of the lease.
     stand_by: RefCell<Vec<SocketAddr>>,
@@ -61,12 +61,12 @@
     }
 
     /// Takes what a peer counted.
-    pub(super) fn on_counts(&self, name: &Name, told: Told) {
-        let source = Source {
+    pub(super) fn on_counts(&self, name: &Name, told: CountsMessage) {
+        let source = CountSource {
             instance: name.to_string(),
             process: told.process,
         };
-        self.0.tallies.sums.borrow_mut().on_told(source, told.tally);
+        self.0.tallies.sums.borrow_mut().on_counts(source, told.tally);
     }
 
     /// Notes who sums up: those who come first among the live instances.
@@ -86,7 +86,7 @@
         }
         tallies.told.set(now);
         self.on_clock(now, &shared.options.name, clock::wall_micros());
-        if let Some(lead) = tallies.truth.borrow_mut().lead(now) {
+        if let Some(lead) = tallies.truth.borrow_mut().offset(now) {
             shared.on_truth(lead);
         }
         let current = Window::at(shared.true_micros(now), acts.window);
@@ -96,7 +96,7 @@
             return;
         }
         let counters = self.counters();
-        let parts = tally.parts(MOST).into_iter().map(|tally| Told {
+        let parts = tally.chunks(MOST).into_iter().map(|tally| CountsMessage {
             process: tallies.process,
             tally,
         });
@@ -121,7 +121,7 @@
 
     /// The first window of which something was counted.
     pub fn first_counted(&self) -> Option<Window> {
-        self.0.tallies.sums.borrow().first()
+        self.0.tallies.sums.borrow().first_window()
     }
 
     /// What all instances counted in a window.
--- a/src/ops/relay/peers/roster.rs
+++ b/src/ops/relay/peers/roster.rs
@@ -10,7 +10,7 @@
 use sequoiastream_core::membership::Peer;
 use sequoiastream_core::membership::Roster;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::relay::directory::Entrance;
+use sequoiastream_core::relay::directory::Endpoint;
 use sequoiastream_core::relay::watchers;
 use sequoiastream_core::relay::watchers::Candidate;
 use sequoiastream_core::relay::watchers::FleetRank;
@@ -58,10 +58,10 @@
     }
 
     /// Where callers may go, each address once.
-    fn entrances(&self, roster: &Roster) -> Vec<Entrance> {
+    fn entrances(&self, roster: &Roster) -> Vec<Endpoint> {
         let listed = self.0.listed.borrow();
         let options = &self.0.shared.options;
-        let own = self.0.shared.is_ready().then(|| Entrance {
+        let own = self.0.shared.is_ready().then(|| Endpoint {
             address: options.front,
             zone: options.zone.clone(),
             capacity: options.capacity,
@@ -76,12 +76,12 @@
             true => open,
             false => proven,
         };
-        let open = named.into_iter().map(|p| Entrance {
+        let open = named.into_iter().map(|p| Endpoint {
             address: p.address,
             zone: p.zone.clone(),
             capacity: listed.get(&p.name).map_or(0, |l| l.capacity),
         });
-        let mut entrances: Vec<Entrance> = open.chain(own).collect();
+        let mut entrances: Vec<Endpoint> = open.chain(own).collect();
         entrances.sort();
         entrances.dedup_by_key(|e| e.address);
         entrances
--- a/src/ops/relay/pick.rs
+++ b/src/ops/relay/pick.rs
@@ -141,7 +141,7 @@
                 .table
                 .services
                 .get(service)
-                .and_then(|s| Some(s.memory.as_ref()?.tokens)),
+                .and_then(|s| Some(s.engine_spec.as_ref()?.cache_tokens)),
             turns: turns(view.instances.saturating_sub(1)),
             draw: self.draw,
         };
--- a/src/ops/relay/reading.rs
+++ b/src/ops/relay/reading.rs
@@ -179,7 +179,7 @@
     /// Failure guarded against: the longest prompts take longer than their target on an engine that has nothing else to
     /// do, and are refused for ever. What waits for little besides itself is served, late if need be.
     pub(super) fn would_be_late(&mut self, takes: Duration, wait: Duration) -> bool {
-        let is_late = !self.is_on_time(takes) && wait > self.route.target.mul_f64(SHORT_WAIT);
+        let is_late = !self.is_on_time(takes) && wait > self.route.latency_target.mul_f64(SHORT_WAIT);
         if is_late {
             let why = "it would be late";
             self.refusal = Some(Refusal { why, takes });
@@ -193,6 +193,6 @@
     /// never idle and never late serves the most. Whoever is refused knows at once.
     fn is_on_time(&self, takes: Duration) -> bool {
         let passed = clock::now().since(self.ask.arrived);
-        self.route.target.is_zero() || passed + takes <= self.route.target.mul_f64(ON_TIME)
+        self.route.latency_target.is_zero() || passed + takes <= self.route.latency_target.mul_f64(ON_TIME)
     }
 }
--- a/src/ops/relay/register.rs
+++ b/src/ops/relay/register.rs
@@ -15,7 +15,7 @@
 use sequoiastream_core::membership::Listing;
 use sequoiastream_core::membership::MemberState;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::relay::records::Absences;
+use sequoiastream_core::relay::records::AbsentEngines;
 use sequoiastream_kv::store::Item;
 use sequoiastream_kv::store::Put;
 use sequoiastream_kv::store::Store;
@@ -99,7 +99,7 @@
             fleet,
             written_revision: None,
             needs_listing: false,
-            absences: Absences::new(),
+            absences: AbsentEngines::new(),
         };
         let mut pause = START_DELAY;
         loop {
@@ -133,7 +133,7 @@
     written_revision: Option<u64>,
     /// Whether the next check lists the instances of the zone.
     needs_listing: bool,
-    absences: Absences,
+    absences: AbsentEngines,
 }
 
 impl Registrar {
--- a/src/ops/relay/scaling.rs
+++ b/src/ops/relay/scaling.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use sequoiastream_core::log_event;
+use sequoiastream_core::relay::scale::EngineCounts;
 use sequoiastream_core::relay::scale::Planner;
-use sequoiastream_core::relay::scale::Present;
 use sequoiastream_core::relay::scale::ScaleOrder;
-use sequoiastream_core::relay::scale::wanted;
+use sequoiastream_core::relay::scale::target_counts;
 
 use crate::log_event;
 use crate::ops::relay::cloud::Cloud;
@@ -45,7 +45,7 @@
         if service
             .scale
             .as_ref()
-            .is_some_and(|scale| wanted(scale).is_none())
+            .is_some_and(|scale| target_counts(scale).is_none())
         {
             log_event!(warn, log_event::SCALE_HELD, service = service.name);
         }
@@ -60,7 +60,7 @@
         let scale = service.scale.as_ref()?;
         // A service without any engine known is one of which too little is known.
         let engines = view.engines().get(&service.name)?;
-        let present = Present::count(engines.iter().map(|e| &e.entry));
+        let present = EngineCounts::by_zone(engines.iter().map(|e| &e.entry));
         Some(planner.due(now, &service.name, scale, &present))
     });
     orders.flatten().collect()
@@ -68,7 +68,7 @@
 
 async fn give(shared: &Shared, cloud: &Cloud, planner: &mut Planner, order: ScaleOrder) {
     let body = shared.translate.scale(&order);
-    let (zone, spot, count) = (order.subject.zone.clone(), order.subject.spot, order.count);
+    let (zone, spot, count) = (order.group.zone.clone(), order.group.spot, order.count);
     match cloud.post(&shared.translate.paths().scale, body).await {
         Ok(()) => {
             log_event!(info, log_event::SCALE_ORDERED, zone, spot, count);
--- a/src/ops/relay/server.rs
+++ b/src/ops/relay/server.rs
@@ -22,9 +22,9 @@
 use sequoiastream_core::log_event;
 use sequoiastream_core::relay::directory;
 use sequoiastream_core::relay::routes::Route;
-use sequoiastream_core::relay::workspaces::Ages;
-use sequoiastream_core::relay::workspaces::Grant;
+use sequoiastream_core::relay::workspaces::KeyAccess;
 use sequoiastream_core::relay::workspaces::KeyDigest;
+use sequoiastream_core::relay::workspaces::StoreAges;
 use sequoiastream_upstream::channel::Pool;
 
 use crate::log_event;
@@ -166,7 +166,7 @@
     // Before the view: what was in force up to then is in it.
     let ages = shared.ages(arrived);
     let view = shared.view.load_full();
-    let most = view.table.limits.body;
+    let most = view.table.limits.max_body;
     if declared(request) > most {
         return refuse(shared, Reply::TooLong);
     }
@@ -189,8 +189,8 @@
     };
     let key = head.key.as_ref().map(|key| key.as_bytes());
     let workspace = match view.table.grant(&route, key, ages, shared.tuning().keys) {
-        Grant::Open => None,
-        Grant::Held(workspace) => Some(workspace),
+        KeyAccess::Open => None,
+        KeyAccess::Granted(workspace) => Some(workspace),
         refused => return turn_away(shared, &route, key, ages, refused),
     };
     let ask = match head.into_ask(shared, &route, workspace, arrived, body) {
@@ -216,16 +216,16 @@
     shared: &Shared,
     route: &Route,
     key: Option<&[u8]>,
-    ages: Ages,
-    grant: Grant<'_>,
+    ages: StoreAges,
+    grant: KeyAccess<'_>,
 ) -> HttpResponse {
     let reply = match grant {
-        Grant::Denied => Reply::Denied,
+        KeyAccess::Denied => Reply::Denied,
         _ => Reply::Refused(ELSEWHERE),
     };
     let digest = key.map(|key| KeyDigest::of(key).to_string());
     log_event!(info, log_event::KEY_REFUSED, outcome = reply.label(), route = %route.name, key = digest,
-        heard = ages.heard.as_millis() as u64, proven = ages.proven.as_millis() as u64);
+        heard = ages.reported.as_millis() as u64, proven = ages.proven.as_millis() as u64);
     refuse(shared, reply)
 }
 
--- a/src/ops/relay/shared.rs
+++ b/src/ops/relay/shared.rs
@@ -12,16 +12,16 @@
 
 use arc_swap::ArcSwap;
 use sequoiastream_core::relay::book::Book;
-use sequoiastream_core::relay::budget::Budget;
-use sequoiastream_core::relay::directory::Entrance;
+use sequoiastream_core::relay::budget::RetryBudget;
+use sequoiastream_core::relay::directory::Endpoint;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
-use sequoiastream_core::relay::lead::Record;
-use sequoiastream_core::relay::routes::Table;
+use sequoiastream_core::relay::leader_lease::LeaseRecord;
+use sequoiastream_core::relay::routes::RoutingTable;
 use sequoiastream_core::relay::suspects::Suspects;
 use sequoiastream_core::relay::usage::Tally;
 use sequoiastream_core::relay::usage::Window;
-use sequoiastream_core::relay::workspaces::Ages;
+use sequoiastream_core::relay::workspaces::StoreAges;
 use sequoiastream_core::time::Time;
 
 use crate::ops::relay::edge::Translate;
@@ -39,14 +39,14 @@
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// Routes and services.
-    pub table: Arc<Table>,
+    pub table: Arc<RoutingTable>,
     engines: Arc<BTreeMap<String, Vec<Engine>>>,
     /// Derived from them: each message about load needs it.
     keys: Arc<BTreeMap<String, EngineKey>>,
     hashes: Arc<BTreeMap<u64, EngineKey>>,
     ids: Arc<BTreeMap<EngineKey, String>>,
     /// Where callers may go, this instance included.
-    pub entrances: Vec<Entrance>,
+    pub entrances: Vec<Endpoint>,
     /// Engines that have had their order.
     pub ordered: Arc<Ordered>,
     /// Place of this instance among the live ones, by name.
@@ -54,7 +54,7 @@
     /// Instances that share the budget of extra attempts.
     pub instances: usize,
     /// Who acts for all towards the platform's API.
-    pub lead: Option<Record>,
+    pub lead: Option<LeaseRecord>,
 }
 
 impl View {
@@ -101,7 +101,7 @@
     /// Load and health of engines.
     pub book: Book,
     /// Budget of extra attempts.
-    pub budget: Budget,
+    pub budget: RetryBudget,
     /// Requests that crash engines.
     pub suspects: Suspects,
     /// Requests that engines began, by window and workspace.
@@ -145,7 +145,7 @@
     pub fn new(options: Options, translate: Arc<dyn Translate>, budget: SharedBudget) -> Shared {
         let ledger = Ledger {
             book: Book::new(),
-            budget: Budget::new(options.tuning.rule),
+            budget: RetryBudget::new(options.tuning.rule),
             suspects: Suspects::new(),
             tally: Tally::default(),
         };
@@ -171,7 +171,7 @@
 
     /// Puts changed settings into force.
     pub fn tune(&self, tuning: Tuning) {
-        self.ledger().budget.set_rule(tuning.rule);
+        self.ledger().budget.set_limits(tuning.rule);
         self.tuning.store(Arc::new(tuning));
     }
 
@@ -209,13 +209,16 @@
     }
 
     /// How old what is known of the store may be.
-    pub fn ages(&self, now: Time) -> Ages {
+    pub fn ages(&self, now: Time) -> StoreAges {
         let proven = match self.proven.load(Ordering::SeqCst) {
             0 => Duration::MAX,
             micros => now.since(Time::from_micros(micros)),
         };
         let heard = self.store_age(now);
-        Ages { heard, proven }
+        StoreAges {
+            reported: heard,
+            proven,
+        }
     }
 
     /// Notes how far true time is ahead of the monotonic clock, in microseconds.
@@ -242,7 +245,7 @@
     /// How old a proof of what is known of the store may be; `None` where callers have no keys.
     pub fn proof_limit(&self) -> Option<Duration> {
         self.view.load().table.workspaces.as_ref()?;
-        self.tuning().keys.limit()
+        self.tuning().keys.max_proof_age()
     }
 
     /// Whether requests with keys may be let in.
--- a/src/ops/relay/stream.rs
+++ b/src/ops/relay/stream.rs
@@ -169,7 +169,9 @@
     fn limit(&self) -> Duration {
         let left = self.forward.ask.left();
         match self.forward.patience(Duration::ZERO) {
-            Some(_) => (self.forward.route.pause * GAP_PAUSES).max(LEAST_GAP).min(left),
+            Some(_) => (self.forward.route.gap_target * GAP_PAUSES)
+                .max(LEAST_GAP)
+                .min(left),
             None => left,
         }
     }
--- a/src/ops/relay/usage.rs
+++ b/src/ops/relay/usage.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use sequoiastream_core::log_event;
-use sequoiastream_core::relay::usage::Decided;
+use sequoiastream_core::relay::usage::DecidedReports;
 use sequoiastream_core::relay::usage::Report;
 use sequoiastream_core::relay::usage::Window;
 use sequoiastream_kv::store::Put;
@@ -37,7 +37,7 @@
 /// What is decided, and the revision of its record; zero if there is none.
 #[derive(Debug, Clone)]
 struct Known {
-    decided: Decided,
+    decided: DecidedReports,
     revision: u64,
     accepted: Vec<Window>,
 }
@@ -97,7 +97,7 @@
         let page = self.store.range(key, "").await?;
         let item = page.items.into_iter().find(|item| item.key == *key);
         let Some(item) = item else {
-            let decided = Decided::from(Window(0));
+            let decided = DecidedReports::starting_at(Window(0));
             return Ok(Known {
                 decided,
                 revision: 0,
@@ -137,7 +137,7 @@
     /// Writes what is to be reported, before any of it is sent.
     async fn decide(&self, known: &mut Known, next: Window, reports: Vec<Report>) -> Result<(), StoreError> {
         let windows: Vec<u64> = reports.iter().map(|r| r.window.0).collect();
-        let decided = known.decided.with(next, reports, &known.accepted, MAX_OPEN);
+        let decided = known.decided.advance(next, reports, &known.accepted, MAX_OPEN);
         let key = self.shared.translate.keys().usage.clone();
         let value = serde_json::to_vec(&decided).map_err(|e| StoreError::Unreadable(e.to_string()))?;
         let put = Put {
--- a/tests/testsuite/attempts.rs
+++ b/tests/testsuite/attempts.rs
@@ -5,7 +5,7 @@
 use sequoiastream_core::attempt::End;
 use sequoiastream_core::attempt::Next;
 use sequoiastream_core::config::Repeat;
-use sequoiastream_core::relay::routes::Kind;
+use sequoiastream_core::relay::routes::RouteKind;
 
 const ENDS: [End; 6] = [
     End::Unsent,
@@ -20,7 +20,7 @@
 /// connection, or silence, is taken for proof that nothing ran.
 #[test]
 fn next_once_needs_proof() {
-    for kind in [Kind::Once, Kind::Stream] {
+    for kind in [RouteKind::Once, RouteKind::Stream] {
         for end in ENDS {
             let next = Attempts::new(kind.repeat(), Bound::Sent(5)).on_end(end);
             let expected = match end {
@@ -34,7 +34,7 @@
 
 #[test]
 fn next_repeatable_until_most() {
-    for kind in [Kind::Idempotent, Kind::Resumable] {
+    for kind in [RouteKind::Idempotent, RouteKind::Resumable] {
         for end in ENDS {
             let mut attempts = Attempts::new(kind.repeat(), Bound::Sent(2));
             assert_eq!(attempts.on_end(end), Next::Again, "{kind:?} {end:?}");
--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -14,10 +14,10 @@
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::routes::Limits;
+use sequoiastream_core::relay::routes::CallerLimits;
+use sequoiastream_core::relay::routes::RoutingTable;
 use sequoiastream_core::relay::routes::Service;
-use sequoiastream_core::relay::routes::Table;
-use sequoiastream_core::relay::scale::Scale;
+use sequoiastream_core::relay::scale::ScalePolicy;
 use sequoiastream_kv::store::Store;
 
 use super::engine::Act;
@@ -38,22 +38,27 @@
         window: Duration::from_secs(1),
     });
     let shared = shared(options);
-    let scale = Scale {
-        least: 1,
-        most: 6,
-        boot: Duration::from_secs(4),
-        spot: Some(0.2),
-        prices: BTreeMap::from([("a".to_string(), 1.0)]),
+    let scale = ScalePolicy {
+        min: 1,
+        max: 6,
+        boot_time: Duration::from_secs(4),
+        spot_price: Some(0.2),
+        zone_prices: BTreeMap::from([("a".to_string(), 1.0)]),
     };
     let service = Service {
         name: "chat".to_string(),
         connections: 0,
-        memory: None,
+        engine_spec: None,
         scale: Some(scale),
     };
     let engine = |key| Engine::new(EngineKey(key), super::entry(&format!("e{key}"), Stage::Decode));
     shared.publish(|view| {
-        view.table = Arc::new(Table::new(3, Limits::default(), Vec::new(), vec![service]));
+        view.table = Arc::new(RoutingTable::new(
+            3,
+            CallerLimits::default(),
+            Vec::new(),
+            vec![service],
+        ));
         view.set_engines([("chat".to_string(), (0..engines).map(engine).collect())].into());
     });
     let sockets = peers::Sockets::bind(&shared)
--- a/tests/testsuite/relay/answers.rs
+++ b/tests/testsuite/relay/answers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::routes::Kind;
+use sequoiastream_core::relay::routes::RouteKind;
 
 use super::engine::Act;
 use super::engine::ScriptedEngine;
@@ -73,7 +73,7 @@
         let bad = wrong_engine(wrong).await;
         let good = ScriptedEngine::start(|_, request| vec![answer(request, "whole")]).await;
         let instance = Instance::start(
-            Kind::Idempotent,
+            RouteKind::Idempotent,
             &[(&bad, Stage::Whole), (&good, Stage::Whole)],
             |_| {},
         );
@@ -94,7 +94,11 @@
     for wrong in ALL {
         let bad = wrong_engine(wrong).await;
         let good = ScriptedEngine::start(|_, request| vec![answer(request, "second")]).await;
-        let instance = Instance::start(Kind::Once, &[(&bad, Stage::Whole), (&good, Stage::Whole)], |_| {});
+        let instance = Instance::start(
+            RouteKind::Once,
+            &[(&bad, Stage::Whole), (&good, Stage::Whole)],
+            |_| {},
+        );
         let got = instance.get("/r/x", "q1", "").await;
         assert_eq!(
             (status(&got), good.log().requests.len()),
@@ -115,7 +119,7 @@
         _ => vec![Act::Close],
     })
     .await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     // A connection rests for a moment before it is used again; until then others are opened.
     for number in 0.. {
         let got = instance.get("/r/x", &format!("q{number}"), "").await;
@@ -134,7 +138,7 @@
         let full = ScriptedEngine::start(move |_, request| vec![engine(request)]).await;
         let good = ScriptedEngine::start(|_, request| vec![answer(request, "done")]).await;
         let instance = Instance::start(
-            Kind::Once,
+            RouteKind::Once,
             &[(&full, Stage::Whole), (&good, Stage::Whole)],
             |_| {},
         );
@@ -159,7 +163,7 @@
 #[actix_web::test]
 async fn refuse_all_declined() {
     let full = ScriptedEngine::start(|_, request| vec![decline(request)]).await;
-    let instance = Instance::start(Kind::Once, &[(&full, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&full, Stage::Whole)], |_| {});
     let got = instance.get("/r/x", "q1", "x-deadline: 3000\r\n").await;
     assert_eq!(status(&got), "503");
     let back = got.lines().find_map(|l| l.strip_prefix("retry-after: "));
@@ -169,7 +173,7 @@
 
 #[actix_web::test]
 async fn refuse_without_engine() {
-    let instance = Instance::start(Kind::Once, &[], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[], |_| {});
     let got = instance.get("/r/x", "q1", "").await;
     assert_eq!(status(&got), "503");
 }
@@ -182,7 +186,7 @@
         vec![Act::Send(head + "why")]
     })
     .await;
-    for kind in [Kind::Once, Kind::Stream] {
+    for kind in [RouteKind::Once, RouteKind::Stream] {
         let instance = Instance::start(kind, &[(&engine, Stage::Whole)], |_| {});
         let got = instance.get("/r/x", "q1", "").await;
         assert_eq!(status(&got), "500");
@@ -202,7 +206,7 @@
         _ => vec![answer(request, "own")],
     })
     .await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     assert!(instance.get("/r/x", "q1", "").await.ends_with("first"));
     for number in 2..12 {
         let got = instance.get("/r/x", &format!("q{number}"), "").await;
@@ -219,7 +223,7 @@
 async fn stream_event_by_event() {
     let engine =
         ScriptedEngine::start(|_, request| vec![Act::Send(stream_of(request, 1..=2)), Act::Hold]).await;
-    let instance = Instance::start(Kind::Stream, &[(&engine, Stage::Decode)], |_| {});
+    let instance = Instance::start(RouteKind::Stream, &[(&engine, Stage::Decode)], |_| {});
     let mut caller = instance.connect().await;
     caller
         .send("GET /r/x HTTP/1.1\r\nhost: shop.example\r\nx-request: q\r\n\r\n")
@@ -250,7 +254,7 @@
         })
         .await;
         let engines = [(&first, Stage::Decode), (&second, Stage::Decode)];
-        let instance = Instance::start(Kind::Resumable, &engines, |_| {});
+        let instance = Instance::start(RouteKind::Resumable, &engines, |_| {});
         let got = instance.get("/r/x", "q1", "").await;
         let ids: Vec<&str> = got.lines().filter_map(|l| l.strip_prefix("id: ")).collect();
         assert_eq!(ids, ["1", "2", "3", "4"], "{got}");
@@ -271,7 +275,7 @@
     let sound =
         ScriptedEngine::start(|_, request| vec![Act::Send(stream_of(request, 1..=2) + "0\r\n\r\n")]).await;
     let engines = [(&grey, Stage::Decode), (&sound, Stage::Decode)];
-    let instance = Instance::start(Kind::Resumable, &engines, |_| {});
+    let instance = Instance::start(RouteKind::Resumable, &engines, |_| {});
     let got = instance.get("/r/x", "q1", "").await;
     assert!(got.contains("token 2") && status(&got) == "200", "{got}");
     assert_eq!(grey.log().requests.len(), 1);
@@ -281,11 +285,11 @@
 #[actix_web::test]
 async fn stream_failed_everywhere() {
     let failing = "HTTP/1.1 500 Internal Server Error\r\nx-seal: s\r\ncontent-length: 4\r\n\r\noops";
-    for (kind, runs) in [(Kind::Stream, 1), (Kind::Resumable, 2)] {
+    for (kind, runs) in [(RouteKind::Stream, 1), (RouteKind::Resumable, 2)] {
         let one = ScriptedEngine::start(move |_, _| vec![Act::Send(failing.to_string())]).await;
         let other = ScriptedEngine::start(move |_, _| vec![Act::Send(failing.to_string())]).await;
         let engines = [(&one, Stage::Decode), (&other, Stage::Decode)];
-        let instance = Instance::start(kind, &engines, |route| route.attempts = 2);
+        let instance = Instance::start(kind, &engines, |route| route.max_attempts = 2);
         let got = instance.get("/r/x", "q1", "").await;
         assert!(status(&got) == "500" && got.ends_with("oops"), "{got}");
         assert_eq!(one.log().requests.len() + other.log().requests.len(), runs);
@@ -300,7 +304,7 @@
         ScriptedEngine::start(|_, request| vec![Act::Send(stream_of(request, 1..=2)), Act::Close]).await;
     let spare = ScriptedEngine::start(|_, request| vec![Act::Send(stream_of(request, 1..=9))]).await;
     let engines = [(&engine, Stage::Decode), (&spare, Stage::Decode)];
-    let instance = Instance::start(Kind::Stream, &engines, |_| {});
+    let instance = Instance::start(RouteKind::Stream, &engines, |_| {});
     let got = instance.get("/r/x", "q1", "").await;
     assert!(got.contains("token 2") && !got.ends_with("0\r\n\r\n"), "{got}");
     assert_eq!(spare.log().requests.len(), 0);
@@ -313,7 +317,7 @@
     let generator =
         ScriptedEngine::start(|_, request| vec![Act::Send(stream_of(request, 1..=1) + "0\r\n\r\n")]).await;
     let engines = [(&reader, Stage::Prefill), (&generator, Stage::Decode)];
-    let instance = Instance::start(Kind::Stream, &engines, |_| {});
+    let instance = Instance::start(RouteKind::Stream, &engines, |_| {});
     let got = instance.get("/r/x", "q1", "x-tokens: 9000\r\n").await;
     assert!(got.contains("token 1"), "{got}");
     let (read, generated) = (reader.log().requests, generator.log().requests);
@@ -336,8 +340,8 @@
     let generator =
         ScriptedEngine::start(|_, request| vec![Act::Send(stream_of(request, 1..=1) + "0\r\n\r\n")]).await;
     let engines = [(&reader, Stage::Prefill), (&generator, Stage::Decode)];
-    let instance = Instance::start(Kind::Stream, &engines, |route| {
-        route.target = Duration::from_millis(100);
+    let instance = Instance::start(RouteKind::Stream, &engines, |route| {
+        route.latency_target = Duration::from_millis(100);
     });
     let got = instance.get("/r/x", "q1", "x-tokens: 100000\r\n").await;
     assert!(got.contains("token 1"), "{got}");
@@ -365,7 +369,7 @@
         (&readers[1], Stage::Prefill),
         (&generator, Stage::Decode),
     ];
-    let instance = Instance::start(Kind::Stream, &engines, |_| {});
+    let instance = Instance::start(RouteKind::Stream, &engines, |_| {});
     let got = instance.get("/r/x", "q1", "x-tokens: 9000\r\n").await;
     assert!(got.contains("token 1"), "{got}");
     let logs = readers.each_ref().map(|reader| reader.log().requests);
@@ -390,7 +394,7 @@
         ScriptedEngine::start(serve).await,
     );
     let instance = Instance::start(
-        Kind::Stream,
+        RouteKind::Stream,
         &[(&first, Stage::Whole), (&second, Stage::Whole)],
         |_| {},
     );
@@ -417,7 +421,7 @@
     let reader = ScriptedEngine::start(|_, request| vec![answer(request, "kept h7")]).await;
     let generator = ScriptedEngine::start(|_, request| vec![decline(request)]).await;
     let engines = [(&reader, Stage::Prefill), (&generator, Stage::Decode)];
-    let instance = Instance::start(Kind::Stream, &engines, |route| route.attempts = 1);
+    let instance = Instance::start(RouteKind::Stream, &engines, |route| route.max_attempts = 1);
     let got = instance.get("/r/x", "q1", "x-tokens: 9000\r\n").await;
     assert_eq!(status(&got), "503");
     reader.wait_for(|log| log.requests.len() == 2).await;
@@ -432,10 +436,10 @@
     let streaming =
         ScriptedEngine::start(|_, request| vec![Act::Send(stream_of(request, 1..=1)), Act::Hold]).await;
     for (kind, engine) in [
-        (Kind::Once, &silent),
-        (Kind::Idempotent, &silent),
-        (Kind::Stream, &silent),
-        (Kind::Resumable, &streaming),
+        (RouteKind::Once, &silent),
+        (RouteKind::Idempotent, &silent),
+        (RouteKind::Stream, &silent),
+        (RouteKind::Resumable, &streaming),
     ] {
         let instance = Instance::start(kind, &[(engine, Stage::Whole)], |_| {});
         let (asked, left) = (engine.log().requests.len(), engine.log().left);
@@ -454,7 +458,7 @@
 #[actix_web::test]
 async fn timeout_of_route() {
     let engine = ScriptedEngine::start(|_, _| vec![Act::Hold]).await;
-    for kind in [Kind::Once, Kind::Stream] {
+    for kind in [RouteKind::Once, RouteKind::Stream] {
         let instance = Instance::start(kind, &[(&engine, Stage::Whole)], |route| {
             route.timeout = Duration::from_millis(200);
         });
@@ -475,7 +479,7 @@
         (&first, Stage::Decode),
         (&second, Stage::Decode),
     ];
-    let instance = Instance::start(Kind::Resumable, &engines, |_| {});
+    let instance = Instance::start(RouteKind::Resumable, &engines, |_| {});
     for number in 0..100 {
         let got = instance
             .get("/r/x", &format!("q{number}"), "x-tokens: 9000\r\n")
@@ -510,9 +514,9 @@
     })
     .await;
     let cases = [
-        (Kind::Idempotent, &mute, &whole, "whole"),
-        (Kind::Resumable, &mute, &chat, "id: 3"),
-        (Kind::Resumable, &begun, &chat, "id: 3"),
+        (RouteKind::Idempotent, &mute, &whole, "whole"),
+        (RouteKind::Resumable, &mute, &chat, "id: 3"),
+        (RouteKind::Resumable, &begun, &chat, "id: 3"),
     ];
     for (kind, silent, sound, end) in cases {
         let left = silent.log().left;
@@ -530,7 +534,7 @@
     let mute = ScriptedEngine::start(|_, _| vec![Act::Hold]).await;
     let sound = ScriptedEngine::start(|_, request| vec![answer(request, "whole")]).await;
     let engines = [(&mute, Stage::Whole), (&sound, Stage::Whole)];
-    let instance = Instance::start(Kind::Idempotent, &engines, |route| {
+    let instance = Instance::start(RouteKind::Idempotent, &engines, |route| {
         route.timeout = Duration::from_secs(9);
     });
     for (number, deadline) in ["x-deadline: 8000\r\n", ""].iter().enumerate() {
@@ -560,7 +564,7 @@
         (&reader, Stage::Prefill),
         (&generator, Stage::Decode),
     ];
-    let instance = Instance::start(Kind::Stream, &engines, |_| {});
+    let instance = Instance::start(RouteKind::Stream, &engines, |_| {});
     for number in 0..6 {
         let parts = format!("x-tokens: 9000\r\nx-parts: {number}\r\nx-deadline: 8000\r\n");
         let got = instance.get("/r/x", &format!("q{number}"), &parts).await;
@@ -584,7 +588,7 @@
     .await;
     let spare = ScriptedEngine::start(|_, _| vec![Act::Close]).await;
     let engines = [(&engine, Stage::Whole), (&spare, Stage::Whole)];
-    let instance = Instance::start(Kind::Idempotent, &engines, |_| {});
+    let instance = Instance::start(RouteKind::Idempotent, &engines, |_| {});
     for number in 0..120 {
         let got = instance.get("/r/x", &format!("q{number}"), "").await;
         assert_eq!(status(&got), "502");
--- a/tests/testsuite/relay/budget.rs
+++ b/tests/testsuite/relay/budget.rs
@@ -5,11 +5,11 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 use rand_chacha::rand_core::SeedableRng;
-use sequoiastream_core::relay::budget::Budget;
-use sequoiastream_core::relay::budget::Rule;
+use sequoiastream_core::relay::budget::BudgetLimits;
+use sequoiastream_core::relay::budget::RetryBudget;
 use sequoiastream_core::time::Time;
 
-const RULE: Rule = Rule {
+const RULE: BudgetLimits = BudgetLimits {
     ratio: 0.2,
     window: Duration::from_secs(10),
     slack: 56.0,
@@ -21,7 +21,7 @@
 fn take_sum_of_instances() {
     for seed in 0..20 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut instances = vec![Budget::new(RULE); 8];
+        let mut instances = vec![RetryBudget::new(RULE); 8];
         let (mut requests, mut extras) = (Vec::new(), Vec::new());
         let mut now = Time::ZERO;
         for _ in 0..30_000 {
@@ -32,9 +32,9 @@
             };
             now = now + Duration::from_micros(u64::from(random.next_u32()) % pause);
             let budget = &mut instances[random.next_u32() as usize % 8];
-            budget.request(now, "s");
+            budget.on_request(now, "s");
             requests.push(now);
-            if budget.take(now, "s", 8) {
+            if budget.try_take(now, "s", 8) {
                 extras.push(now);
             }
         }
@@ -51,15 +51,15 @@
 
 #[test]
 fn take_by_service() {
-    let mut budget = Budget::new(RULE);
-    while budget.take(Time::ZERO, "a", 1) {}
-    assert!(budget.take(Time::ZERO, "b", 1));
+    let mut budget = RetryBudget::new(RULE);
+    while budget.try_take(Time::ZERO, "a", 1) {}
+    assert!(budget.try_take(Time::ZERO, "b", 1));
 }
 
 #[test]
 fn take_again_after_window() {
-    let mut budget = Budget::new(RULE);
-    while budget.take(Time::ZERO, "a", 1) {}
-    assert!(!budget.take(Time::ZERO + RULE.window, "a", 1));
-    assert!(budget.take(Time::ZERO + RULE.window + Duration::from_millis(1), "a", 1));
+    let mut budget = RetryBudget::new(RULE);
+    while budget.try_take(Time::ZERO, "a", 1) {}
+    assert!(!budget.try_take(Time::ZERO + RULE.window, "a", 1));
+    assert!(budget.try_take(Time::ZERO + RULE.window + Duration::from_millis(1), "a", 1));
 }
--- a/tests/testsuite/relay/directory.rs
+++ b/tests/testsuite/relay/directory.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use sequoiastream_core::relay::directory::Entrance;
+use sequoiastream_core::relay::directory::Endpoint;
 use sequoiastream_core::relay::directory::capacity;
 use sequoiastream_core::relay::directory::choose;
 
@@ -12,10 +12,10 @@
 const MOST: usize = 64;
 
 /// So many instances of each zone, every tenth of them four times as large as the others.
-fn fleet(sizes: &[usize]) -> Vec<Entrance> {
+fn fleet(sizes: &[usize]) -> Vec<Endpoint> {
     let zones = sizes.iter().enumerate();
     let entrances = zones.flat_map(|(zone, size)| {
-        (0..*size).map(move |index| Entrance {
+        (0..*size).map(move |index| Endpoint {
             address: SocketAddr::from(([10, zone as u8, 0, index as u8], 8_144)),
             zone: format!("z{zone}").parse().expect("a name"),
             capacity: if index % 10 == 0 { 500 } else { 125 },
@@ -28,7 +28,7 @@
 const CALLERS: usize = 200;
 
 /// What comes to each instance, if each zone has the same number of callers, which pick at random.
-fn shares(fleet: &[Entrance], zones: usize) -> BTreeMap<SocketAddr, f64> {
+fn shares(fleet: &[Endpoint], zones: usize) -> BTreeMap<SocketAddr, f64> {
     let mut shares: BTreeMap<SocketAddr, f64> = fleet.iter().map(|e| (e.address, 0.0)).collect();
     for zone in 0..zones {
         for caller in 0..CALLERS {
--- a/tests/testsuite/relay/instance.rs
+++ b/tests/testsuite/relay/instance.rs
@@ -21,23 +21,23 @@
 use sequoiastream::ops::relay::server;
 use sequoiastream::ops::relay::shared::Shared;
 use sequoiastream::util::log_budget::LogBudget;
-use sequoiastream_core::relay::budget::Rule;
+use sequoiastream_core::relay::budget::BudgetLimits;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::engines::Entry;
 use sequoiastream_core::relay::engines::Stage;
 use sequoiastream_core::relay::prompt::Part;
 use sequoiastream_core::relay::prompt::Prompt;
-use sequoiastream_core::relay::routes::Kind;
-use sequoiastream_core::relay::routes::Limits;
+use sequoiastream_core::relay::routes::CallerLimits;
 use sequoiastream_core::relay::routes::Route;
-use sequoiastream_core::relay::routes::Table;
-use sequoiastream_core::relay::routes::Target;
+use sequoiastream_core::relay::routes::RouteKind;
+use sequoiastream_core::relay::routes::RouteTarget;
+use sequoiastream_core::relay::routes::RoutingTable;
 use sequoiastream_core::relay::scale::ScaleOrder;
 use sequoiastream_core::relay::usage::Counts;
 use sequoiastream_core::relay::usage::Window;
 use sequoiastream_core::relay::watchers::ApplyLimit;
-use sequoiastream_core::relay::workspaces::KeyAges;
+use sequoiastream_core::relay::workspaces::KeyAgeLimits;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Item;
 use tokio::io::AsyncReadExt;
@@ -128,14 +128,19 @@
         &self.0
     }
 
-    fn config(&self, value: &[u8]) -> Result<Table, Malformed> {
+    fn config(&self, value: &[u8]) -> Result<RoutingTable, Malformed> {
         let text = String::from_utf8_lossy(value);
         let (version, prefix) = text
             .split_once(' ')
             .ok_or_else(|| Malformed::new("config", &text))?;
         let version = version.parse().map_err(|e| Malformed::new("config", e))?;
-        let route = route(Kind::Idempotent, prefix);
-        Ok(Table::new(version, Limits::default(), vec![route], Vec::new()))
+        let route = route(RouteKind::Idempotent, prefix);
+        Ok(RoutingTable::new(
+            version,
+            CallerLimits::default(),
+            vec![route],
+            Vec::new(),
+        ))
     }
 
     fn engine(&self, item: &Item) -> Result<Entry, Malformed> {
@@ -216,20 +221,20 @@
 }
 
 /// A route of this kind that leads to the service `chat`.
-pub fn route(kind: Kind, prefix: &str) -> Route {
+pub fn route(kind: RouteKind, prefix: &str) -> Route {
     Route {
         name: "r".to_string(),
         host: "shop.example".to_string(),
         prefix: prefix.to_string(),
         kind,
         timeout: Duration::from_secs(20),
-        target: Duration::from_secs(10),
-        pause: Duration::ZERO,
+        latency_target: Duration::from_secs(10),
+        gap_target: Duration::ZERO,
         priority: 0,
-        attempts: 2,
-        affine: false,
+        max_attempts: 2,
+        sticky: false,
         public: false,
-        targets: vec![Target {
+        targets: vec![RouteTarget {
             service: "chat".to_string(),
             weight: 1,
         }],
@@ -237,10 +242,10 @@
 }
 
 /// Bodies of a megabyte at most.
-fn limits() -> Limits {
-    Limits {
-        body: 1 << 20,
-        ..Limits::default()
+fn limits() -> CallerLimits {
+    CallerLimits {
+        max_body: 1 << 20,
+        ..CallerLimits::default()
     }
 }
 
@@ -260,14 +265,14 @@
         tuning: Tuning {
             keep: Duration::from_millis(50),
             grace: Duration::from_secs(8),
-            rule: Rule {
+            rule: BudgetLimits {
                 ratio: 0.2,
                 window: Duration::from_secs(10),
                 slack: 56.0,
             },
             readers: 0.5,
             bound: ApplyLimit(Duration::from_millis(400)),
-            keys: KeyAges {
+            keys: KeyAgeLimits {
                 change: Duration::from_millis(400),
                 revoke: None,
             },
@@ -291,7 +296,7 @@
 
 impl Instance {
     /// Starts an instance with one route at `/r/` and these engines; the route's `change` comes last.
-    pub fn start<F>(kind: Kind, engines: &[(&ScriptedEngine, Stage)], change: F) -> Instance
+    pub fn start<F>(kind: RouteKind, engines: &[(&ScriptedEngine, Stage)], change: F) -> Instance
     where
         F: FnOnce(&mut Route),
     {
@@ -308,7 +313,7 @@
         });
         let engines: Vec<Engine> = engines.collect();
         shared.publish(|view| {
-            view.table = Arc::new(Table::new(3, limits(), vec![route], Vec::new()));
+            view.table = Arc::new(RoutingTable::new(3, limits(), vec![route], Vec::new()));
             view.set_engines([("chat".to_string(), engines)].into());
             view.instances = 1;
         });
--- a/tests/testsuite/relay/keys.rs
+++ b/tests/testsuite/relay/keys.rs
@@ -6,9 +6,9 @@
 use http::HeaderValue;
 use sequoiastream::util::clock;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::routes::Kind;
-use sequoiastream_core::relay::routes::Table;
-use sequoiastream_core::relay::workspaces::KeyAges;
+use sequoiastream_core::relay::routes::RouteKind;
+use sequoiastream_core::relay::routes::RoutingTable;
+use sequoiastream_core::relay::workspaces::KeyAgeLimits;
 use sequoiastream_core::relay::workspaces::KeyDigest;
 use sequoiastream_core::relay::workspaces::Workspace;
 use sequoiastream_core::relay::workspaces::Workspaces;
@@ -24,7 +24,7 @@
 
 /// An instance whose callers need keys: `k1` is of the workspace `huka`. What it knows is proven up to now.
 fn keyed(engine: &ScriptedEngine, public: bool) -> Instance {
-    let instance = Instance::start(Kind::Once, &[(engine, Stage::Whole)], |route| {
+    let instance = Instance::start(RouteKind::Once, &[(engine, Stage::Whole)], |route| {
         route.public = public
     });
     let workspace = Workspace {
@@ -34,13 +34,13 @@
     };
     let workspaces = Workspaces::new(vec![workspace]).expect("clear");
     let mut tuning = (*instance.shared.tuning()).clone();
-    tuning.keys = KeyAges {
+    tuning.keys = KeyAgeLimits {
         change: Duration::from_secs(3),
         revoke: Some(Duration::from_secs(5)),
     };
     instance.shared.tune(tuning);
     instance.shared.publish(|view| {
-        let table = Table::clone(&view.table);
+        let table = RoutingTable::clone(&view.table);
         view.table = Arc::new(table.with_workspaces(Some(workspaces)));
     });
     instance.shared.on_store(clock::now());
@@ -96,7 +96,7 @@
 #[actix_web::test]
 async fn refuse_without_proof() {
     let engine = echo().await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     let known = keyed(&engine, false);
     let table = known.shared.view.load().table.clone();
     instance.shared.tune((*known.shared.tuning()).clone());
--- a/tests/testsuite/relay/lead.rs
+++ b/tests/testsuite/relay/lead.rs
@@ -8,8 +8,8 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use sequoiastream_core::relay::lead::Lead;
-use sequoiastream_core::relay::lead::Step;
+use sequoiastream_core::relay::leader_lease::LeaderLease;
+use sequoiastream_core::relay::leader_lease::LeaseAction;
 use sequoiastream_core::time::Time;
 
 use crate::claims::client::seeds_or;
@@ -25,21 +25,25 @@
 
 #[test]
 fn step_by_rank() {
-    let mut first = Lead::new(LEASE);
-    let mut third = Lead::new(LEASE);
-    assert_eq!(first.step(at(0), true, 0), Step::Take);
-    assert_eq!(third.step(at(0), true, 2), Step::Rest);
-    assert_eq!(third.step(at(599), true, 2), Step::Rest);
-    assert_eq!(third.step(at(600), true, 2), Step::Take);
-    assert_eq!(third.step(at(700), false, 2), Step::Rest);
-    assert_eq!(third.step(at(800), true, 2), Step::Rest, "its turn comes anew");
+    let mut first = LeaderLease::new(LEASE);
+    let mut third = LeaderLease::new(LEASE);
+    assert_eq!(first.next_action(at(0), true, 0), LeaseAction::Acquire);
+    assert_eq!(third.next_action(at(0), true, 2), LeaseAction::Wait);
+    assert_eq!(third.next_action(at(599), true, 2), LeaseAction::Wait);
+    assert_eq!(third.next_action(at(600), true, 2), LeaseAction::Acquire);
+    assert_eq!(third.next_action(at(700), false, 2), LeaseAction::Wait);
+    assert_eq!(
+        third.next_action(at(800), true, 2),
+        LeaseAction::Wait,
+        "its turn comes anew"
+    );
 }
 
 /// The first call of a holder crosses the last one of the holder before it.
 #[test]
 fn fence_after_a_lease() {
-    let mut lead = Lead::new(LEASE);
-    lead.on_taken(at(10), at(0), 7);
+    let mut lead = LeaderLease::new(LEASE);
+    lead.on_acquired(at(10), at(0), 7);
     lead.on_renewed(at(1_000));
     lead.on_renewed(at(2_000));
     assert_eq!(lead.fence(at(3_009)), None);
@@ -49,8 +53,8 @@
 /// A holder is paused, its lease lapses, another takes it, and the first goes on calling.
 #[test]
 fn fence_ends_before_lease() {
-    let mut lead = Lead::new(LEASE);
-    lead.on_taken(at(10), at(0), 7);
+    let mut lead = LeaderLease::new(LEASE);
+    lead.on_acquired(at(10), at(0), 7);
     lead.on_renewed(at(2_000));
     assert_eq!(lead.fence(at(4_099)), Some(7));
     assert_eq!(lead.fence(at(4_100)), None);
@@ -60,13 +64,13 @@
 
 #[test]
 fn step_renews_and_rests_after_failure() {
-    let mut lead = Lead::new(LEASE);
-    lead.on_taken(at(10), at(0), 7);
-    assert_eq!(lead.step(at(900), false, 0), Step::Rest);
-    assert_eq!(lead.step(at(1_000), false, 0), Step::Renew);
+    let mut lead = LeaderLease::new(LEASE);
+    lead.on_acquired(at(10), at(0), 7);
+    assert_eq!(lead.next_action(at(900), false, 0), LeaseAction::Wait);
+    assert_eq!(lead.next_action(at(1_000), false, 0), LeaseAction::Renew);
     lead.on_failure(at(1_000));
-    assert_eq!(lead.step(at(1_300), false, 0), Step::Rest);
-    assert_eq!(lead.step(at(1_400), false, 0), Step::Renew);
+    assert_eq!(lead.next_action(at(1_300), false, 0), LeaseAction::Wait);
+    assert_eq!(lead.next_action(at(1_400), false, 0), LeaseAction::Renew);
 }
 
 /// A call for the lease on its way.
@@ -87,7 +91,7 @@
 
 #[derive(Debug)]
 struct Instance {
-    lead: Lead,
+    lead: LeaderLease,
     lease: Option<u64>,
     pending: Option<Pending>,
     paused: Time,
@@ -152,7 +156,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(1..9);
         let instance = |_| Instance {
-            lead: Lead::new(LEASE),
+            lead: LeaderLease::new(LEASE),
             lease: None,
             pending: None,
             paused: Time::ZERO,
@@ -231,10 +235,10 @@
         }
         instance.take_answer(now);
         if instance.pending.is_none() {
-            let call = match instance.lead.step(now, instance.sees_free, index as u32) {
-                Step::Rest => None,
-                Step::Take => Some(Call::Take),
-                Step::Renew => instance.lease.map(Call::Renew),
+            let call = match instance.lead.next_action(now, instance.sees_free, index as u32) {
+                LeaseAction::Wait => None,
+                LeaseAction::Acquire => Some(Call::Take),
+                LeaseAction::Renew => instance.lease.map(Call::Renew),
             };
             instance.pending = call.map(|call| Pending {
                 call,
@@ -266,7 +270,7 @@
         match (call, result) {
             (Call::Take, Some(Ok((lease, fence)))) => {
                 self.lease = Some(lease);
-                self.lead.on_taken(now, sent, fence);
+                self.lead.on_acquired(now, sent, fence);
             }
             (Call::Renew(_), Some(Ok(_))) => self.lead.on_renewed(sent),
             (Call::Renew(_), Some(Err(true))) => self.lead.on_lost(now),
--- a/tests/testsuite/relay/metrics.rs
+++ b/tests/testsuite/relay/metrics.rs
@@ -2,7 +2,7 @@
 
 use sequoiastream::util::metrics::Path;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::routes::Kind;
+use sequoiastream_core::relay::routes::RouteKind;
 
 use super::engine::ScriptedEngine;
 use super::engine::answer;
@@ -24,7 +24,7 @@
 #[actix_web::test]
 async fn page_after_answers() {
     let engine = ScriptedEngine::start(|_, request| vec![answer(request, "whole")]).await;
-    let instance = Instance::start(Kind::Idempotent, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Idempotent, &[(&engine, Stage::Whole)], |_| {});
     instance.get("/r/x", "q1", "").await;
     instance.get("/r/x", "q2", "").await;
     instance.get("/nowhere/", "q3", "").await;
@@ -55,7 +55,7 @@
 /// The page grows with every service that operators ever made. Names beyond a bound are shown together.
 #[actix_web::test]
 async fn page_bounded() {
-    let instance = Instance::start(Kind::Idempotent, &[], |_| {});
+    let instance = Instance::start(RouteKind::Idempotent, &[], |_| {});
     for number in 0..1_500 {
         instance.shared.metrics.budget(&format!("s{number}"), 1.0);
     }
--- a/tests/testsuite/relay/orders.rs
+++ b/tests/testsuite/relay/orders.rs
@@ -11,8 +11,8 @@
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::engines::Entry;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::routes::Limits;
-use sequoiastream_core::relay::routes::Table;
+use sequoiastream_core::relay::routes::CallerLimits;
+use sequoiastream_core::relay::routes::RoutingTable;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Item;
 
@@ -37,7 +37,12 @@
     });
     let engines: Vec<Engine> = engines.collect();
     shared.publish(|view| {
-        view.table = Arc::new(Table::new(1, Limits::default(), Vec::new(), Vec::new()));
+        view.table = Arc::new(RoutingTable::new(
+            1,
+            CallerLimits::default(),
+            Vec::new(),
+            Vec::new(),
+        ));
         view.set_engines([("chat".to_string(), engines)].into());
     });
     shared
--- a/tests/testsuite/relay/records.rs
+++ b/tests/testsuite/relay/records.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::relay::records::Absences;
+use sequoiastream_core::relay::records::AbsentEngines;
 use sequoiastream_core::time::Time;
 
 const FORGET: Duration = Duration::from_secs(600);
 
-fn due(absences: &mut Absences, seconds: u64, known: &[&str]) -> Vec<String> {
+fn due(absences: &mut AbsentEngines, seconds: u64, known: &[&str]) -> Vec<String> {
     let now = Time::from_millis(seconds * 1_000);
     let recorded = ["e1", "e2", "e3"].into_iter();
     absences.due(now, FORGET, recorded, |id| known.contains(&id))
@@ -17,7 +17,7 @@
 /// all the time is forgotten.
 #[test]
 fn due_only_without_pause() {
-    let mut absences = Absences::new();
+    let mut absences = AbsentEngines::new();
     assert!(due(&mut absences, 0, &["e3"]).is_empty());
     assert!(due(&mut absences, 300, &["e2", "e3"]).is_empty());
     assert!(due(&mut absences, 599, &["e3"]).is_empty());
--- a/tests/testsuite/relay/requests.rs
+++ b/tests/testsuite/relay/requests.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use sequoiastream::util::clock;
-use sequoiastream_core::relay::directory::Entrance;
+use sequoiastream_core::relay::directory::Endpoint;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::routes::Kind;
+use sequoiastream_core::relay::routes::RouteKind;
 use sequoiastream_core::relay::routes::Service;
 
 use super::engine::Act;
@@ -24,7 +24,7 @@
 #[actix_web::test]
 async fn forward_unchanged() {
     let engine = echo().await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     let got = instance
         .exchange(concat!(
             "PUT /r/%41/../b?q=1&q=%20 HTTP/1.1\r\nhost: Shop.example:80\r\nx-request: q\r\nx-own: 1\r\nx-own: 2\r\n",
@@ -54,7 +54,7 @@
 #[actix_web::test]
 async fn forward_chunked_body() {
     let engine = echo().await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     let raw = "POST /r/ HTTP/1.1\r\nhost: shop.example\r\nx-request: q\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n";
     assert!(instance.exchange(raw).await.ends_with("abcde"));
     assert_eq!(engine.log().requests[0].header("content-length"), Some("5"));
@@ -65,7 +65,7 @@
 #[actix_web::test]
 async fn smuggled_refused() {
     let engine = echo().await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     let inner = "GET /r/inner HTTP/1.1\r\nhost: shop.example\r\nx-request: inner\r\n\r\n";
     let framings = [
         format!(
@@ -100,7 +100,7 @@
 #[actix_web::test]
 async fn refuse_bad_requests() {
     let engine = echo().await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     // Nothing is sent behind what makes the request too long: it would cross the end of the connection.
     let head = "PUT /r/ HTTP/1.1\r\nhost: shop.example\r\nx-request: q\r\nconnection: close\r\n";
     let chunks = super::engine::chunk(&"x".repeat(1 << 20)) + &super::engine::chunk("x");
@@ -138,7 +138,7 @@
 /// Callers are told that a path does not exist while nobody knows. Order: an instance starts before the store answers.
 #[actix_web::test]
 async fn unconfigured_not_404() {
-    let instance = Instance::start(Kind::Once, &[], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[], |_| {});
     instance.shared.publish(|view| view.table = Default::default());
     let got = instance.get("/r/x", "q", "").await;
     assert_eq!(status(&got), "503");
@@ -166,10 +166,10 @@
 
 #[actix_web::test]
 async fn addresses_of_the_live() {
-    let instance = Instance::start(Kind::Once, &[], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[], |_| {});
     assert_eq!(status(&ask(&instance, "addresses").await), "503");
     let front = instance.shared.options.front;
-    let entrance = |address: SocketAddr, zone: &str| Entrance {
+    let entrance = |address: SocketAddr, zone: &str| Endpoint {
         address,
         zone: zone.parse().expect("a name"),
         capacity: 250,
@@ -184,7 +184,7 @@
         let zone = if port % 2 == 0 { "a" } else { "b" };
         entrance(SocketAddr::from(([127, 0, 0, 1], port)), zone)
     });
-    let many: Vec<Entrance> = many.collect();
+    let many: Vec<Endpoint> = many.collect();
     instance.shared.publish(|view| view.entrances = many);
     let got = ask(&instance, "addresses&zone=b").await;
     assert!(
@@ -198,7 +198,7 @@
 #[actix_web::test]
 async fn shutdown_serves_then_refuses() {
     let engine = echo().await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     assert_eq!(ask(&instance, "ready").await, "200");
     instance.shared.leave(clock::now());
     assert_eq!(ask(&instance, "ready").await, "503");
@@ -227,7 +227,7 @@
 #[actix_web::test]
 async fn keep_alive_many_requests() {
     let engine = echo().await;
-    let instance = Instance::start(Kind::Once, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     let mut caller = instance.connect().await;
     for number in 0..20 {
         let body = format!("body {number:02}");
@@ -245,7 +245,7 @@
 #[actix_web::test]
 async fn idle_closed_when_engine_leaves() {
     let engine = ScriptedEngine::start(|_, request| vec![answer(request, "whole"), Act::Hold]).await;
-    let instance = Instance::start(Kind::Idempotent, &[(&engine, Stage::Whole)], |_| {});
+    let instance = Instance::start(RouteKind::Idempotent, &[(&engine, Stage::Whole)], |_| {});
     let got = instance.get("/r/x", "q1", "").await;
     assert_eq!(status(&got), "200");
     instance
@@ -259,7 +259,7 @@
     let service = |connections: u32| Service {
         name: "s".to_string(),
         connections,
-        memory: None,
+        engine_spec: None,
         scale: None,
     };
     assert_eq!(service(180).idle_share(32, 8), Some(18));
--- a/tests/testsuite/relay/routes.rs
+++ b/tests/testsuite/relay/routes.rs
@@ -2,36 +2,36 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::relay::routes::Kind;
-use sequoiastream_core::relay::routes::Limits;
+use sequoiastream_core::relay::routes::CallerLimits;
 use sequoiastream_core::relay::routes::Route;
-use sequoiastream_core::relay::routes::Table;
-use sequoiastream_core::relay::routes::Target;
+use sequoiastream_core::relay::routes::RouteKind;
+use sequoiastream_core::relay::routes::RouteTarget;
+use sequoiastream_core::relay::routes::RoutingTable;
 
-fn target(service: &str, weight: u32) -> Target {
+fn target(service: &str, weight: u32) -> RouteTarget {
     let service = service.to_string();
-    Target { service, weight }
+    RouteTarget { service, weight }
 }
 
-fn route(prefix: &str, targets: Vec<Target>) -> Route {
+fn route(prefix: &str, targets: Vec<RouteTarget>) -> Route {
     Route {
         name: format!("to {prefix}"),
         host: "Shop.example".to_string(),
         prefix: prefix.to_string(),
-        kind: Kind::Idempotent,
+        kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(100),
-        pause: Duration::ZERO,
+        latency_target: Duration::from_millis(100),
+        gap_target: Duration::ZERO,
         priority: 0,
-        attempts: 1,
-        affine: false,
+        max_attempts: 1,
+        sticky: false,
         public: false,
         targets,
     }
 }
 
-fn table(routes: Vec<Route>) -> Table {
-    Table::new(7, Limits::default(), routes, Vec::new())
+fn table(routes: Vec<Route>) -> RoutingTable {
+    RoutingTable::new(7, CallerLimits::default(), routes, Vec::new())
 }
 
 #[test]
--- a/tests/testsuite/relay/scale.rs
+++ b/tests/testsuite/relay/scale.rs
@@ -3,41 +3,41 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use sequoiastream_core::relay::scale::EngineCounts;
+use sequoiastream_core::relay::scale::EngineGroup;
 use sequoiastream_core::relay::scale::Planner;
-use sequoiastream_core::relay::scale::Present;
-use sequoiastream_core::relay::scale::Scale;
 use sequoiastream_core::relay::scale::ScaleOrder;
-use sequoiastream_core::relay::scale::Subject;
-use sequoiastream_core::relay::scale::wanted;
+use sequoiastream_core::relay::scale::ScalePolicy;
+use sequoiastream_core::relay::scale::target_counts;
 use sequoiastream_core::time::Time;
 
 fn at(millis: u64) -> Time {
     Time::from_millis(10_000 + millis)
 }
 
-fn scale() -> Scale {
-    Scale {
-        least: 1,
-        most: 18,
-        boot: Duration::from_secs(4),
-        spot: Some(0.15),
-        prices: BTreeMap::from([("a".to_string(), 1.0)]),
+fn scale() -> ScalePolicy {
+    ScalePolicy {
+        min: 1,
+        max: 18,
+        boot_time: Duration::from_secs(4),
+        spot_price: Some(0.15),
+        zone_prices: BTreeMap::from([("a".to_string(), 1.0)]),
     }
 }
 
-fn present(spot: u32, reserved: u32) -> BTreeMap<String, Present> {
-    BTreeMap::from([("a".to_string(), Present { spot, reserved })])
+fn present(spot: u32, reserved: u32) -> BTreeMap<String, EngineCounts> {
+    BTreeMap::from([("a".to_string(), EngineCounts { spot, reserved })])
 }
 
 fn order(spot: bool, count: u32) -> ScaleOrder {
     let (service, zone) = ("s".to_string(), "a".to_string());
     ScaleOrder {
-        subject: Subject { service, zone, spot },
+        group: EngineGroup { service, zone, spot },
         count,
     }
 }
 
-fn due(planner: &Planner, now: Time, present: &BTreeMap<String, Present>) -> Vec<ScaleOrder> {
+fn due(planner: &Planner, now: Time, present: &BTreeMap<String, EngineCounts>) -> Vec<ScaleOrder> {
     planner.due(now, "s", &scale(), present)
 }
 
@@ -45,12 +45,15 @@
 #[test]
 fn wanted_without_price() {
     for spot in [None, Some(1.0), Some(-1.0), Some(f64::NAN)] {
-        let dear = Scale { spot, ..scale() };
-        assert_eq!(wanted(&dear), None, "{spot:?}");
+        let dear = ScalePolicy {
+            spot_price: spot,
+            ..scale()
+        };
+        assert_eq!(target_counts(&dear), None, "{spot:?}");
         assert_eq!(Planner::default().due(at(0), "s", &dear, &present(0, 9)), []);
     }
     let (spot, reserved) = (17, 1);
-    assert_eq!(wanted(&scale()), Some(Present { spot, reserved }));
+    assert_eq!(target_counts(&scale()), Some(EngineCounts { spot, reserved }));
 }
 
 /// A zone never has more engines than allowed, and none is given back before others have come.
--- a/tests/testsuite/relay/seeded.rs
+++ b/tests/testsuite/relay/seeded.rs
@@ -19,8 +19,8 @@
 use sequoiastream_core::relay::engines::News;
 use sequoiastream_core::relay::engines::RETURN;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::suspects::CRASHES;
-use sequoiastream_core::relay::suspects::Note;
+use sequoiastream_core::relay::suspects::CrashNote;
+use sequoiastream_core::relay::suspects::MIN_CRASHES;
 use sequoiastream_core::relay::suspects::Suspects;
 use sequoiastream_core::time::Time;
 
@@ -406,11 +406,11 @@
         for _ in 0..1_200 {
             now = now + MESSAGE;
             if random.random_bool(0.02) {
-                let note = Note {
+                let note = CrashNote {
                     request: random.random_range(0..6),
                     engine: random.random_range(0..8),
                 };
-                instances[random.random_range(0..INSTANCES)].on_break(now, note);
+                instances[random.random_range(0..INSTANCES)].on_engine_broke(now, note);
                 let engines = broken.entry(note.request).or_default();
                 engines.entry(note.engine).or_insert(now);
             }
@@ -435,9 +435,9 @@
             for (request, engines) in &broken {
                 let mut times: Vec<Time> = engines.values().copied().collect();
                 times.sort();
-                let third = times.get(CRASHES - 1).copied();
+                let third = times.get(MIN_CRASHES - 1).copied();
                 for instance in &instances {
-                    let is_convicted = instance.is_convicted(now, *request);
+                    let is_convicted = instance.is_blocked(now, *request);
                     assert!(
                         third.is_some() || !is_convicted,
                         "request {request} has {engines:?}"
--- a/tests/testsuite/relay/truth.rs
+++ b/tests/testsuite/relay/truth.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use sequoiastream_core::relay::truth::TrueTime;
+use sequoiastream_core::relay::true_time::TrueTime;
 use sequoiastream_core::time::Time;
 
 use crate::claims::client::seeds_or;
@@ -25,7 +25,7 @@
 
 #[test]
 fn lead_of_nobody() {
-    assert_eq!(TrueTime::default().lead(Time::from_millis(5)), None);
+    assert_eq!(TrueTime::default().offset(Time::from_millis(5)), None);
 }
 
 /// A third of the clocks jump by up to five seconds either way, at any moment, and back. Nobody's true time is off by more
@@ -55,7 +55,7 @@
             if step < 20 {
                 continue;
             }
-            let lead = truth.lead(Time::from_micros(at)).expect("many clocks");
+            let lead = truth.offset(Time::from_micros(at)).expect("many clocks");
             assert!(
                 (ORIGIN - WAY / 4..=ORIGIN + APART).contains(&lead),
                 "seed {seed}, step {step}: off by {}",
--- a/tests/testsuite/relay/usage.rs
+++ b/tests/testsuite/relay/usage.rs
@@ -2,21 +2,21 @@
 
 use std::time::Duration;
 
+use sequoiastream_core::relay::usage::CountSource;
 use sequoiastream_core::relay::usage::Counts;
-use sequoiastream_core::relay::usage::Decided;
+use sequoiastream_core::relay::usage::CountsMessage;
+use sequoiastream_core::relay::usage::DecidedReports;
+use sequoiastream_core::relay::usage::FleetCounts;
 use sequoiastream_core::relay::usage::Report;
-use sequoiastream_core::relay::usage::Source;
-use sequoiastream_core::relay::usage::Sums;
 use sequoiastream_core::relay::usage::Tally;
-use sequoiastream_core::relay::usage::Told;
 use sequoiastream_core::relay::usage::Window;
 use sequoiastream_peer::datagram::MAX_DATAGRAM;
 
 const LENGTH: Duration = Duration::from_secs(5);
 
-fn source(instance: &str, process: u64) -> Source {
+fn source(instance: &str, process: u64) -> CountSource {
     let instance = instance.to_string();
-    Source { instance, process }
+    CountSource { instance, process }
 }
 
 fn tally(requests: &[(u64, &str)]) -> Tally {
@@ -43,31 +43,31 @@
 
 #[test]
 fn total_of_instances() {
-    let mut sums = Sums::default();
-    sums.on_told(source("a", 1), tally(&[(7, "x"), (7, "x"), (8, "y")]));
-    sums.on_told(source("b", 1), tally(&[(7, "x"), (7, "y")]));
+    let mut sums = FleetCounts::default();
+    sums.on_counts(source("a", 1), tally(&[(7, "x"), (7, "x"), (8, "y")]));
+    sums.on_counts(source("b", 1), tally(&[(7, "x"), (7, "y")]));
     assert_eq!(sums.total(Window(7)), counts(&[("x", 3), ("y", 1)]));
     assert_eq!(sums.total(Window(9)), counts(&[]));
-    assert_eq!(sums.first(), Some(Window(7)));
+    assert_eq!(sums.first_window(), Some(Window(7)));
 }
 
 /// Requests are counted twice or lost. Order: an instance tells its running counts, an older message of it comes later, it is
 /// killed, starts again and counts anew.
 #[test]
 fn total_crossed_and_restarted() {
-    let mut sums = Sums::default();
-    sums.on_told(source("a", 1), tally(&[(7, "x"), (7, "x")]));
-    sums.on_told(source("a", 1), tally(&[(7, "x")]));
-    sums.on_told(source("a", 2), tally(&[(7, "x")]));
+    let mut sums = FleetCounts::default();
+    sums.on_counts(source("a", 1), tally(&[(7, "x"), (7, "x")]));
+    sums.on_counts(source("a", 1), tally(&[(7, "x")]));
+    sums.on_counts(source("a", 2), tally(&[(7, "x")]));
     assert_eq!(sums.total(Window(7)), counts(&[("x", 3)]));
 }
 
 #[test]
 fn told_forgets_old_windows() {
-    let mut sums = Sums::default();
-    sums.on_told(source("a", 1), tally(&[(7, "x")]));
-    sums.on_told(source("b", 1), tally(&[(100, "x")]));
-    assert_eq!(sums.first(), Some(Window(100)));
+    let mut sums = FleetCounts::default();
+    sums.on_counts(source("a", 1), tally(&[(7, "x")]));
+    sums.on_counts(source("b", 1), tally(&[(100, "x")]));
+    assert_eq!(sums.first_window(), Some(Window(100)));
 }
 
 #[test]
@@ -83,11 +83,12 @@
         window: Window(window),
         body: format!("{window}"),
     };
-    let decided = Decided::from(Window(4)).with(Window(6), vec![report(4), report(5)], &[], 3);
-    let decided = decided.with(Window(7), vec![report(6)], &[Window(4)], 3);
+    let decided =
+        DecidedReports::starting_at(Window(4)).advance(Window(6), vec![report(4), report(5)], &[], 3);
+    let decided = decided.advance(Window(7), vec![report(6)], &[Window(4)], 3);
     assert_eq!(decided.next, Window(7));
     assert_eq!(decided.open, [report(5), report(6)]);
-    let decided = decided.with(Window(9), vec![report(7), report(8)], &[], 3);
+    let decided = decided.advance(Window(9), vec![report(7), report(8)], &[], 3);
     assert_eq!(decided.open, [report(6), report(7), report(8)]);
 }
 
@@ -103,15 +104,15 @@
             }
         }
     }
-    let mut sums = Sums::default();
-    for tally in whole.parts(48) {
-        let told = Told {
+    let mut sums = FleetCounts::default();
+    for tally in whole.chunks(48) {
+        let told = CountsMessage {
             process: u64::MAX,
             tally,
         };
         let length = postcard::to_allocvec(&told).expect("written").len();
         assert!(length < MAX_DATAGRAM - 120, "{length}");
-        sums.on_told(source("a", 1), told.tally);
+        sums.on_counts(source("a", 1), told.tally);
     }
     assert_eq!(sums.total(Window(355_989_797)).values().sum::<u64>(), 600);
 }
--- a/tests/testsuite/relay/workspaces.rs
+++ b/tests/testsuite/relay/workspaces.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::relay::workspaces::Ages;
-use sequoiastream_core::relay::workspaces::Grant;
-use sequoiastream_core::relay::workspaces::KeyAges;
+use sequoiastream_core::relay::workspaces::KeyAccess;
+use sequoiastream_core::relay::workspaces::KeyAgeLimits;
 use sequoiastream_core::relay::workspaces::KeyDigest;
+use sequoiastream_core::relay::workspaces::StoreAges;
 use sequoiastream_core::relay::workspaces::Workspace;
 use sequoiastream_core::relay::workspaces::Workspaces;
 use sequoiastream_core::relay::workspaces::WorkspacesError;
 use sequoiastream_core::relay::workspaces::grant;
 
-const LIMITS: KeyAges = KeyAges {
+const LIMITS: KeyAgeLimits = KeyAgeLimits {
     change: Duration::from_secs(3),
     revoke: Some(Duration::from_secs(5)),
 };
@@ -28,9 +28,9 @@
     Workspaces::new(vec![workspace("a", &["k1", "k2"]), workspace("b", &["k3"])]).expect("clear")
 }
 
-fn ages(heard: u64, proven: u64) -> Ages {
-    Ages {
-        heard: Duration::from_millis(heard),
+fn ages(heard: u64, proven: u64) -> StoreAges {
+    StoreAges {
+        reported: Duration::from_millis(heard),
         proven: Duration::from_millis(proven),
     }
 }
@@ -55,7 +55,7 @@
     );
     assert_eq!(
         Workspaces::new(vec![workspace("a", &["k1"]), workspace("b", &["k1"])]),
-        Err(WorkspacesError::Shared("a".to_string(), "b".to_string()))
+        Err(WorkspacesError::SharedKey("a".to_string(), "b".to_string()))
     );
 }
 
@@ -76,9 +76,9 @@
 fn grant_known_key() {
     let all = workspaces();
     let granted = grant(&all, Some(b"k3"), ages(0, 3_900), LIMITS);
-    assert!(matches!(granted, Grant::Held(workspace) if workspace.name == "b"));
-    assert_eq!(grant(&all, Some(b"k9"), ages(0, 0), LIMITS), Grant::Denied);
-    assert_eq!(grant(&all, None, ages(0, 0), LIMITS), Grant::Denied);
+    assert!(matches!(granted, KeyAccess::Granted(workspace) if workspace.name == "b"));
+    assert_eq!(grant(&all, Some(b"k9"), ages(0, 0), LIMITS), KeyAccess::Denied);
+    assert_eq!(grant(&all, None, ages(0, 0), LIMITS), KeyAccess::Denied);
 }
 
 /// A key that was taken away works on an instance that lost touch. Order: the store turns the instance away, the key is
@@ -87,7 +87,7 @@
 fn grant_proof_too_old() {
     assert_eq!(
         grant(&workspaces(), Some(b"k1"), ages(0, 4_100), LIMITS),
-        Grant::Unsure
+        KeyAccess::Unknown
     );
 }
 
@@ -96,18 +96,18 @@
 fn grant_unknown_key_lagging() {
     assert_eq!(
         grant(&workspaces(), Some(b"k9"), ages(3_100, 0), LIMITS),
-        Grant::Unsure
+        KeyAccess::Unknown
     );
 }
 
 /// Without strict revocation an outage of the store stops nobody whose key is known.
 #[test]
 fn grant_not_strict() {
-    let lax = KeyAges {
+    let lax = KeyAgeLimits {
         revoke: None,
         ..LIMITS
     };
     let all = workspaces();
     let granted = grant(&all, Some(b"k1"), ages(60_000, 60_000), lax);
-    assert!(matches!(granted, Grant::Held(_)));
+    assert!(matches!(granted, KeyAccess::Granted(_)));
 }
