--- a/crates/core/src/relay/budget.rs
+++ b/crates/core/src/relay/budget.rs
@@ -1,9 +1,9 @@
-//! The budget of extra attempts, shared by all instances without a shared counter.
+//! Limits extra attempts fleet-wide, without a shared counter.
 //!
-//! Failure guarded against: an engine fails, every instance repeats its requests, and the others drown in
-//! repeats. Over any window, extra attempts at a service stay below a share of the requests for it and a fixed
-//! allowance. Each instance counts its own requests and takes its part of the allowance, so that the sum keeps
-//! the bound whatever the others do.
+//! Guards against an engine that fails while every instance repeats its requests, so that the other engines are
+//! overloaded by the repeats. Over any window, extra attempts at a service stay below a ratio of its requests plus a
+//! fixed allowance. Each instance counts its own requests and takes its share of the allowance, so that the sum stays
+//! within the limit whatever the other instances do.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,18 +11,18 @@
 
 use crate::time::Time;
 
-/// Part of the bound that is used: clocks and windows of instances differ, and a call may be counted at an engine
-/// later than here.
+/// Fraction of the limit that is used: clocks and windows of instances differ, and a call may be counted later at an
+/// engine than here.
 const USED_FRACTION: f64 = 0.7;
 
-/// What bounds extra attempts.
+/// Limits on extra attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimits {
     /// Extra attempts for each request.
     pub ratio: f64,
     /// Length of a window.
     pub window: Duration,
-    /// Extra attempts in a window of the whole fleet, whatever its requests.
+    /// Extra attempts in a window by the whole fleet, regardless of the number of requests.
     pub slack: f64,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl RetryBudget {
-    /// Nothing counted yet.
+    /// A budget without any requests or attempts counted.
     pub fn new(limits: BudgetLimits) -> RetryBudget {
         RetryBudget {
             limits,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Bounds by another rule from now on.
+    /// Replaces the limits from now on.
     pub fn set_limits(&mut self, limits: BudgetLimits) {
         self.limits = limits;
     }
@@ -71,7 +71,7 @@
         counts.requests.push_back(now);
     }
 
-    /// Takes one extra attempt at `service` if there is one left, at one of `instances`.
+    /// Uses one extra attempt at `service` if one remains, at one of `instances` instances. Returns whether it did.
     pub fn try_take(&mut self, now: Time, service: &str, instances: usize) -> bool {
         if self.remaining(now, service, instances) < 1.0 {
             return false;
@@ -80,13 +80,13 @@
         true
     }
 
-    /// Extra attempts at `service` that are left now at one of `instances`.
+    /// Extra attempts at `service` that remain now at one of `instances` instances.
     pub fn remaining(&mut self, now: Time, service: &str, instances: usize) -> f64 {
         let limits = self.limits;
         let counts = self.counts(service);
         counts.expire(now, limits.window);
-        let part = limits.slack / instances.max(1) as f64;
-        let allowed = USED_FRACTION * (limits.ratio * counts.requests.len() as f64 + part);
+        let allowance = limits.slack / instances.max(1) as f64;
+        let allowed = USED_FRACTION * (limits.ratio * counts.requests.len() as f64 + allowance);
         (allowed - counts.extras.len() as f64).max(0.0)
     }
 
--- a/crates/core/src/relay/leader_lease.rs
+++ b/crates/core/src/relay/leader_lease.rs
@@ -1,31 +1,31 @@
-//! Which instance acts for all of them towards the platform's API, and when it may.
+//! Selects the instance that calls the platform's API on behalf of the fleet, and limits when it may.
 //!
-//! The holder of a lease in the store acts, under the revision at which its record was created as fencing number: a later
-//! holder's is higher. The API may not check it, so a late call must be impossible, not refused: a holder believes in its
-//! lease from when the renewal left, stops a margin before it ends, and a successor waits as long as a lease lasts before
-//! its first call.
+//! The leader is the holder of a lease in the store. The revision at which its record was created is its fencing
+//! number: that of a later holder is higher. The API may not check it, so a late call must be impossible, not just
+//! rejected: a holder counts its lease from when the renewal was sent and stops a margin before the lease ends, and a
+//! successor waits for the length of a lease before its first call.
 
 use std::time::Duration;
 
 use crate::authority::LeaseBelief;
 use crate::time::Time;
 
-/// Part of a lease's time after which it is renewed: a renewal may fail.
+/// Fraction of the lease after which it is renewed: a renewal may fail.
 const RENEW_FRACTION: f64 = 0.33;
 
-/// Part of a lease's time that a holder doesn't count on: a call that it begins has left by then.
+/// Fraction of the lease that a holder doesn't use: a call that it begins has been sent by then.
 const MARGIN_FRACTION: f64 = 0.3;
 
-/// How much later each next instance tries to become the holder: the store may turn the first ones away.
+/// Delay between the attempts of successive instances to acquire the lease: the store may reject the first ones.
 const ACQUIRE_STAGGER: Duration = Duration::from_millis(300);
 
-/// Turns that an instance waits at most.
+/// Maximum number of delays that an instance waits.
 const MAX_STAGGER_STEPS: u32 = 16;
 
-/// Pause after a call for the lease that failed.
+/// Pause after a failed call for the lease.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// A holder's record as the store shows it.
+/// A holder's record in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseRecord {
     /// The instance.
@@ -36,32 +36,32 @@
     pub revision: u64,
 }
 
-/// What is to be done for the lease.
+/// The next call for the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing now.
+    /// None now.
     Wait,
-    /// Take it, if it is free.
+    /// Acquire it, if it is free.
     Acquire,
     /// Renew it.
     Renew,
 }
 
-/// An instance on its way to the lease, or with it.
+/// State of this instance as holder of the lease or as a candidate for it.
 #[derive(Debug, Clone)]
 pub struct LeaderLease {
     lease: Duration,
     belief: LeaseBelief,
-    /// Fencing number and when calls may begin.
+    /// Fencing number, and when calls may begin.
     held: Option<(u64, Time)>,
     /// Since when the store shows no holder.
     free_since: Option<Time>,
-    /// Nothing is done for the lease before.
+    /// No call for the lease is made before.
     next_call: Time,
 }
 
 impl LeaderLease {
-    /// Nobody's lease, for leases of the time `lease`.
+    /// A lease of length `lease` that this instance does not hold.
     pub fn new(lease: Duration) -> LeaderLease {
         LeaderLease {
             lease,
@@ -72,12 +72,13 @@
         }
     }
 
-    /// How long a lease lasts.
+    /// Length of the lease.
     pub fn lease(&self) -> Duration {
         self.lease
     }
 
-    /// What is to be done, if the store shows a holder or none, by the one of this `rank` among the live instances.
+    /// The next call for the lease, given whether the store shows it as free and the `rank` of this instance among the
+    /// live instances.
     pub fn next_action(&mut self, now: Time, is_free: bool, rank: u32) -> LeaseAction {
         if self.held.is_some() {
             return match now >= self.next_call {
@@ -96,10 +97,10 @@
         }
     }
 
-    /// Notes that the lease was taken, by a grant sent at `sent`, with this fencing number.
+    /// Notes that the lease was acquired with this fencing number, by a grant sent at `sent`.
     ///
-    /// Failure guarded against: the former holder's last call is still on its way, or this instance was the holder before
-    /// that one: no call leaves before a lease's time is over.
+    /// Guards against a last call of the former holder that is still on its way, also if this instance was the holder
+    /// before that one: no call is sent until the length of a lease has passed.
     pub fn on_acquired(&mut self, now: Time, sent: Time, fence: u64) {
         self.belief.confirm(sent);
         self.held = Some((fence, now + self.lease));
@@ -117,7 +118,7 @@
         self.next_call = now + RETRY_DELAY;
     }
 
-    /// Notes that the lease is lost, or somebody else has it.
+    /// Notes that the lease is lost, or that another instance holds it.
     pub fn on_lost(&mut self, now: Time) {
         self.belief.clear();
         self.held = None;
@@ -125,12 +126,12 @@
         self.next_call = now + RETRY_DELAY;
     }
 
-    /// Whether this instance has the lease, as far as it knows.
+    /// Whether this instance holds the lease, as far as it knows.
     pub fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// The fencing number of a call that leaves now; `None` if none may leave.
+    /// The fencing number for a call that is sent now; `None` if none may be sent.
     pub fn fence(&self, now: Time) -> Option<u64> {
         let (fence, from) = self.held?;
         (now >= from && self.belief.holds(now)).then_some(fence)
--- a/crates/core/src/relay/load_message.rs
+++ b/crates/core/src/relay/load_message.rs
@@ -1,4 +1,5 @@
-//! What instances tell each other many times a second: their work at each engine, and how far they know the store.
+//! Messages that instances send each other many times a second: their load on each engine, and how far they have read
+//! the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,56 +12,56 @@
 use crate::relay::suspects::CrashNote;
 use crate::relay::watchers::SyncStatus;
 
-/// Peers that get each heartbeat and each message about load. In a fleet with more peers, successive messages about load
-/// go to successive groups of peers.
+/// Peers that get each heartbeat and each message about load. In a fleet with more peers, successive messages about
+/// load go to successive groups of peers.
 pub const FANOUT: usize = 16;
 
 /// An idle instance sends a message about load only once in this many turns, to report the store revision it knows.
 const QUIET_TURNS: u32 = 16;
 
-/// Maximum number of turns for a message about load to reach all peers; later it would be outdated. In a fleet that needs
-/// more turns, only busy peers of the same zone get a message in every turn.
+/// Maximum number of turns for a message about load to reach all peers; later it would be outdated. In a fleet that
+/// needs more turns, only busy peers of the same zone get a message in every turn.
 const MAX_TURNS: usize = 16;
 
-/// Peers of the same zone, busy or not, that get a message once in [`QUIET_TURNS`] in a large fleet. It spreads the store
-/// revision that the sender knows.
+/// Peers of the same zone, busy or not, that get a message once in [`QUIET_TURNS`] in a large fleet. It spreads the
+/// store revision that the sender knows.
 const LARGE_FLEET_SAME_ZONE: usize = 8;
 
 /// Peers of other zones that get a message once in [`QUIET_TURNS`] in a large fleet.
 const LARGE_FLEET_OTHER_ZONES: usize = 1;
 
-/// Work at one engine.
+/// Load on one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// The engine's id.
     pub engine: String,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Time that the reading of prompts which are not read yet takes, in microseconds.
+    /// Time needed to process the prompts that are not processed yet, in microseconds.
     pub reading: u64,
 }
 
 /// A message about load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadMessage {
-    /// The sender's work, engine by engine.
+    /// The sender's load on each engine.
     pub shares: Vec<EngineLoad>,
-    /// Engines that broke off under a request lately.
+    /// Engines that recently broke off a request.
     pub notes: Vec<CrashNote>,
-    /// What the sender has had read lately.
+    /// Prompts that the sender recently had processed.
     pub reads: Vec<Read>,
     /// Revision of the store up to which the sender knows the engines.
     pub revision: u64,
-    /// Milliseconds since the store had nothing beyond that; the largest number if the sender can't tell.
+    /// Milliseconds since the store had nothing beyond that revision; `u32::MAX` if the sender can't tell.
     pub age: u32,
-    /// Milliseconds since then by proof; the largest number without one.
+    /// Milliseconds since the last proof of that; `u32::MAX` without one.
     pub proof: u32,
-    /// Microseconds since the Unix epoch by the sender's wall clock, as it left.
+    /// Microseconds since the Unix epoch by the sender's wall clock when the message was sent.
     pub wall: u64,
 }
 
 impl LoadMessage {
-    /// The message about `work`; it says nothing of the store yet.
+    /// A message with the load `work`, without a status of the store.
     pub fn new(work: BTreeMap<String, Work>, notes: Vec<CrashNote>, reads: Vec<Read>) -> LoadMessage {
         let shares = work.into_iter().map(|(engine, work)| EngineLoad {
             engine,
@@ -78,18 +79,18 @@
         }
     }
 
-    /// The message with the sender's clock, and how old its proof of what it knows of the store is.
+    /// The message with the sender's clock and the age of its last proof that it has read all changes of the store.
     pub fn with_clock(self, wall: u64, proof: Option<SyncStatus>) -> LoadMessage {
         let proof = proof.map_or(u32::MAX, SyncStatus::age_millis);
         LoadMessage { proof, wall, ..self }
     }
 
-    /// The message with `part` of what it says of work and readings: the engines with most work, the latest readings.
+    /// The message with the `fraction` of its load and its reads: the engines with most load, the latest reads.
     ///
-    /// Failure guarded against: an instance with work at hundreds of engines has a message that is longer than a datagram may be,
-    /// and the others hear of none of its work.
-    pub fn trim(mut self, part: f64) -> LoadMessage {
-        let keep = |count: usize| (count as f64 * part.clamp(0.0, 1.0)) as usize;
+    /// Guards against an instance with load on hundreds of engines whose message is longer than a datagram may be: the
+    /// others would learn nothing of its load.
+    pub fn trim(mut self, fraction: f64) -> LoadMessage {
+        let keep = |count: usize| (count as f64 * fraction.clamp(0.0, 1.0)) as usize;
         let (shares, reads) = (keep(self.shares.len()), keep(self.reads.len()));
         self.shares
             .sort_by_key(|share| std::cmp::Reverse((share.requests, share.reading)));
@@ -98,16 +99,16 @@
         self
     }
 
-    /// The message with what the sender knows of the store.
-    pub fn with_sync_status(mut self, word: Option<SyncStatus>) -> LoadMessage {
-        if let Some(word) = word {
-            self.revision = word.revision;
-            self.age = word.age_millis();
+    /// The message with how far the sender has read the store.
+    pub fn with_sync_status(mut self, status: Option<SyncStatus>) -> LoadMessage {
+        if let Some(status) = status {
+            self.revision = status.revision;
+            self.age = status.age_millis();
         }
         self
     }
 
-    /// What the sender knows of the store.
+    /// How far the sender has read the store.
     pub fn sync_status(&self) -> SyncStatus {
         SyncStatus::new(self.revision, self.age)
     }
@@ -130,8 +131,8 @@
 
 /// Peers to which messages about load may be sent.
 ///
-/// Guards against all-to-all messages in a fleet of a thousand instances, where small instances would spend all their time
-/// on messages that they have no use for.
+/// Guards against all-to-all messages in a fleet of a thousand instances, where small instances would spend all their
+/// time on messages that they have no use for.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadPeers<'a> {
     /// Peers of the same zone.
@@ -171,9 +172,9 @@
     }
 }
 
-/// The peers that are told in a turn: `most` of them, and with each turn the next ones, round and round.
-pub fn round_robin(peers: &[SocketAddr], turn: u32, most: usize) -> Vec<SocketAddr> {
-    let first = (turn as usize).wrapping_mul(most).checked_rem(peers.len());
+/// The peers that get a message in a turn: at most `max`, and the next ones with each turn, in rotation.
+pub fn round_robin(peers: &[SocketAddr], turn: u32, max: usize) -> Vec<SocketAddr> {
+    let first = (turn as usize).wrapping_mul(max).checked_rem(peers.len());
     let next = peers.iter().cycle().skip(first.unwrap_or_default());
-    next.take(most.min(peers.len())).copied().collect()
+    next.take(max.min(peers.len())).copied().collect()
 }
--- a/crates/core/src/relay/mod.rs
+++ b/crates/core/src/relay/mod.rs
@@ -1,9 +1,10 @@
-//! Forwarding requests unchanged, by routes that operators configure.
+//! Forwards requests unchanged, by routes that operators configure.
 //!
-//! A route leads from a host and a path prefix to services. [`routes`] finds it, [`engines`] knows who serves,
-//! [`place`] picks an engine, [`attempt`](crate::attempt) says what its end proves and whether another may follow,
-//! [`budget`] bounds how often that happens over the whole fleet, [`stages`] splits a service into engines that read
-//! prompts and engines that generate, and [`suspects`] knows requests that crash engines.
+//! A route maps a host and a path prefix to services. [`routes`] looks it up, [`engines`] tracks the engines of each
+//! service, [`place`] picks an engine, [`attempt`](crate::attempt) decides what the end of an attempt proves and
+//! whether another may follow, [`budget`] limits extra attempts over the whole fleet, [`stages`] splits the engines of
+//! a service into those that process prompts and those that generate, and [`suspects`] detects requests that crash
+//! engines.
 
 pub mod book;
 pub mod budget;
--- a/crates/core/src/relay/records.rs
+++ b/crates/core/src/relay/records.rs
@@ -1,7 +1,8 @@
-//! Records of orders whose engines are gone.
+//! Finds records of orders whose engines are gone.
 //!
-//! Failure guarded against: each engine's order leaves a record in the store for good. Fleets replace a hundred engines a
-//! day; after a year every instance that starts reads forty thousand records, and every change of one copies them all.
+//! Guards against each engine's order leaving a record in the store forever. Fleets replace a hundred engines a day;
+//! after a year every instance that starts would read forty thousand records, and every change of one would copy them
+//! all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,20 +10,20 @@
 
 use crate::time::Time;
 
-/// Since when engines are not there that have a record.
+/// Engines that have a record but are absent, and since when.
 #[derive(Debug, Clone, Default)]
 pub struct AbsentEngines {
     since: BTreeMap<String, Time>,
 }
 
 impl AbsentEngines {
-    /// None.
+    /// No absent engines.
     pub fn new() -> AbsentEngines {
         AbsentEngines::default()
     }
 
-    /// The engines of `recorded` that were not there for `forget`, `known` asked at each look.
-    pub fn due<'r, R, K>(&mut self, now: Time, forget: Duration, recorded: R, known: K) -> Vec<String>
+    /// The engines of `recorded` that were absent for at least `retention`; `known` tells whether an engine is present.
+    pub fn due<'r, R, K>(&mut self, now: Time, retention: Duration, recorded: R, known: K) -> Vec<String>
     where
         R: Iterator<Item = &'r str>,
         K: Fn(&str) -> bool,
@@ -32,7 +33,7 @@
         for id in absent {
             self.since.entry(id.to_string()).or_insert(now);
         }
-        let due = self.since.iter().filter(|(_, at)| now.since(**at) >= forget);
+        let due = self.since.iter().filter(|(_, at)| now.since(**at) >= retention);
         due.map(|(id, _)| id.clone()).collect()
     }
 }
--- a/crates/core/src/relay/routes.rs
+++ b/crates/core/src/relay/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: which service may run a request, and what may be done with it.
+//! Routes: which service may run a request, and whether it may be repeated.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::relay::workspaces::StoreAges;
 use crate::relay::workspaces::Workspaces;
 
-/// What may be repeated of a request, by the route it came on.
+/// What may be repeated of a request, by its route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RouteKind {
     /// May run more than once.
@@ -21,7 +21,7 @@
     Once,
     /// A stream of events that runs at most once.
     Stream,
-    /// A stream of events that may go on at another engine after the last event delivered.
+    /// A stream of events that may resume at another engine after the last event delivered.
     Resumable,
 }
 
@@ -50,12 +50,12 @@
     }
 }
 
-/// A service that a route leads to, with its part of the requests.
+/// A service that a route leads to, with its share of the requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteTarget {
     /// The service.
     pub service: String,
-    /// Its part, against the sum of all parts.
+    /// Its share, relative to the sum of all weights.
     pub weight: u32,
 }
 
@@ -64,60 +64,60 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Host that requests name.
+    /// Host of its requests.
     pub host: String,
-    /// What their path begins with; begins and ends with a slash.
+    /// Prefix of their path; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
     pub kind: RouteKind,
-    /// Longest time for which a caller is kept waiting.
+    /// Maximum time for which a caller waits.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, is worth all.
+    /// Latency up to which an answer, or the first event of a stream, has its full value.
     pub latency_target: Duration,
-    /// Longest pause between two events of a stream that is on time.
+    /// Maximum time between two events of a stream that is on time.
     pub gap_target: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is served first.
     pub priority: u8,
-    /// Engines that one request may be sent to.
+    /// Maximum number of engines that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether its requests carry a prompt and gain from the engine that knows its parts.
+    /// Whether its requests carry a prompt and are better sent to an engine that has parts of it cached.
     pub sticky: bool,
     /// Whether its requests need no key.
     pub public: bool,
-    /// Where its requests go.
+    /// Services that its requests are sent to.
     pub targets: Vec<RouteTarget>,
 }
 
 impl Route {
-    /// The service for a request that drew `draw`; `None` if the route leads nowhere.
+    /// The service for a request that drew `draw`; `None` if the weights of all services add up to 0.
     pub fn service(&self, draw: u64) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remaining = draw.checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// What the engines of a service can do, as the operators describe it.
+/// Properties of the engines of a service, as configured by the operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineSpec {
-    /// Tokens that an engine keeps.
+    /// Tokens that an engine keeps in its cache.
     pub cache_tokens: u64,
     /// Bytes of one token.
     pub token_bytes: u64,
-    /// Megabits a second of an engine's link.
+    /// Bandwidth of an engine's link in megabits a second.
     pub link_megabits: f64,
-    /// How long an engine keeps a prompt that was read for another.
+    /// How long an engine keeps a prompt that was processed for another engine.
     pub cache_ttl: Duration,
-    /// How long an engine is away when its stage changes.
+    /// How long an engine is unavailable when its stage changes.
     pub switch_time: Duration,
-    /// How many calls for cache events an engine keeps waiting.
+    /// Maximum number of calls for cache events that an engine keeps waiting.
     pub max_polls: u32,
 }
 
@@ -126,35 +126,35 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Connections that one of its engines accepts from all callers, 0 if it doesn't say.
+    /// Connections that one of its engines accepts from all callers together; 0 if not specified.
     pub connections: u32,
-    /// Set where its engines run models.
+    /// Set if its engines run models.
     pub engine_spec: Option<EngineSpec>,
-    /// Set where its engines are bought as the work needs them.
+    /// Set if its engines are ordered as demand requires.
     pub scale: Option<ScalePolicy>,
 }
 
 impl Service {
-    /// Idle connections that each of `instances` may keep to an engine that has `busy` at work at most, if the engine
-    /// bounds them.
+    /// Idle connections that each of `instances` may keep to an engine on which at most `busy` are in use, if the
+    /// engine limits connections.
     pub fn idle_share(&self, busy: u32, instances: usize) -> Option<usize> {
         let rest = self.connections.saturating_sub(busy) as usize / instances.max(1);
         (self.connections > 0).then_some(rest.max(1))
     }
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub max_body: usize,
     /// How long a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Before any configuration: more than any is known to allow, since whoever is refused then is refused for want of a
-    /// configuration; and the idle time that the HTTP libraries use by default.
+    /// The limits before any configuration: a larger body than any configuration is known to allow, since a request
+    /// that is refused then is refused for lack of a configuration; and the default idle time of HTTP libraries.
     fn default() -> CallerLimits {
         CallerLimits {
             max_body: 16 << 20,
@@ -166,16 +166,16 @@
 /// All routes and services of one version of the configuration.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingTable {
-    /// The version; 0 before any.
+    /// The version; 0 before any configuration.
     pub version: u64,
     /// Limits on callers.
     pub limits: CallerLimits,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Who may ask, where callers have keys.
+    /// The workspaces, if callers need keys.
     pub workspaces: Option<Workspaces>,
     hosts: BTreeMap<String, BTreeMap<String, Arc<Route>>>,
-    /// The most urgent rank of the routes to each service.
+    /// The highest priority of the routes to each service.
     ranks: BTreeMap<String, u8>,
 }
 
@@ -215,7 +215,7 @@
         RoutingTable { workspaces, ..self }
     }
 
-    /// What a request's key allows on a route.
+    /// Checks the key of a request on a route.
     pub fn grant(
         &self,
         route: &Route,
@@ -229,10 +229,10 @@
         }
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// The route with the longest prefix of `path`.
     ///
-    /// Prefixes end with a slash, so that only the parts of the path up to each of its slashes are looked up: the
-    /// cost grows with the path, not with the number of routes.
+    /// Prefixes end with a slash, so only the parts of the path up to each of its slashes are looked up: the cost grows
+    /// with the length of the path, not with the number of routes.
     pub fn find(&self, host: &str, path: &str) -> Option<Arc<Route>> {
         let routes = self.hosts.get(&host.to_ascii_lowercase())?;
         let mut rest = path;
@@ -245,7 +245,7 @@
         None
     }
 
-    /// Whether another route to one of the same services is more urgent than a request of this `priority`.
+    /// Whether another route to one of the same services has a higher priority than a request of this `priority`.
     pub fn is_outranked(&self, route: &Route, priority: u8) -> bool {
         let rank = |target: &RouteTarget| self.ranks.get(&target.service).copied();
         let mut ranks = route.targets.iter().filter_map(rank);
--- a/crates/core/src/relay/scale.rs
+++ b/crates/core/src/relay/scale.rs
@@ -1,7 +1,8 @@
-//! How many engines of a service are bought in each availability zone, and of which kind.
+//! Plans how many engines of a service are ordered in each availability zone, and of which kind.
 //!
-//! Spot engines cost a part of the price of the others, and all of a zone may be reclaimed at once. So most are spot, spread
-//! over the zones, and as many others are kept as are needed besides when any one zone has lost its own.
+//! Spot engines cost a fraction of the price of reserved ones, and all spot engines of a zone may be reclaimed at once.
+//! So most engines are spot engines, spread across the zones, and as many reserved ones are kept as are needed in
+//! addition when any one zone has lost its spot engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,41 +10,41 @@
 use crate::relay::engines::Entry;
 use crate::time::Time;
 
-/// Time beyond an engine's start after which one that was ordered and has not come is ordered anew.
+/// Time beyond an engine's start-up time after which an engine that was ordered and has not appeared is ordered again.
 const ARRIVAL_MARGIN: Duration = Duration::from_secs(3);
 
-/// How long nothing is ordered of a kind that was refused in a zone.
+/// How long no engines are ordered of a kind that was refused in a zone.
 const REFUSED_PAUSE: Duration = Duration::from_secs(2);
 
-/// How long an order whose answer was lost rests.
+/// How long an order is not repeated after its answer was lost.
 const UNANSWERED_PAUSE: Duration = Duration::from_secs(1);
 
-/// What operators allow and pay for a service.
+/// Limits and prices that operators set for a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalePolicy {
-    /// Engines of both kinds in a zone, at least.
+    /// Minimum number of engines of both kinds in a zone.
     pub min: u32,
-    /// Engines of both kinds in a zone, at most.
+    /// Maximum number of engines of both kinds in a zone.
     pub max: u32,
     /// How long a new engine takes to start.
     pub boot_time: Duration,
-    /// What a spot engine costs against another, if there are any.
+    /// Price of a spot engine relative to a reserved one, if there are spot engines.
     pub spot_price: Option<f64>,
-    /// What an engine costs in each zone.
+    /// Price of an engine in each zone.
     pub zone_prices: BTreeMap<String, f64>,
 }
 
-/// Engines of a service in a zone.
+/// Number of engines of a service in a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineCounts {
     /// Spot engines.
     pub spot: u32,
-    /// The others.
+    /// Reserved engines.
     pub reserved: u32,
 }
 
 impl EngineCounts {
-    /// The engines that stay, by zone.
+    /// The numbers of the engines that stay, by zone.
     pub fn by_zone<'e, I>(engines: I) -> BTreeMap<String, EngineCounts>
     where
         I: Iterator<Item = &'e Entry>,
@@ -64,27 +65,27 @@
     }
 }
 
-/// What is ordered: one kind of a service's engines in a zone.
+/// Engines of one kind of a service in a zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EngineGroup {
     /// The service.
     pub service: String,
     /// The zone.
     pub zone: String,
-    /// Whether spot engines are meant.
+    /// Whether these are spot engines.
     pub spot: bool,
 }
 
 /// An order for engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScaleOrder {
-    /// What is ordered.
+    /// The engines that are ordered.
     pub group: EngineGroup,
-    /// How many there are to be.
+    /// Their total number after the order.
     pub count: u32,
 }
 
-/// What is wanted in the end in a zone: nothing can be said unless spot engines are the cheaper ones.
+/// The target numbers for a zone; `None` unless spot engines are the cheaper ones.
 pub fn target_counts(scale: &ScalePolicy) -> Option<EngineCounts> {
     scale.spot_price.filter(|price| (0.0..1.0).contains(price))?;
     let reserved = scale.min.max(1).min(scale.max);
@@ -92,15 +93,15 @@
     Some(EngineCounts { spot, reserved })
 }
 
-/// The numbers to be ordered now in a zone that has `present`: both kinds together never pass what is allowed, and no engine
-/// is given back before others have come in its place.
-fn next_counts(scale: &ScalePolicy, wanted: EngineCounts, present: EngineCounts) -> EngineCounts {
-    let spot = wanted.spot.min(scale.max.saturating_sub(present.reserved));
-    // As many of the others may go as spot engines are there beyond those that would replace them.
-    let kept = present.total().min(wanted.spot + wanted.reserved);
+/// The numbers to be ordered now in a zone that has `present`: the sum of both kinds never exceeds the maximum, and no
+/// engine is given back before its replacement has appeared.
+fn next_counts(scale: &ScalePolicy, target: EngineCounts, present: EngineCounts) -> EngineCounts {
+    let spot = target.spot.min(scale.max.saturating_sub(present.reserved));
+    // As many reserved engines may be given back as there are spot engines beyond those that would replace them.
+    let kept = present.total().min(target.spot + target.reserved);
     let reserved = match present.spot >= spot {
-        true => wanted.reserved,
-        false => wanted.reserved.max(present.reserved.min(kept)),
+        true => target.reserved,
+        false => target.reserved.max(present.reserved.min(kept)),
     };
     EngineCounts { spot, reserved }
 }
@@ -114,7 +115,7 @@
     paused_until: Time,
 }
 
-/// What was ordered by this instance since it acts for all.
+/// The orders that this instance placed since it became the leader.
 #[derive(Debug, Clone, Default)]
 pub struct Planner(BTreeMap<EngineGroup, OrderState>);
 
@@ -127,41 +128,39 @@
         scale: &ScalePolicy,
         present: &BTreeMap<String, EngineCounts>,
     ) -> Vec<ScaleOrder> {
-        let Some(wanted) = target_counts(scale) else {
+        let Some(target) = target_counts(scale) else {
             return Vec::new();
         };
         let orders = scale.zone_prices.keys().flat_map(|zone| {
-            let here = present.get(zone).copied().unwrap_or_default();
-            let next = next_counts(scale, wanted, here);
+            let present_here = present.get(zone).copied().unwrap_or_default();
+            let next = next_counts(scale, target, present_here);
             let kinds = [
-                (true, next.spot, here.spot),
-                (false, next.reserved, here.reserved),
+                (true, next.spot, present_here.spot),
+                (false, next.reserved, present_here.reserved),
             ];
-            kinds.into_iter().filter_map(move |(spot, count, there)| {
-                let subject = EngineGroup {
+            kinds.into_iter().filter_map(move |(spot, count, existing)| {
+                let group = EngineGroup {
                     service: service.to_string(),
                     zone: zone.clone(),
                     spot,
                 };
-                self.is_due(now, scale, &subject, count, there)
-                    .then_some(ScaleOrder {
-                        group: subject,
-                        count,
-                    })
+                self.is_due(now, scale, &group, count, existing)
+                    .then_some(ScaleOrder { group, count })
             })
         });
         orders.collect()
     }
 
-    /// A number that is there already needn't be ordered; one that was ordered is ordered again only if it doesn't come.
-    fn is_due(&self, now: Time, scale: &ScalePolicy, subject: &EngineGroup, count: u32, there: u32) -> bool {
-        let Some(last) = self.0.get(subject) else {
-            return count != there;
+    /// Whether an order is due. A number that is present already needn't be ordered; one that was ordered is ordered
+    /// again only if the engines don't appear.
+    fn is_due(&self, now: Time, scale: &ScalePolicy, group: &EngineGroup, count: u32, existing: u32) -> bool {
+        let Some(last) = self.0.get(group) else {
+            return count != existing;
         };
         if now < last.paused_until {
             return false;
         }
-        let is_missing = there < count && now.since(last.at) > scale.boot_time + ARRIVAL_MARGIN;
+        let is_missing = existing < count && now.since(last.at) > scale.boot_time + ARRIVAL_MARGIN;
         last.count != count || !last.accepted || is_missing
     }
 
--- a/crates/core/src/relay/suspects.rs
+++ b/crates/core/src/relay/suspects.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the engines that run them.
+//! Detects requests that crash the engines that run them.
 //!
-//! Failure guarded against: a request crashes its engine, its caller sends it again, to any instance, and one engine
-//! after the other goes down. What tells the request is its method, path and body, not its id. Engines that broke off
-//! under it are counted over all instances: each tells the others what it saw.
+//! Guards against a request that crashes its engine and is sent again by its caller, to any instance, so that one
+//! engine after the other fails. A request is identified by its method, path and body, not by its id. Engines that
+//! broke off the request are counted over all instances: each sends the others what it saw.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,31 +13,32 @@
 
 use crate::time::Time;
 
-/// Engines that must have broken off under a request before it is run no more. Two may be chance: links lose answers.
+/// Number of engines that must have broken off a request before it is blocked. Two may be chance: links lose answers.
 pub const MIN_CRASHES: usize = 3;
 
-/// How long what was seen counts: crashed engines are back after some seconds, and callers come again within minutes.
+/// How long a note counts: crashed engines are back after some seconds, and callers retry within minutes.
 pub const NOTE_TTL: Duration = Duration::from_secs(120);
 
-/// How long an instance tells the others in every message what it saw: some may be lost.
+/// How long an instance sends a new note in every message: some messages may be lost.
 const NEW_NOTE_TIME: Duration = Duration::from_millis(500);
 
-/// Time between two times that it tells them again, for as long as it counts.
+/// Interval at which an instance sends its notes again, for as long as they count.
 ///
-/// Failure guarded against: an instance that was paused, cut off or started later never hears of a crash, and sends the
-/// request to one engine more each time it comes. Three seconds after such trouble it must know.
+/// Guards against an instance that was paused, cut off or started later, never hears of a crash, and sends the request
+/// to one more engine each time it arrives. Three seconds after such a fault it must know.
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Notes in a message, the latest first: 640 bytes at most, beside the load of 50 engines in one packet.
+/// Maximum number of notes in a message, the latest first: 640 bytes at most, beside the load of 50 engines in one
+/// packet.
 const MAX_NOTES: usize = 32;
 
-/// Notes of its own that an instance keeps.
+/// Maximum number of own notes that an instance keeps.
 const MAX_OWN_NOTES: usize = 256;
 
-/// Requests remembered; the oldest go first.
+/// Maximum number of requests remembered; the oldest are removed first.
 const MAX_REQUESTS: usize = 1_024;
 
-/// What an instance tells the others: this engine broke off under this request.
+/// A note to the other instances that an engine broke off a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashNote {
     /// Hash of the request's method, path and body.
@@ -46,22 +47,22 @@
     pub engine: u64,
 }
 
-/// What this instance knows of such requests.
+/// The notes of all instances.
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
     requests: BTreeMap<u64, BTreeMap<u64, Time>>,
     own: VecDeque<(Time, CrashNote)>,
-    /// When all of its own were last told.
+    /// When all own notes were last sent.
     last_resend: Time,
 }
 
 impl Suspects {
-    /// Nothing known.
+    /// No notes.
     pub fn new() -> Suspects {
         Suspects::default()
     }
 
-    /// Notes what this instance saw.
+    /// Adds a note of this instance.
     pub fn on_engine_broke(&mut self, now: Time, note: CrashNote) {
         self.own.push_back((now, note));
         if self.own.len() > MAX_OWN_NOTES {
@@ -70,7 +71,7 @@
         self.on_note(now, note);
     }
 
-    /// Notes what a peer saw, perhaps once more.
+    /// Adds a note of a peer, which may be a repetition.
     pub fn on_note(&mut self, now: Time, note: CrashNote) {
         let engines = self.requests.entry(note.request).or_default();
         engines.entry(note.engine).or_insert(now);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// What to tell the peers now.
+    /// The notes to send to peers now.
     pub fn notes(&mut self, now: Time) -> Vec<CrashNote> {
         self.own.retain(|(at, _)| now.since(*at) < NOTE_TTL);
         let again = now.since(self.last_resend) >= RESEND_INTERVAL;
@@ -91,7 +92,7 @@
         due.map(|(_, note)| *note).take(MAX_NOTES).collect()
     }
 
-    /// Whether a request is run no more.
+    /// Whether a request is blocked.
     pub fn is_blocked(&self, now: Time, request: u64) -> bool {
         let engines = self.requests.get(&request);
         let recent = |at: &&Time| now.since(**at) < NOTE_TTL;
--- a/crates/core/src/relay/usage.rs
+++ b/crates/core/src/relay/usage.rs
@@ -1,7 +1,7 @@
-//! How many requests of each workspace engines began, by window of true time.
+//! Counts the requests of each workspace that engines began, by window of true time.
 //!
-//! Each instance counts its own and tells its running counts to a few others, so that an instance that is killed loses only
-//! what it had not told. The one that reports sums them up.
+//! Each instance counts its own requests and sends its running counts to a few others, so that an instance that is
+//! killed loses only what it had not sent. The instance that reports sums them up.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Windows that are kept: reports may be held up for as long as the platform is away.
+/// Windows that are kept: reports may be delayed for as long as the platform is unavailable.
 const MAX_WINDOWS: usize = 12;
 
 /// A window of true time, counted from the Unix epoch.
@@ -17,7 +17,7 @@
 pub struct Window(pub u64);
 
 impl Window {
-    /// The window in which `micros` since the epoch lies, if each is `length` long.
+    /// The window of length `length` that contains `micros`, in microseconds since the epoch.
     pub fn at(micros: u64, length: Duration) -> Window {
         Window(micros / Window::micros(length))
     }
@@ -27,7 +27,7 @@
         (self.0 + 1).saturating_mul(Window::micros(length))
     }
 
-    /// The one after it.
+    /// The window after it.
     pub fn next(self) -> Window {
         Window(self.0 + 1)
     }
@@ -59,16 +59,16 @@
         }
     }
 
-    /// The counts of the windows from `first` on.
+    /// The counts of `first` and all later windows.
     pub fn since(&self, first: Window) -> Tally {
         Tally(self.0.range(first..).map(|(w, c)| (*w, c.clone())).collect())
     }
 
-    /// The same counts in parts of at most `most` workspaces of a window each: a message has an end.
-    pub fn chunks(&self, most: usize) -> Vec<Tally> {
+    /// The same counts in parts of at most `max` workspaces of one window each: the size of a message is limited.
+    pub fn chunks(&self, max: usize) -> Vec<Tally> {
         let windows = self.0.iter().flat_map(|(window, counts)| {
             let all: Vec<(&String, &u64)> = counts.iter().collect();
-            let parts = all.chunks(most.max(1)).map(|part| {
+            let parts = all.chunks(max.max(1)).map(|part| {
                 let counts: Counts = part
                     .iter()
                     .map(|(name, count)| ((*name).clone(), **count))
@@ -86,19 +86,19 @@
     }
 }
 
-/// A process that counts: another start of an instance begins anew.
+/// A process that counts: counts start at zero with each start of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CountSource {
     /// The instance.
     pub instance: String,
-    /// Its start.
+    /// Identifies its start.
     pub process: u64,
 }
 
-/// What an instance tells of its counts: running ones, so that the later of two messages says more.
+/// The counts that an instance sends: running totals, so that the later of two messages includes the earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CountsMessage {
-    /// The start of the sender.
+    /// Identifies the start of the sender.
     pub process: u64,
     /// Its counts of the latest windows.
     pub tally: Tally,
@@ -109,25 +109,25 @@
 pub struct FleetCounts(BTreeMap<CountSource, Tally>);
 
 impl FleetCounts {
-    /// Takes what an instance tells. Messages may cross: running counts never fall.
+    /// Adds the counts that an instance sent. Messages may arrive out of order: running counts never decrease.
     pub fn on_counts(&mut self, source: CountSource, tally: Tally) {
         let known = self.0.entry(source).or_default();
         for (window, counts) in tally.0 {
             let known = known.0.entry(window).or_default();
             for (workspace, count) in counts {
-                let former = known.entry(workspace).or_default();
-                *former = count.max(*former);
+                let previous = known.entry(workspace).or_default();
+                *previous = count.max(*previous);
             }
         }
         let latest = self.latest_window();
-        let horizon = Window(latest.0.saturating_sub(MAX_WINDOWS as u64));
+        let oldest = Window(latest.0.saturating_sub(MAX_WINDOWS as u64));
         for tally in self.0.values_mut() {
-            tally.0 = tally.0.split_off(&horizon);
+            tally.0 = tally.0.split_off(&oldest);
         }
         self.0.retain(|_, tally| !tally.0.is_empty());
     }
 
-    /// The sum of a window.
+    /// The sum of a window over all instances.
     pub fn total(&self, window: Window) -> Counts {
         let mut total = Counts::new();
         for counts in self.0.values().filter_map(|tally| tally.0.get(&window)) {
@@ -138,7 +138,7 @@
         total
     }
 
-    /// The first window of which something is known.
+    /// The first window with known counts.
     pub fn first_window(&self) -> Option<Window> {
         self.0
             .values()
@@ -157,7 +157,7 @@
     }
 }
 
-/// A report that is decided and must never be made otherwise.
+/// A report that is decided and must never change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Its window.
@@ -166,33 +166,33 @@
     pub body: String,
 }
 
-/// The reports that are decided, as the store keeps them.
+/// The decided reports, as stored in the store.
 ///
-/// Failure guarded against: two holders report a window with different counts. What is reported is written here first, on
-/// the condition that nobody else has changed it, and then only repeated.
+/// Guards against two holders of the lease that report a window with different counts. A report is written here before
+/// it is sent, on the condition that nobody else has changed the record, and is only repeated afterwards.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecidedReports {
-    /// No earlier window is decided on any more.
+    /// The first window that may still be decided.
     pub next: Window,
-    /// Reports that the platform may not have yet.
+    /// Reports that the platform may not have received yet.
     pub open: Vec<Report>,
 }
 
 impl DecidedReports {
-    /// Nothing before `next`.
+    /// No reports; windows before `next` are not reported.
     pub fn starting_at(next: Window) -> DecidedReports {
         let open = Vec::new();
         DecidedReports { next, open }
     }
 
-    /// With the reports of the windows up to `next`, and without those that the platform has accepted; at most the latest
-    /// `most` stay.
+    /// The record with the reports of the windows up to `next`, and without those that the platform has accepted; at
+    /// most the latest `max` are kept.
     pub fn advance(
         &self,
         next: Window,
         reports: Vec<Report>,
         accepted: &[Window],
-        most: usize,
+        max: usize,
     ) -> DecidedReports {
         let open = self
             .open
@@ -200,7 +200,7 @@
             .filter(|r| !accepted.contains(&r.window))
             .cloned();
         let mut open: Vec<Report> = open.chain(reports).collect();
-        open.drain(..open.len().saturating_sub(most));
+        open.drain(..open.len().saturating_sub(max));
         DecidedReports { next, open }
     }
 }
--- a/crates/core/src/relay/watchers.rs
+++ b/crates/core/src/relay/watchers.rs
@@ -1,53 +1,56 @@
-//! Which instances watch the store for all, and how old what the others act on may be.
+//! Selects the instances that watch the store on behalf of the fleet, and limits how old the data of the others may be.
 //!
-//! A few instances of the fleet, spread across availability zones, ask the store. The others hear from their peers, in the
-//! messages that they get anyway, up to which revision these know the store and when the store last confirmed it;
-//! whoever is behind asks the peer for what it lacks. Nothing has to be agreed on: an instance works out its own place by
-//! the peers that it hears, two that disagree both watch, and one that has heard no recent confirmation watches by itself,
-//! whoever should have done so.
+//! A few instances, spread across availability zones, watch the store. The others learn from the messages that they
+//! receive from their peers anyway up to which revision a peer has read the store and when the store last confirmed
+//! that. An instance that is behind requests the missing changes from such a peer. No agreement is needed: an instance
+//! derives its own rank from the peers that it hears, two instances that disagree both watch, and an instance without a
+//! recent confirmation watches the store itself, whichever instance should have done so.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Instances per watcher: answering their questions takes a small part of a watcher's time.
+/// Instances per watcher: answering their requests takes a small part of a watcher's time.
 const INSTANCES_PER_WATCHER: usize = 32;
 
 /// Minimum number of watchers in a fleet: the loss of one may go unnoticed.
 const MIN_WATCHERS: usize = 2;
 
-/// Part of the time within which a change must be in force for which a watch waits: one that falls silent is found out by
-/// its deadline with time left to read everything.
+/// Timeout of a watch, as a fraction of the [`ApplyLimit`]: a watch that gets no answer is detected by its deadline,
+/// with time left to read everything.
 const WATCH_FRACTION: f64 = 0.5;
 
-/// Part of it after which an instance that heard nothing watches by itself: longer than a watch waits, so that nobody
-/// calls the store while the watchers are well, and with time left for the answer.
+/// Age of the last confirmation at which an instance that heard nothing watches the store itself, as a fraction of the
+/// [`ApplyLimit`]. It is longer than the timeout of a watch, so that no other instance calls the store while the
+/// watchers work, and it leaves time for the answer.
 const FALLBACK_FRACTION: f64 = 0.7;
 
-/// Part of it over which the instances spread that call: the first one to ask spares the others theirs.
+/// Fraction of the limit over which the instances spread that call: the first one to ask spares the others theirs.
 const SPREAD_FRACTION: f64 = 0.1;
 
-/// A store can't be watched so closely that a change is in force sooner.
+/// Shortest limit: a store can't be watched so closely that a change is applied sooner.
 const MIN_APPLY_LIMIT: Duration = Duration::from_millis(500);
 
-/// Stores let a watch wait for some thirty seconds, and it waits for half of this.
+/// Longest limit: stores let a watch wait for about thirty seconds, and the timeout of a watch is half of the limit.
 const MAX_APPLY_LIMIT: Duration = Duration::from_secs(20);
 
-/// An instance that did not run for so long has messages waiting that are as old.
+/// An instance that did not run for longer than this has received messages that are as old as the pause.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// How long it believes no message after that: what waited is read at once.
+/// How long after such a pause messages don't count as confirmations: the backlog is read immediately on resuming.
 const BACKLOG_TIME: Duration = Duration::from_millis(200);
 
-/// Part of the longest age of a proof from which on an instance asks its peers for a newer one: older than what a watch
-/// shows in its ordinary course, so that watchers needn't ask.
+/// Age of a proof from which on an instance asks the watchers for a newer one, as a fraction of the maximum age. It is
+/// older than proofs become while watches work normally, so that watchers needn't ask.
 const ASK_WATCHERS_FRACTION: f64 = 0.4;
 
-/// Part of it from which on the first instance of each zone is asked as well as the watchers.
+/// Age from which on the first instance of each zone is asked as well as the watchers, as a fraction of the maximum
+/// age.
 const ASK_ALL_FRACTION: f64 = 0.55;
 
-/// Part of it from which on an instance asks the store itself; the instances spread these calls over [`SPREAD`].
+/// Age from which on an instance asks the store itself, as a fraction of the maximum age. The instances spread these
+/// calls over [`SPREAD_FRACTION`].
 const ASK_STORE_FRACTION: f64 = 0.75;
 
 /// The number of watchers in a fleet of `members` instances.
@@ -69,8 +72,8 @@
     pub name: &'n str,
 }
 
-/// Ranks instances as watchers: the first of each zone, then the second of each zone, and so on. Within a zone, instances
-/// are ordered by descending capacity, then by name.
+/// Ranks instances as watchers: the first of each zone, then the second of each zone, and so on. Within a zone,
+/// instances are ordered by descending capacity, then by name.
 ///
 /// Guards against all watchers being in a single zone that is cut off.
 pub fn rank_candidates(mut candidates: Vec<Candidate<'_>>) -> Vec<Candidate<'_>> {
@@ -94,21 +97,21 @@
 /// The rank of an instance among those that it hears, itself included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetRank {
-    /// How many come before it.
+    /// Number of instances that rank before it.
     pub rank: usize,
-    /// How many there are.
+    /// Number of instances.
     pub members: usize,
 }
 
 impl Default for FleetRank {
-    /// An instance that hears nobody.
+    /// The rank of an instance that hears no peers.
     fn default() -> FleetRank {
         FleetRank { rank: 0, members: 1 }
     }
 }
 
 impl FleetRank {
-    /// The seat of the instance `name` among `ranked`, which is in the order of [`rank_candidates`].
+    /// The rank of the instance `name` among `ranked`, which is in the order of [`rank_candidates`].
     pub fn among(ranked: &[Candidate<'_>], name: &str) -> FleetRank {
         let rank = ranked.iter().position(|c| c.name == name);
         FleetRank {
@@ -117,91 +120,97 @@
         }
     }
 
-    /// Whether it watches for the others.
+    /// Whether it watches the store on behalf of the others.
     pub fn is_watcher(self) -> bool {
         self.rank < watcher_count(self.members)
     }
 }
 
-/// The times that follow from how soon a change must be in force.
+/// Time within which a change in the store must be applied, and the timeouts that follow from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ApplyLimit(pub Duration);
 
 impl ApplyLimit {
-    /// The times by which a change is in force within `time`, as far as a watch can do that.
+    /// The limit `time`, clamped to what a watch can achieve.
     pub fn within(time: Duration) -> ApplyLimit {
         ApplyLimit(time.clamp(MIN_APPLY_LIMIT, MAX_APPLY_LIMIT))
     }
 
-    /// How long a watch waits.
+    /// How long a watch of the store waits for a change.
     pub fn watch_timeout(self) -> Duration {
         self.0.mul_f64(WATCH_FRACTION)
     }
 
-    /// How old what an instance knows may be until it watches by itself.
-    pub fn fallback_age(self, seat: FleetRank) -> Duration {
-        let turn = seat.rank as f64 / seat.members.max(1) as f64;
-        self.0.mul_f64(FALLBACK_FRACTION + SPREAD_FRACTION * turn)
+    /// Age of the last confirmation at which an instance of this rank watches the store itself.
+    pub fn fallback_age(self, rank: FleetRank) -> Duration {
+        let fraction = rank.rank as f64 / rank.members.max(1) as f64;
+        self.0.mul_f64(FALLBACK_FRACTION + SPREAD_FRACTION * fraction)
     }
 }
 
-/// Which of the peers that know the store furthest beyond `revision` is asked, by their revisions and a draw.
+/// The index of the peer to ask for changes after `revision`: one of those with the highest revision, selected by
+/// `draw`; `None` if no peer is ahead.
 ///
-/// Failure guarded against: all that listen ask the same one, and on a small link the last gets its answer after a second.
+/// Guards against all instances without a watch asking the same peer: on a small link the last one would get its answer
+/// only after a second.
 pub fn most_advanced(known: &[u64], revision: u64, draw: usize) -> Option<usize> {
-    let most = known.iter().copied().max().filter(|most| *most > revision)?;
-    let ahead: Vec<usize> = (0..known.len()).filter(|peer| known[*peer] == most).collect();
+    let highest = known
+        .iter()
+        .copied()
+        .max()
+        .filter(|highest| *highest > revision)?;
+    let ahead: Vec<usize> = (0..known.len()).filter(|peer| known[*peer] == highest).collect();
     ahead.get(draw % ahead.len()).copied()
 }
 
-/// What a peer says of its knowledge of the store.
+/// How far an instance has read the store, as reported to its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SyncStatus {
-    /// Up to which revision it knows the store.
+    /// Revision up to which it has read the store.
     pub revision: u64,
-    /// How long ago the store had nothing beyond that.
+    /// Time since the store had nothing beyond that revision.
     pub age: Duration,
 }
 
 impl SyncStatus {
-    /// The word as messages carry it: its age in milliseconds.
+    /// The status as carried in messages, with its age in milliseconds.
     pub fn new(revision: u64, millis: u32) -> SyncStatus {
         let age = Duration::from_millis(u64::from(millis));
         SyncStatus { revision, age }
     }
 
-    /// Its age in milliseconds, the longest that messages carry if it is longer.
+    /// Its age in milliseconds; `u32::MAX`, the maximum in messages, if it is older.
     pub fn age_millis(self) -> u32 {
         u32::try_from(self.age.as_millis()).unwrap_or(u32::MAX)
     }
 }
 
-/// What an instance is to do now.
+/// How an instance follows the store now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchAction {
     /// Watch the store.
     Watch,
-    /// Listen to the peers until then.
+    /// Rely on the messages of peers until then.
     Listen(Time),
 }
 
-/// How far this instance knows the store, and since when that is all there is.
+/// How far this instance has read the store, and when that was last confirmed to be up to date.
 #[derive(Debug, Clone, Default)]
 pub struct SyncState {
     revision: u64,
     confirmed: Option<Time>,
-    /// The last time at which this instance ran.
+    /// Time of the last [`SyncState::on_tick`].
     last_tick: Option<Time>,
-    /// When it last ran again after a pause.
+    /// When it last resumed after a pause.
     resumed: Option<Time>,
-    /// Everything up to then was taken in, by proof.
+    /// Time up to which all changes are proven to be read.
     proven: Option<Time>,
 }
 
-/// Whom an instance asks for a newer proof.
+/// Peers to ask for a newer proof.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProofPeers {
-    /// Nobody: its own is new.
+    /// None: the own proof is recent.
     Nobody,
     /// The watchers.
     Watchers,
@@ -209,11 +218,11 @@
     All,
 }
 
-/// Up to when an answer of the store proves that nothing else happened, one to a call sent at `sent` with leave to wait
-/// for `wait`.
+/// The time up to which an answer of the store proves that there were no other changes. The call was sent at `sent` and
+/// allowed the store to wait for `wait`; `is_quiet` says that the answer reports no change.
 ///
-/// Failure guarded against: an answer is held up on its way for seconds. One that came because something happened may have
-/// left at once; one that came because the wait was over left when it was over.
+/// Guards against an answer that is delayed by seconds on its way. An answer that reports a change may have been sent
+/// as soon as the call arrived; one sent because the wait was over was sent at the end of the wait.
 pub fn proven_until(now: Time, sent: Time, wait: Duration, is_quiet: bool) -> Time {
     match is_quiet && now >= sent + wait {
         true => sent + wait,
@@ -222,55 +231,57 @@
 }
 
 impl SyncState {
-    /// Up to which revision everything was taken in.
+    /// Revision up to which all changes were read.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How old what it knows may be; `None` if the store never confirmed it.
+    /// Time since the last confirmation; `None` if the store never gave one.
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.confirmed.map(|at| now.since(at))
     }
 
-    /// Takes the store's own answer: all up to `revision`, asked for at `sent` with leave to wait for `wait`.
+    /// Handles an answer of the store: all changes up to `revision`, for a call sent at `sent` that allowed the store
+    /// to wait for `wait`.
     ///
-    /// Failure guarded against: an instance is paused while its watch waits, and when it goes on takes an answer from
-    /// before for one of now. The store has answered when the wait was over at the latest.
+    /// Guards against an instance that is paused during its watch and on resuming takes an old answer for a current
+    /// one. The store answered no later than the end of the wait.
     pub fn on_store_answer(&mut self, now: Time, sent: Time, wait: Duration, revision: u64) {
         self.revision = self.revision.max(revision);
         let answered = now.min(sent + wait);
         self.confirmed = self.confirmed.max(Some(answered));
     }
 
-    /// How long ago everything is known up to, by proof; `None` without one. What peers say by themselves is none: a
-    /// message may be held up for seconds.
+    /// Time since the last proof that all changes were read; `None` without one. A status that peers send unasked is no
+    /// proof: a message may be delayed by seconds.
     pub fn proof_age(&self, now: Time) -> Option<Duration> {
         self.proven.map(|at| now.since(at))
     }
 
-    /// Takes the store's own proof that nothing that is not known happened up to `until`.
+    /// Handles a proof of the store that there were no unread changes up to `until`.
     pub fn on_proof(&mut self, until: Time) {
         self.proven = self.proven.max(Some(until));
     }
 
-    /// Takes what a peer answered to a question that left at `asked`; whether the peer knows more.
-    pub fn on_peer_proof(&mut self, asked: Time, word: SyncStatus) -> bool {
-        if word.revision > self.revision {
+    /// Handles a peer's answer to a request for a proof sent at `asked`. Returns whether the peer has a higher
+    /// revision.
+    pub fn on_peer_proof(&mut self, asked: Time, status: SyncStatus) -> bool {
+        if status.revision > self.revision {
             return true;
         }
-        if asked.since(Time::ZERO) >= word.age {
-            self.on_proof(asked - word.age);
+        if asked.since(Time::ZERO) >= status.age {
+            self.on_proof(asked - status.age);
         }
         false
     }
 
-    /// What it answers to a peer that asks for a proof.
+    /// The answer to a peer that asks for a proof.
     pub fn proof_status(&self, now: Time) -> Option<SyncStatus> {
         let (revision, age) = (self.revision, self.proof_age(now)?);
         Some(SyncStatus { revision, age })
     }
 
-    /// Whom to ask for a newer proof, if one may be `limit` old.
+    /// Peers to ask for a newer proof, if a proof may be `limit` old.
     pub fn proof_peers(&self, limit: Duration, now: Time) -> ProofPeers {
         match self.proof_age(now) {
             Some(age) if age < limit.mul_f64(ASK_WATCHERS_FRACTION) => ProofPeers::Nobody,
@@ -279,33 +290,33 @@
         }
     }
 
-    /// When to ask the store itself for a proof that may be `limit` old: peers have given none in time.
-    pub fn store_proof_due(&self, seat: FleetRank, limit: Duration) -> Time {
-        let turn = seat.rank as f64 / seat.members.max(1) as f64;
-        self.proven.unwrap_or(Time::ZERO) + limit.mul_f64(ASK_STORE_FRACTION + SPREAD_FRACTION * turn)
+    /// When to ask the store itself for a proof, if a proof may be `limit` old and peers have given none in time.
+    pub fn store_proof_due(&self, rank: FleetRank, limit: Duration) -> Time {
+        let fraction = rank.rank as f64 / rank.members.max(1) as f64;
+        self.proven.unwrap_or(Time::ZERO) + limit.mul_f64(ASK_STORE_FRACTION + SPREAD_FRACTION * fraction)
     }
 
-    /// Takes in what a peer had: everything up to its word.
-    pub fn on_peer_changes(&mut self, now: Time, word: SyncStatus) {
-        self.revision = self.revision.max(word.revision);
-        self.on_peer_status(now, word);
+    /// Notes that the changes of a peer were applied: everything up to its status.
+    pub fn on_peer_changes(&mut self, now: Time, status: SyncStatus) {
+        self.revision = self.revision.max(status.revision);
+        self.on_peer_status(now, status);
     }
 
-    /// Takes what a peer says; whether the peer knows more.
-    pub fn on_peer_status(&mut self, now: Time, word: SyncStatus) -> bool {
-        if word.revision > self.revision {
+    /// Handles a status sent by a peer. Returns whether the peer has a higher revision.
+    pub fn on_peer_status(&mut self, now: Time, status: SyncStatus) -> bool {
+        if status.revision > self.revision {
             return true;
         }
-        let is_backlog = self.resumed.is_some_and(|at| now.since(at) < BACKLOG_TIME);
-        if !is_backlog && now.since(Time::ZERO) >= word.age {
-            self.confirmed = self.confirmed.max(Some(now - word.age));
+        let is_in_backlog = self.resumed.is_some_and(|at| now.since(at) < BACKLOG_TIME);
+        if !is_in_backlog && now.since(Time::ZERO) >= status.age {
+            self.confirmed = self.confirmed.max(Some(now - status.age));
         }
         false
     }
 
-    /// Notes that this instance runs; to be called more often than [`ASLEEP`].
+    /// Notes that this instance runs; must be called more often than [`PAUSE_THRESHOLD`].
     ///
-    /// Failure guarded against: an instance is paused, and the messages that came meanwhile pass for ones of now.
+    /// Guards against an instance that is paused and then takes the messages that arrived meanwhile for current ones.
     pub fn on_tick(&mut self, now: Time) {
         let latest = self.last_tick.replace(now);
         if latest.is_some_and(|at| now.since(at) > PAUSE_THRESHOLD) {
@@ -313,19 +324,19 @@
         }
     }
 
-    /// What it tells its peers; nothing before the store has confirmed anything.
+    /// The status to send to peers; `None` until the store has confirmed anything.
     pub fn sync_status(&self, now: Time) -> Option<SyncStatus> {
         let (revision, age) = (self.revision, self.age(now)?);
         Some(SyncStatus { revision, age })
     }
 
-    /// Whether to watch, or to listen until what it knows is too old.
-    pub fn watch_action(&self, seat: FleetRank, bound: ApplyLimit, now: Time) -> WatchAction {
+    /// Whether to watch the store, or to rely on peers until the last confirmation is too old.
+    pub fn watch_action(&self, rank: FleetRank, limit: ApplyLimit, now: Time) -> WatchAction {
         let Some(confirmed) = self.confirmed else {
             return WatchAction::Watch;
         };
-        let until = confirmed + bound.fallback_age(seat);
-        match seat.is_watcher() || now >= until {
+        let until = confirmed + limit.fallback_age(rank);
+        match rank.is_watcher() || now >= until {
             true => WatchAction::Watch,
             false => WatchAction::Listen(until),
         }
--- a/crates/core/src/relay/workspaces.rs
+++ b/crates/core/src/relay/workspaces.rs
@@ -1,6 +1,6 @@
-//! Whose request it is: keys of callers and the workspaces that hold them.
+//! Keys of callers and the workspaces that hold them.
 //!
-//! Keys are kept as digests and found by digest, so that neither a copy of the memory nor a log holds one.
+//! Keys are stored as digests and looked up by digest, so that neither a memory dump nor a log contains one.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,11 +8,11 @@
 
 use thiserror::Error;
 
-/// Part of the time after which a key that was taken away must no longer work for which what is known counts as complete:
-/// a store may keep watches waiting for a second while it changes.
+/// Fraction of the time limit for revoked keys during which the known keys count as complete: a store may delay watches
+/// for a second while it changes.
 const PROOF_FRACTION: f64 = 0.8;
 
-/// Bytes of a digest that a log shows.
+/// Bytes of a digest shown in logs.
 const DISPLAY_BYTES: usize = 4;
 
 /// Digest of a key.
@@ -27,38 +27,38 @@
 }
 
 impl fmt::Display for KeyDigest {
-    /// The first bytes: enough to tell keys apart, too little to find one.
+    /// The first bytes: enough to tell keys apart, too few to guess one.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&hex::encode(&self.0[..DISPLAY_BYTES]))
     }
 }
 
-/// A workspace as the operators describe it.
+/// A workspace as configured by the operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name, which engines are told.
+    /// Its name, which is sent to engines.
     pub name: String,
-    /// Goes before the rank of the route, if it is set.
+    /// Overrides the priority of the route, if it is set.
     pub priority: Option<u8>,
     /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
 }
 
-/// Why the workspaces of a configuration can't be taken.
+/// Why the workspaces of a configuration are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WorkspacesError {
-    /// One has no name.
-    #[error("a workspace without a name")]
+    /// A workspace has no name.
+    #[error("a workspace has no name")]
     Unnamed,
-    /// Two have the same name.
-    #[error("two workspaces of the name {0}")]
+    /// Two workspaces have the same name.
+    #[error("two workspaces are named {0}")]
     DuplicateName(String),
-    /// Two hold the same key.
-    #[error("the workspaces {0} and {1} hold the same key")]
+    /// Two workspaces hold the same key.
+    #[error("workspaces {0} and {1} hold the same key")]
     SharedKey(String, String),
 }
 
-/// A workspace's place in the configuration.
+/// Index of a workspace in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct WorkspaceIndex(usize);
 
@@ -74,22 +74,22 @@
     ///
     /// # Errors
     ///
-    /// [`WorkspacesError`] if it isn't clear whose a key is.
+    /// [`WorkspacesError`] if the holder of a key would be ambiguous, or a workspace has no name or that of another.
     pub fn new(all: Vec<Workspace>) -> Result<Workspaces, WorkspacesError> {
         let mut holders: BTreeMap<KeyDigest, WorkspaceIndex> = BTreeMap::new();
         let mut names: BTreeMap<&str, WorkspaceIndex> = BTreeMap::new();
         for (index, workspace) in all.iter().enumerate() {
-            let place = WorkspaceIndex(index);
+            let index = WorkspaceIndex(index);
             if workspace.name.is_empty() {
                 return Err(WorkspacesError::Unnamed);
             }
-            if names.insert(&workspace.name, place).is_some() {
+            if names.insert(&workspace.name, index).is_some() {
                 return Err(WorkspacesError::DuplicateName(workspace.name.clone()));
             }
             for key in &workspace.keys {
-                let former = holders.insert(*key, place).filter(|former| *former != place);
-                if let Some(former) = former {
-                    let first = all[former.0].name.clone();
+                let previous = holders.insert(*key, index).filter(|previous| *previous != index);
+                if let Some(previous) = previous {
+                    let first = all[previous.0].name.clone();
                     return Err(WorkspacesError::SharedKey(first, workspace.name.clone()));
                 }
             }
@@ -99,62 +99,62 @@
 
     /// The workspace that holds a key.
     pub fn holder(&self, key: KeyDigest) -> Option<&Workspace> {
-        self.holders.get(&key).map(|place| &self.all[place.0])
+        self.holders.get(&key).map(|index| &self.all[index.0])
     }
 
-    /// How many there are.
+    /// Number of workspaces.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no workspaces.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 }
 
-/// How old what is known of keys may be.
+/// Limits on the age of the known keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyAgeLimits {
-    /// Within which time a change must be in force here.
+    /// Time within which a change must be applied at this instance.
     pub change: Duration,
-    /// After which time a key that was taken away must not work anywhere, if that is asked for.
+    /// Time after which a revoked key must not work at any instance, if that is required.
     pub revoke: Option<Duration>,
 }
 
 impl KeyAgeLimits {
-    /// The age from which on nothing can be said of keys, if there is one.
+    /// Maximum age of the last proof that all changes of keys are known, if there is one.
     pub fn max_proof_age(&self) -> Option<Duration> {
         self.revoke.map(|revoke| revoke.mul_f64(PROOF_FRACTION))
     }
 }
 
-/// How old what is known of the store is.
+/// Age of what is known of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreAges {
-    /// By the messages of peers.
+    /// Time since the last confirmation, as reported by peers.
     pub reported: Duration,
-    /// By proof: nothing happened that is not known, up to so long ago; the longest time without one.
+    /// Time since the last proof that all changes are known; [`Duration::MAX`] without one.
     pub proven: Duration,
 }
 
-/// What a request's key allows.
+/// Result of checking the key of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyAccess<'a> {
     /// No key is needed.
     Open,
-    /// It is a request of this workspace.
+    /// The key belongs to this workspace.
     Granted(&'a Workspace),
-    /// Nobody holds the key.
+    /// No workspace holds the key.
     Denied,
-    /// What is known is too old to tell: the caller may ask elsewhere.
+    /// The known keys are too old to tell: the caller may ask another instance.
     Unknown,
 }
 
-/// What the key of a request allows on a route that needs one.
+/// Checks the key of a request on a route that needs one.
 ///
-/// Failures guarded against: an instance that lost touch runs requests with a key that was taken away long ago; one that
-/// lags denies a key that was just added, and its caller, for whom that is final, never asks again.
+/// Guards against an instance that lost contact and runs requests with a key that was revoked long ago, and against one
+/// that lags and denies a key that was just added: a denial is final for the caller, which never retries.
 pub fn grant<'a>(
     workspaces: &'a Workspaces,
     key: Option<&[u8]>,
--- a/tests/testsuite/relay/workspaces.rs
+++ b/tests/testsuite/relay/workspaces.rs
@@ -48,10 +48,10 @@
 #[test]
 fn new_unclear_refused() {
     let of = |all: Vec<Workspace>| Workspaces::new(all).expect_err("unclear").to_string();
-    assert_eq!(of(vec![workspace("", &["k1"])]), "a workspace without a name");
+    assert_eq!(of(vec![workspace("", &["k1"])]), "a workspace has no name");
     assert_eq!(
         of(vec![workspace("a", &["k1"]), workspace("a", &["k2"])]),
-        "two workspaces of the name a"
+        "two workspaces are named a"
     );
     assert_eq!(
         Workspaces::new(vec![workspace("a", &["k1"]), workspace("b", &["k1"])]),
