--- a/crates/core/src/relay/directory.rs
+++ b/crates/core/src/relay/directory.rs
@@ -41,7 +41,7 @@
 
 /// Maximum number of addresses that a caller may be told. Callers pick among them at random, so with more addresses the
 /// largest instances would get less than their capacity and the others more. Where all instances are alike, any number
-/// is fair; the more they differ, the fewer are drawn by capacity.
+/// is fair; the more they differ, the fewer addresses are drawn, by capacity.
 fn fair_count(endpoints: &[Endpoint]) -> usize {
     let weights = endpoints.iter().map(|e| f64::from(e.capacity.max(1)));
     let (smallest, largest) = weights
--- a/crates/core/src/relay/true_time.rs
+++ b/crates/core/src/relay/true_time.rs
@@ -62,7 +62,7 @@
     /// How far true time is ahead of the local monotonic clock, in microseconds; `None` before any clock is known.
     pub fn offset(&mut self, now: Time) -> Option<u64> {
         self.0.retain(|_, offset| now.since(offset.last_seen) < CLOCK_TTL);
-        let mut offsets: Vec<u64> = self.0.values().map(|l| l.current.max(l.previous)).collect();
+        let mut offsets: Vec<u64> = self.0.values().map(|c| c.current.max(c.previous)).collect();
         offsets.sort_unstable();
         offsets.get(offsets.len() / 2).copied()
     }
