--- a/crates/core/src/relay/digest.rs
+++ b/crates/core/src/relay/load_message.rs
@@ -1,4 +1,5 @@
-//! What instances tell each other many times a second: their work at each engine, and how far they know the store.
+//! Messages that instances send each other many times a second: their load on each engine, and how far they have read
+//! the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,66 +9,66 @@
 
 use crate::relay::book::Work;
 use crate::relay::parts::Read;
-use crate::relay::suspects::Note;
-use crate::relay::watchers::Word;
+use crate::relay::suspects::CrashNote;
+use crate::relay::watchers::SyncStatus;
 
-/// Peers that get each heartbeat and each message about load. In a fleet with more peers, successive messages about load
-/// go to successive groups of peers.
+/// Peers that get each heartbeat and each message about load. In a fleet with more peers, successive messages about
+/// load go to successive groups of peers.
 pub const FANOUT: usize = 16;
 
 /// An idle instance sends a message about load only once in this many turns, to report the store revision it knows.
 const QUIET_TURNS: u32 = 16;
 
-/// Maximum number of turns for a message about load to reach all peers; later it would be outdated. In a fleet that needs
-/// more turns, only busy peers of the same zone get a message in every turn.
+/// Maximum number of turns for a message about load to reach all peers; later it would be outdated. In a fleet that
+/// needs more turns, only busy peers of the same zone get a message in every turn.
 const MAX_TURNS: usize = 16;
 
-/// Peers of the same zone, busy or not, that get a message once in [`QUIET_TURNS`] in a large fleet. It spreads the store
-/// revision that the sender knows.
+/// Peers of the same zone, busy or not, that get a message once in [`QUIET_TURNS`] in a large fleet. It spreads the
+/// store revision that the sender knows.
 const LARGE_FLEET_SAME_ZONE: usize = 8;
 
 /// Peers of other zones that get a message once in [`QUIET_TURNS`] in a large fleet.
 const LARGE_FLEET_OTHER_ZONES: usize = 1;
 
-/// Work at one engine.
+/// Load on one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct EngineLoad {
     /// The engine's id.
     pub engine: String,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Time that the reading of prompts which are not read yet takes, in microseconds.
+    /// Time needed to process the prompts that are not processed yet, in microseconds.
     pub reading: u64,
 }
 
 /// A message about load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Digest {
-    /// The sender's work, engine by engine.
-    pub shares: Vec<Share>,
-    /// Engines that broke off under a request lately.
-    pub notes: Vec<Note>,
-    /// What the sender has had read lately.
+pub struct LoadMessage {
+    /// The sender's load on each engine.
+    pub shares: Vec<EngineLoad>,
+    /// Engines that recently broke off a request.
+    pub notes: Vec<CrashNote>,
+    /// Prompts that the sender recently had processed.
     pub reads: Vec<Read>,
     /// Revision of the store up to which the sender knows the engines.
     pub revision: u64,
-    /// Milliseconds since the store had nothing beyond that; the largest number if the sender can't tell.
+    /// Milliseconds since the store had nothing beyond that revision; `u32::MAX` if the sender can't tell.
     pub age: u32,
-    /// Milliseconds since then by proof; the largest number without one.
+    /// Milliseconds since the last proof of that; `u32::MAX` without one.
     pub proof: u32,
-    /// Microseconds since the Unix epoch by the sender's wall clock, as it left.
+    /// Microseconds since the Unix epoch by the sender's wall clock when the message was sent.
     pub wall: u64,
 }
 
-impl Digest {
-    /// The message about `work`; it says nothing of the store yet.
-    pub fn new(work: BTreeMap<String, Work>, notes: Vec<Note>, reads: Vec<Read>) -> Digest {
-        let shares = work.into_iter().map(|(engine, work)| Share {
+impl LoadMessage {
+    /// A message with the load `work`, without a status of the store.
+    pub fn new(work: BTreeMap<String, Work>, notes: Vec<CrashNote>, reads: Vec<Read>) -> LoadMessage {
+        let shares = work.into_iter().map(|(engine, work)| EngineLoad {
             engine,
             requests: work.requests,
             reading: u64::try_from(work.reading.as_micros()).unwrap_or(u64::MAX),
         });
-        Digest {
+        LoadMessage {
             shares: shares.collect(),
             notes,
             reads,
@@ -78,18 +79,18 @@
         }
     }
 
-    /// The message with the sender's clock, and how old its proof of what it knows of the store is.
-    pub fn with_clock(self, wall: u64, proof: Option<Word>) -> Digest {
-        let proof = proof.map_or(u32::MAX, Word::millis);
-        Digest { proof, wall, ..self }
+    /// The message with the sender's clock and the age of its last proof that it has read all changes of the store.
+    pub fn with_clock(self, wall: u64, proof: Option<SyncStatus>) -> LoadMessage {
+        let proof = proof.map_or(u32::MAX, SyncStatus::age_millis);
+        LoadMessage { proof, wall, ..self }
     }
 
-    /// The message with `part` of what it says of work and readings: the engines with most work, the latest readings.
+    /// The message with the `fraction` of its load and its reads: the engines with most load, the latest reads.
     ///
-    /// Failure guarded against: an instance with work at hundreds of engines has a message that is longer than a datagram may be,
-    /// and the others hear of none of its work.
-    pub fn trim(mut self, part: f64) -> Digest {
-        let keep = |count: usize| (count as f64 * part.clamp(0.0, 1.0)) as usize;
+    /// Guards against an instance with load on hundreds of engines whose message is longer than a datagram may be: the
+    /// others would learn nothing of its load.
+    pub fn trim(mut self, fraction: f64) -> LoadMessage {
+        let keep = |count: usize| (count as f64 * fraction.clamp(0.0, 1.0)) as usize;
         let (shares, reads) = (keep(self.shares.len()), keep(self.reads.len()));
         self.shares
             .sort_by_key(|share| std::cmp::Reverse((share.requests, share.reading)));
@@ -98,18 +99,18 @@
         self
     }
 
-    /// The message with what the sender knows of the store.
-    pub fn with_word(mut self, word: Option<Word>) -> Digest {
-        if let Some(word) = word {
-            self.revision = word.revision;
-            self.age = word.millis();
+    /// The message with how far the sender has read the store.
+    pub fn with_sync_status(mut self, status: Option<SyncStatus>) -> LoadMessage {
+        if let Some(status) = status {
+            self.revision = status.revision;
+            self.age = status.age_millis();
         }
         self
     }
 
-    /// What the sender knows of the store.
-    pub fn word(&self) -> Word {
-        Word::new(self.revision, self.age)
+    /// How far the sender has read the store.
+    pub fn sync_status(&self) -> SyncStatus {
+        SyncStatus::new(self.revision, self.age)
     }
 }
 
@@ -130,8 +131,8 @@
 
 /// Peers to which messages about load may be sent.
 ///
-/// Guards against all-to-all messages in a fleet of a thousand instances, where small instances would spend all their time
-/// on messages that they have no use for.
+/// Guards against all-to-all messages in a fleet of a thousand instances, where small instances would spend all their
+/// time on messages that they have no use for.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadPeers<'a> {
     /// Peers of the same zone.
@@ -150,13 +151,13 @@
     /// Recipients of the message of a turn.
     pub fn recipients(&self, turn: u32) -> Vec<SocketAddr> {
         if !self.is_large_fleet() {
-            return part(&[self.same_zone, self.other_zones].concat(), turn, FANOUT);
+            return round_robin(&[self.same_zone, self.other_zones].concat(), turn, FANOUT);
         }
-        let mut chosen = part(self.busy, turn, FANOUT);
+        let mut chosen = round_robin(self.busy, turn, FANOUT);
         if is_quiet_turn(turn) {
             let round = turn / QUIET_TURNS;
-            chosen.extend(part(self.same_zone, round, LARGE_FLEET_SAME_ZONE));
-            chosen.extend(part(self.other_zones, round, LARGE_FLEET_OTHER_ZONES));
+            chosen.extend(round_robin(self.same_zone, round, LARGE_FLEET_SAME_ZONE));
+            chosen.extend(round_robin(self.other_zones, round, LARGE_FLEET_OTHER_ZONES));
         }
         chosen
     }
@@ -171,9 +172,9 @@
     }
 }
 
-/// The peers that are told in a turn: `most` of them, and with each turn the next ones, round and round.
-pub fn part(peers: &[SocketAddr], turn: u32, most: usize) -> Vec<SocketAddr> {
-    let first = (turn as usize).wrapping_mul(most).checked_rem(peers.len());
+/// The peers that get a message in a turn: at most `max`, and the next ones with each turn, in rotation.
+pub fn round_robin(peers: &[SocketAddr], turn: u32, max: usize) -> Vec<SocketAddr> {
+    let first = (turn as usize).wrapping_mul(max).checked_rem(peers.len());
     let next = peers.iter().cycle().skip(first.unwrap_or_default());
-    next.take(most.min(peers.len())).copied().collect()
+    next.take(max.min(peers.len())).copied().collect()
 }
--- a/src/ops/relay/pick.rs
+++ b/src/ops/relay/pick.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use sequoiastream_core::relay::book::Ticket;
-use sequoiastream_core::relay::digest::turns;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::Stage;
+use sequoiastream_core::relay::load_message::turns;
 use sequoiastream_core::relay::pace::Load;
 use sequoiastream_core::relay::place::Chooser;
 use sequoiastream_core::relay::place::Reading;
@@ -141,7 +141,7 @@
                 .table
                 .services
                 .get(service)
-                .and_then(|s| Some(s.memory.as_ref()?.tokens)),
+                .and_then(|s| Some(s.engine_spec.as_ref()?.cache_tokens)),
             turns: turns(view.instances.saturating_sub(1)),
             draw: self.draw,
         };
