--- a/crates/core/src/config/follow.rs
+++ b/crates/core/src/config/follower.rs
@@ -20,7 +20,7 @@
 
 /// A head as the key-value service gave it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Stored {
+pub struct StoredHead {
     /// Its revision.
     pub revision: Revision,
     /// The head.
@@ -33,14 +33,15 @@
     /// The changes after the version that the other has.
     Changes(Vec<Change>),
     /// Everything, since the other is too far behind.
-    Whole(Box<State>),
+    #[serde(rename = "Whole")]
+    Snapshot(Box<State>),
 }
 
 impl Update {
     /// The version that it leads to; 0 if it holds nothing.
     pub fn version(&self) -> Version {
         match self {
-            Update::Whole(state) => state.version,
+            Update::Snapshot(state) => state.version,
             Update::Changes(changes) => changes.last().map(|c| c.version).unwrap_or_default(),
         }
     }
@@ -52,20 +53,20 @@
     /// The version in force rose.
     Advanced,
     /// Nothing new.
-    Same,
+    Unchanged,
     /// It is older than what is known and was ignored.
     Stale,
     /// The snapshot of this version is needed first.
-    Needs(Version),
+    NeedsSnapshot(Version),
     /// It contradicts what is known and was ignored.
-    Broken(ApplyError),
+    Inconsistent(ApplyError),
 }
 
 /// The configuration in force on one instance, and the head it can build changes on.
 #[derive(Debug, Clone, Default)]
 pub struct Follower {
     state: State,
-    stored: Option<Stored>,
+    stored: Option<StoredHead>,
     recent: VecDeque<Change>,
 }
 
@@ -76,7 +77,7 @@
     }
 
     /// The last head that the key-value service gave.
-    pub fn stored(&self) -> Option<&Stored> {
+    pub fn stored(&self) -> Option<&StoredHead> {
         self.stored.as_ref()
     }
 
@@ -85,13 +86,13 @@
     /// Failure guarded against: an answer from the past (delayed on its way, or of a replica that lags) brings
     /// back a configuration that operators have replaced: a drained engine gets work again. It shows as a
     /// revision or a version below what is known, and is ignored.
-    pub fn on_stored(&mut self, stored: Stored) -> Progress {
+    pub fn on_stored(&mut self, stored: StoredHead) -> Progress {
         let known = self.stored.as_ref().map(|s| s.revision);
         if known.is_some_and(|known| stored.revision < known) || stored.head.version < self.state.version {
             return Progress::Stale;
         }
-        let progress = self.on_tail(&stored.head);
-        if !matches!(progress, Progress::Broken(_)) {
+        let progress = self.apply_tail(&stored.head);
+        if !matches!(progress, Progress::Inconsistent(_)) {
             self.stored = Some(stored);
         }
         progress
@@ -99,14 +100,14 @@
 
     /// Takes a snapshot that the head named.
     pub fn on_snapshot(&mut self, snapshot: State) -> Progress {
-        let progress = self.on_whole(snapshot);
+        let progress = self.replace_state(snapshot);
         let Some(stored) = self.stored.take() else {
             return progress;
         };
-        let rest = self.on_tail(&stored.head);
+        let rest = self.apply_tail(&stored.head);
         self.stored = Some(stored);
         match rest {
-            Progress::Same => progress,
+            Progress::Unchanged => progress,
             rest => rest,
         }
     }
@@ -122,8 +123,8 @@
             return Progress::Stale;
         }
         match update {
-            Update::Whole(state) => self.on_whole(*state),
-            Update::Changes(changes) => self.on_changes(&changes),
+            Update::Snapshot(state) => self.replace_state(*state),
+            Update::Changes(changes) => self.apply_changes(&changes),
         }
     }
 
@@ -135,18 +136,18 @@
                 let later = self.recent.iter().filter(|change| change.version > after);
                 Update::Changes(later.cloned().collect())
             }
-            false => Update::Whole(Box::new(self.state.clone())),
+            false => Update::Snapshot(Box::new(self.state.clone())),
         }
     }
 
-    fn on_tail(&mut self, head: &Head) -> Progress {
-        if self.state.version < head.reach() {
-            return Progress::Needs(head.base);
+    fn apply_tail(&mut self, head: &Head) -> Progress {
+        if self.state.version < head.tail_base() {
+            return Progress::NeedsSnapshot(head.base);
         }
-        self.on_changes(head.tail.iter())
+        self.apply_changes(head.tail.iter())
     }
 
-    fn on_changes<'a, I>(&mut self, changes: I) -> Progress
+    fn apply_changes<'a, I>(&mut self, changes: I) -> Progress
     where
         I: IntoIterator<Item = &'a Change>,
     {
@@ -154,27 +155,27 @@
         for change in changes {
             let known = change.version <= self.state.version;
             if let Err(error) = self.state.apply(change) {
-                return Progress::Broken(error);
+                return Progress::Inconsistent(error);
             }
             if !known {
-                self.keep(change);
+                self.push_recent(change);
             }
         }
         match self.state.version > before {
             true => Progress::Advanced,
-            false => Progress::Same,
+            false => Progress::Unchanged,
         }
     }
 
-    fn on_whole(&mut self, state: State) -> Progress {
+    fn replace_state(&mut self, state: State) -> Progress {
         if state.version <= self.state.version {
             return match state.version == self.state.version {
-                true => Progress::Same,
+                true => Progress::Unchanged,
                 false => Progress::Stale,
             };
         }
-        if let Some(error) = self.fork(&state) {
-            return Progress::Broken(error);
+        if let Some(error) = self.find_fork(&state) {
+            return Progress::Inconsistent(error);
         }
         self.recent.clear();
         self.state = state;
@@ -182,7 +183,7 @@
     }
 
     /// A later state must remember our last change as the one that we know.
-    fn fork(&self, later: &State) -> Option<ApplyError> {
+    fn find_fork(&self, later: &State) -> Option<ApplyError> {
         let ours = self.state.past.back()?;
         let theirs = later.past.iter().find(|past| past.version == ours.version)?;
         (theirs.id != ours.id).then_some(ApplyError::Fork {
@@ -190,7 +191,7 @@
         })
     }
 
-    fn keep(&mut self, change: &Change) {
+    fn push_recent(&mut self, change: &Change) {
         self.recent.push_back(change.clone());
         while self.recent.len() > MAX_TAIL {
             self.recent.pop_front();
--- a/crates/core/src/config/head.rs
+++ b/crates/core/src/config/head.rs
@@ -16,10 +16,10 @@
 
 use crate::config::ApplyError;
 use crate::config::Command;
-use crate::config::Known;
+use crate::config::CommandStatus;
 use crate::config::State;
-use crate::config::touch::Thing;
-use crate::config::touch::touched;
+use crate::config::resource::Resource;
+use crate::config::resource::affected_resources;
 use crate::time::WallTime;
 
 /// How many changes the tail holds before its writer stores a snapshot and starts a short one.
@@ -30,13 +30,13 @@
 
 /// Weight, in bytes by estimate, at which a tail counts as long whatever its number of changes. The first
 /// load of a large configuration is one heavy change: without this limit each later change would write it again.
-pub const MAX_WEIGHT: usize = 48 * 1024;
+pub const MAX_TAIL_BYTES: usize = 48 * 1024;
 
 /// Estimated bytes of a change besides its statement and commands.
-const FRAME: usize = 200;
+const CHANGE_BASE_BYTES: usize = 200;
 
 /// Estimated bytes of a stored command.
-const COMMAND: usize = 160;
+const COMMAND_BYTES: usize = 160;
 
 /// Count of accepted changes; each accepted change raises it by one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
@@ -84,8 +84,8 @@
 }
 
 impl Change {
-    fn weight(&self) -> usize {
-        FRAME + self.statement.len() + COMMAND * self.commands.len()
+    fn estimated_bytes(&self) -> usize {
+        CHANGE_BASE_BYTES + self.statement.len() + COMMAND_BYTES * self.commands.len()
     }
 }
 
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Base {
     /// The operator named it: any later change of the same things is a conflict.
-    Named(Version),
+    Explicit(Version),
     /// The version in force where the statement came in. The operator's own later changes are no conflict, since
     /// they may have gone through another instance a moment before.
     Implied(Version),
@@ -122,7 +122,7 @@
     /// The version.
     pub fn version(self) -> Version {
         match self {
-            Base::Named(version) | Base::Implied(version) => version,
+            Base::Explicit(version) | Base::Implied(version) => version,
         }
     }
 }
@@ -142,15 +142,15 @@
 
 /// Why a change was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Rejected {
+pub enum ProposalError {
     /// A command can't be applied.
     #[error(transparent)]
     Apply(#[from] ApplyError),
     /// Another operator's change of the same thing came first.
-    #[error("{thing} was changed by version {version} ({who}: {statement}) after version {base}")]
-    Lost {
+    #[error("{resource} was changed by version {version} ({who}: {statement}) after version {base}")]
+    Conflict {
         /// What both touch.
-        thing: Thing,
+        resource: Resource,
         /// Version of the change that came first.
         version: Version,
         /// Who gave it.
@@ -162,7 +162,7 @@
     },
     /// So much was changed since that the tail can't tell what.
     #[error("version {base} is too far behind version {head} to tell what was changed since")]
-    Behind {
+    BaseTooOld {
         /// The version that the refused change was based on.
         base: Version,
         /// The version in force.
@@ -170,7 +170,7 @@
     },
     /// The id is so old that it may have been accepted and forgotten.
     #[error("the command id is too old to tell whether it was accepted before")]
-    Forgotten,
+    Expired,
 }
 
 impl Head {
@@ -178,12 +178,12 @@
     ///
     /// # Errors
     ///
-    /// [`Rejected`] with what stands against it.
-    pub fn check(&self, state: &State, proposal: &Proposal) -> Result<Option<Version>, Rejected> {
+    /// [`ProposalError`] with what stands against it.
+    pub fn check(&self, state: &State, proposal: &Proposal) -> Result<Option<Version>, ProposalError> {
         match state.find(proposal.id) {
-            Known::Accepted(version) => Ok(Some(version)),
-            Known::Forgotten => Err(Rejected::Forgotten),
-            Known::Fresh => self.check_base(proposal).map(|()| None),
+            CommandStatus::Accepted(version) => Ok(Some(version)),
+            CommandStatus::Expired => Err(ProposalError::Expired),
+            CommandStatus::New => self.check_base(proposal).map(|()| None),
         }
     }
 
@@ -191,8 +191,8 @@
     ///
     /// # Errors
     ///
-    /// [`Rejected`] naming the command that can't be applied.
-    pub fn push(&self, state: &State, proposal: &Proposal) -> Result<Head, Rejected> {
+    /// [`ProposalError`] naming the command that can't be applied.
+    pub fn push(&self, state: &State, proposal: &Proposal) -> Result<Head, ProposalError> {
         let change = Change {
             version: Version(self.version.0 + 1),
             id: proposal.id,
@@ -212,7 +212,7 @@
 
     /// Whether the tail has grown so long that its writer should store a snapshot and start a short one.
     pub fn is_long(&self) -> bool {
-        self.tail.len() >= MAX_TAIL || self.weight() >= MAX_WEIGHT
+        self.tail.len() >= MAX_TAIL || self.estimated_bytes() >= MAX_TAIL_BYTES
     }
 
     /// This head with a short tail on a snapshot of its own version.
@@ -220,46 +220,48 @@
         let mut head = self.clone();
         head.prior = head.base;
         head.base = head.version;
-        while head.tail.len() > SHORT_TAIL || (head.weight() >= MAX_WEIGHT / 2 && !head.tail.is_empty()) {
+        while head.tail.len() > SHORT_TAIL
+            || (head.estimated_bytes() >= MAX_TAIL_BYTES / 2 && !head.tail.is_empty())
+        {
             head.tail.pop_front();
         }
         head
     }
 
     /// The version before the first change of the tail: a state of this version or later needs no snapshot.
-    pub fn reach(&self) -> Version {
+    pub fn tail_base(&self) -> Version {
         match self.tail.front() {
             Some(change) => Version(change.version.0.saturating_sub(1)),
             None => self.version,
         }
     }
 
-    fn weight(&self) -> usize {
-        self.tail.iter().map(Change::weight).sum()
+    fn estimated_bytes(&self) -> usize {
+        self.tail.iter().map(Change::estimated_bytes).sum()
     }
 
     /// Guards against racing operators: the second would undo the first without having seen it. It is refused
     /// with the name of the change that it lost to. Changes of other things don't stand in its way.
-    fn check_base(&self, proposal: &Proposal) -> Result<(), Rejected> {
+    fn check_base(&self, proposal: &Proposal) -> Result<(), ProposalError> {
         let base = proposal.base.version();
         if base >= self.version {
             return Ok(());
         }
-        if base < self.reach() {
-            return Err(Rejected::Behind {
+        if base < self.tail_base() {
+            return Err(ProposalError::BaseTooOld {
                 base,
                 head: self.version,
             });
         }
-        let ours = touched(&proposal.commands);
+        let ours = affected_resources(&proposal.commands);
         for change in self.tail.iter().filter(|change| change.version > base) {
             let own = change.who == proposal.who && matches!(proposal.base, Base::Implied(_));
             if own {
                 continue;
             }
-            if let Some(thing) = shared(&ours, &change.commands) {
-                return Err(Rejected::Lost {
-                    thing,
+            if let Some(resource) = common_resource(&ours, &change.commands) {
+                return Err(ProposalError::Conflict {
+                    resource,
                     version: change.version,
                     who: change.who.clone(),
                     statement: change.statement.clone(),
@@ -271,7 +273,7 @@
     }
 }
 
-fn shared(ours: &BTreeSet<Thing>, commands: &[Command]) -> Option<Thing> {
-    let theirs = touched(commands);
+fn common_resource(ours: &BTreeSet<Resource>, commands: &[Command]) -> Option<Resource> {
+    let theirs = affected_resources(commands);
     ours.intersection(&theirs).next().cloned()
 }
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -2,36 +2,32 @@
 //!
 //! The accepted order of changes is the order of compare-and-swaps on one key, `config/head`. A [`Head`]
 //! carries the version, the last changes (the tail), and the snapshot they build on. A [`State`] is the
-//! configuration at one version; a [`Follower`] keeps it and never goes back; a [`Keeper`] accepts changes.
+//! configuration at one version; a [`Follower`] keeps it and never goes back; a [`Replicator`] accepts changes.
 
-mod follow;
+mod command;
+mod follower;
 mod head;
-mod keeper;
 mod model;
+mod replicator;
+mod resource;
 mod share;
 mod state;
-mod statement;
-mod touch;
 
-pub use follow::Follower;
-pub use follow::Progress;
-pub use follow::Revision;
-pub use follow::Stored;
-pub use follow::Update;
+pub use command::AlterProduct;
+pub use command::Command;
+pub use command::PlaceEngine;
+pub use follower::Follower;
+pub use follower::Progress;
+pub use follower::Revision;
+pub use follower::StoredHead;
+pub use follower::Update;
 pub use head::Base;
 pub use head::Change;
 pub use head::CommandId;
 pub use head::Head;
 pub use head::Proposal;
-pub use head::Rejected;
+pub use head::ProposalError;
 pub use head::Version;
-pub use keeper::Action;
-pub use keeper::Event;
-pub use keeper::Keeper;
-pub use keeper::Outcome;
-pub use keeper::Refused;
-pub use keeper::Swapped;
-pub use keeper::Ticket;
 pub use model::Config;
 pub use model::ConfigError;
 pub use model::Engine;
@@ -44,14 +40,18 @@
 pub use model::Route;
 pub use model::Service;
 pub use model::ServiceKind;
+pub use replicator::Action;
+pub use replicator::Event;
+pub use replicator::Outcome;
+pub use replicator::Replicator;
+pub use replicator::SubmissionId;
+pub use replicator::SubmitError;
+pub use replicator::SwapResult;
+pub use resource::Resource;
+pub use resource::affected_resources;
 pub use share::Share;
 pub use share::ShareError;
 pub use state::ApplyError;
-pub use state::Known;
-pub use state::PastChange;
+pub use state::AuditEntry;
+pub use state::CommandStatus;
 pub use state::State;
-pub use statement::AlterProduct;
-pub use statement::Command;
-pub use statement::PlaceEngine;
-pub use touch::Thing;
-pub use touch::touched;
--- a/crates/core/src/config/model.rs
+++ b/crates/core/src/config/model.rs
@@ -183,13 +183,13 @@
     },
     /// Products would be owed more than there is.
     #[error("shares would add up to {sum}, more than {}", Share::WHOLE)]
-    Shares {
+    SharesExceeded {
         /// The sum.
         sum: Share,
     },
     /// The service still has engines.
     #[error("service `{service}` still has engine `{engine}`: withdraw it first")]
-    InUse {
+    ServiceInUse {
         /// The service.
         service: Name,
         /// One of its engines.
@@ -197,7 +197,7 @@
     },
     /// Another engine listens there.
     #[error("address {address} is taken by engine `{engine}`")]
-    Address {
+    AddressInUse {
         /// The address.
         address: SocketAddr,
         /// Who has it.
@@ -267,13 +267,13 @@
         let sum = others.fold(share, |sum, (_, p)| sum.saturating_add(p.share));
         match sum <= Share::WHOLE {
             true => Ok(()),
-            false => Err(ConfigError::Shares { sum }),
+            false => Err(ConfigError::SharesExceeded { sum }),
         }
     }
 
     fn drop_service(&mut self, name: &Name) -> Result<(), ConfigError> {
         if let Some((engine, _)) = self.engines.iter().find(|(_, e)| e.service == *name) {
-            return Err(ConfigError::InUse {
+            return Err(ConfigError::ServiceInUse {
                 service: name.clone(),
                 engine: engine.clone(),
             });
@@ -289,7 +289,7 @@
             });
         }
         if let Some((other, _)) = self.engines.iter().find(|(_, e)| e.address == place.address) {
-            return Err(ConfigError::Address {
+            return Err(ConfigError::AddressInUse {
                 address: place.address,
                 engine: other.clone(),
             });
--- a/crates/core/src/config/keeper.rs
+++ b/crates/core/src/config/replicator.rs
@@ -12,43 +12,43 @@
 
 use crate::config::ApplyError;
 use crate::config::Base;
+use crate::config::CommandStatus;
 use crate::config::Follower;
 use crate::config::Head;
-use crate::config::Known;
 use crate::config::Progress;
 use crate::config::Proposal;
-use crate::config::Rejected;
+use crate::config::ProposalError;
 use crate::config::Revision;
 use crate::config::State;
-use crate::config::Stored;
+use crate::config::StoredHead;
 use crate::config::Update;
 use crate::config::Version;
 use crate::time::Time;
 
 /// Pause before a failed call to the key-value service is made again.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// How long a fetch from a peer may take before another peer is asked.
-const FETCH_LIMIT: Duration = Duration::from_secs(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long an instance that has just started waits for the key-value service before it asks a peer.
-const FRESH_LIMIT: Duration = Duration::from_secs(2);
+const STARTUP_WAIT: Duration = Duration::from_secs(2);
 
 /// Names a proposal that was submitted here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct SubmissionId(pub u64);
 
 /// How a swap of the head ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Swapped {
+pub enum SwapResult {
     /// It took effect.
     Done(Revision),
     /// It did not: the key stands so.
-    Conflict(Stored),
+    Conflict(StoredHead),
     /// It did not take effect, for another reason.
     Failed,
     /// It may have taken effect.
-    Unsure,
+    Unknown,
     /// The head is too large to be stored, in bytes.
     TooLarge(usize),
 }
@@ -57,19 +57,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A watch gave the head, or a read did.
-    Read(Stored),
+    Read(StoredHead),
     /// The read asked for by [`Action::Read`] gave nothing.
     ReadFailed,
     /// The snapshot asked for; `None` if there was none or no answer.
     Snapshot(Option<Box<State>>),
     /// An operator proposes a change.
-    Submitted(Ticket, Box<Proposal>),
+    Submitted(SubmissionId, Box<Proposal>),
     /// Whether the snapshot of this version, asked for by [`Action::Store`], is in place.
-    StoredSnapshot(Ticket, Version, bool),
+    SnapshotStored(SubmissionId, Version, bool),
     /// How [`Action::Swap`] ended.
-    Swapped(Ticket, Swapped),
+    Swapped(SubmissionId, SwapResult),
     /// A peer has this version in force.
-    Heard(SocketAddr, Version),
+    PeerVersion(SocketAddr, Version),
     /// What the peer asked by [`Action::Fetch`] told; `None` if nothing.
     Fetched(Option<Update>),
     /// Time passed.
@@ -84,21 +84,21 @@
     /// Read the snapshot of this version.
     ReadSnapshot(Version),
     /// Store a snapshot under its version if there is none yet.
-    Store(Ticket, Box<State>),
+    StoreSnapshot(SubmissionId, Box<State>),
     /// Swap in the head if the key still has the revision.
-    Swap(Ticket, Revision, Box<Head>),
+    SwapHead(SubmissionId, Revision, Box<Head>),
     /// Remove the snapshot of this version: no reader can need it.
-    Remove(Version),
+    RemoveSnapshot(Version),
     /// Ask the peer for what came after the version.
     Fetch(SocketAddr, Version),
     /// A new version is in force: publish it.
     Publish,
     /// Tell the operator.
-    Answer(Ticket, Result<Outcome, Refused>),
+    Answer(SubmissionId, Result<Outcome, SubmitError>),
     /// Input older than what is known was ignored; the version it offered.
     Stale(Version),
     /// Input contradicts what is known and was ignored.
-    Broken(ApplyError),
+    Inconsistent(ApplyError),
 }
 
 /// A change that is in force here.
@@ -112,19 +112,19 @@
 
 /// Why a proposal was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum SubmitError {
     /// It stands against the configuration or another change.
     #[error(transparent)]
-    Rejected(#[from] Rejected),
+    Rejected(#[from] ProposalError),
     /// It was not accepted in time, and won't be.
     #[error("the change was not accepted in time; nothing changed")]
-    Late,
+    TimedOut,
     /// It is too large to be stored.
     #[error("the change makes a value of {0} bytes, too many; give it in parts")]
     TooLarge(usize),
     /// It may or may not have been accepted.
     #[error("it could not be found out in time whether the change was accepted")]
-    Unsure,
+    Unknown,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -138,49 +138,49 @@
 }
 
 #[derive(Debug)]
-struct Job {
+struct Submission {
     proposal: Proposal,
     started: Time,
     step: Step,
     /// Revision that our last swap compared with, while its fate is open.
-    open: Option<Revision>,
+    swap_revision: Option<Revision>,
     /// Whether a swap was tried.
-    tried: bool,
+    swap_tried: bool,
     /// The head that our last swap offered.
-    next: Option<Head>,
+    offered_head: Option<Head>,
     /// Snapshot that nobody needs once our last swap took effect.
-    outdated: Option<Version>,
+    outdated_snapshot: Option<Version>,
     /// Version whose snapshot we stored, or failed to store.
     snapshot: Option<(Version, bool)>,
 }
 
 /// Keeper of the configuration of one instance.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct Replicator {
     follower: Follower,
     started: Time,
-    limit: Duration,
-    jobs: BTreeMap<Ticket, Job>,
+    timeout: Duration,
+    submissions: BTreeMap<SubmissionId, Submission>,
     reading: bool,
     snapshot: Option<Version>,
-    fetching: Option<Time>,
-    heard: BTreeMap<SocketAddr, Version>,
+    fetch_started: Option<Time>,
+    peer_versions: BTreeMap<SocketAddr, Version>,
     actions: Vec<Action>,
 }
 
-impl Keeper {
-    /// A keeper that knows only the empty configuration and gives each proposal `limit`. `now` is the start of
+impl Replicator {
+    /// A keeper that knows only the empty configuration and gives each proposal `timeout`. `now` is the start of
     /// its process.
-    pub fn new(now: Time, limit: Duration) -> Keeper {
-        Keeper {
+    pub fn new(now: Time, timeout: Duration) -> Replicator {
+        Replicator {
             follower: Follower::default(),
             started: now,
-            limit,
-            jobs: BTreeMap::new(),
+            timeout,
+            submissions: BTreeMap::new(),
             reading: false,
             snapshot: None,
-            fetching: None,
-            heard: BTreeMap::new(),
+            fetch_started: None,
+            peer_versions: BTreeMap::new(),
             actions: Vec::new(),
         }
     }
@@ -208,12 +208,12 @@
             }
             Event::Snapshot(snapshot) => self.on_snapshot(now, snapshot),
             Event::Submitted(ticket, proposal) => self.submit(now, ticket, *proposal),
-            Event::StoredSnapshot(ticket, version, stored) => {
+            Event::SnapshotStored(ticket, version, stored) => {
                 self.on_snapshot_stored(now, ticket, (version, stored));
             }
             Event::Swapped(ticket, swapped) => self.on_swapped(now, ticket, swapped),
-            Event::Heard(peer, version) => {
-                self.heard.insert(peer, version);
+            Event::PeerVersion(peer, version) => {
+                self.peer_versions.insert(peer, version);
                 self.fetch(now);
             }
             Event::Fetched(update) => self.on_fetched(now, update),
@@ -222,7 +222,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn on_stored(&mut self, now: Time, stored: Stored) {
+    fn on_stored(&mut self, now: Time, stored: StoredHead) {
         let offered = stored.head.version;
         let progress = self.follower.on_stored(stored);
         self.on_progress(now, progress, offered);
@@ -234,16 +234,16 @@
                 self.actions.push(Action::Publish);
                 self.resume(now);
             }
-            Progress::Same => self.resume(now),
+            Progress::Unchanged => self.resume(now),
             Progress::Stale => {
                 self.actions.push(Action::Stale(offered));
                 self.pause_waiting(now);
             }
-            Progress::Broken(error) => {
-                self.actions.push(Action::Broken(error));
+            Progress::Inconsistent(error) => {
+                self.actions.push(Action::Inconsistent(error));
                 self.pause_waiting(now);
             }
-            Progress::Needs(base) => {
+            Progress::NeedsSnapshot(base) => {
                 if self.snapshot.is_none() {
                     self.snapshot = Some(base);
                     self.actions.push(Action::ReadSnapshot(base));
@@ -266,7 +266,7 @@
     }
 
     fn on_fetched(&mut self, now: Time, update: Option<Update>) {
-        self.fetching = None;
+        self.fetch_started = None;
         let Some(update) = update else { return };
         let offered = update.version();
         let progress = self.follower.on_update(update);
@@ -279,16 +279,18 @@
     /// Failure guarded against: the key-value service is slow or out and an accepted change isn't in force here
     /// for as long. A peer that has it tells it instead; its version digest comes with each heartbeat.
     fn fetch(&mut self, now: Time) {
-        let busy = self.fetching.is_some_and(|since| now.since(since) < FETCH_LIMIT);
-        if busy || self.is_fresh(now) {
+        let busy = self
+            .fetch_started
+            .is_some_and(|since| now.since(since) < FETCH_TIMEOUT);
+        if busy || self.is_starting(now) {
             return;
         }
         let ours = self.follower.state().version;
-        self.heard.retain(|_, version| *version > ours);
-        let farthest = self.heard.iter().max_by_key(|(_, version)| **version);
+        self.peer_versions.retain(|_, version| *version > ours);
+        let farthest = self.peer_versions.iter().max_by_key(|(_, version)| **version);
         if let Some(peer) = farthest.map(|(peer, _)| *peer) {
-            self.heard.remove(&peer);
-            self.fetching = Some(now);
+            self.peer_versions.remove(&peer);
+            self.fetch_started = Some(now);
             self.actions.push(Action::Fetch(peer, ours));
         }
     }
@@ -296,37 +298,44 @@
     /// Guards against a configuration that goes back over a restart: a peer that is itself behind would tell an
     /// old one to an instance that knew a later one before it was restarted. The key-value service is asked
     /// first; only if it gives no answer does the instance trust the peer that is farthest ahead.
-    fn is_fresh(&self, now: Time) -> bool {
-        self.follower.stored().is_none() && now.since(self.started) < FRESH_LIMIT
+    fn is_starting(&self, now: Time) -> bool {
+        self.follower.stored().is_none() && now.since(self.started) < STARTUP_WAIT
     }
 
-    fn submit(&mut self, now: Time, ticket: Ticket, proposal: Proposal) {
-        let job = Job {
+    fn submit(&mut self, now: Time, ticket: SubmissionId, proposal: Proposal) {
+        let job = Submission {
             proposal,
             started: now,
             step: Step::Waiting,
-            open: None,
-            tried: false,
-            next: None,
-            outdated: None,
+            swap_revision: None,
+            swap_tried: false,
+            offered_head: None,
+            outdated_snapshot: None,
             snapshot: None,
         };
-        self.jobs.insert(ticket, job);
+        self.submissions.insert(ticket, job);
         self.attempt(now, ticket);
     }
 
     /// Tries the proposals that waited for the head or the state.
     fn resume(&mut self, now: Time) {
-        let waiting = self.jobs.iter().filter(|(_, job)| job.step == Step::Waiting);
-        let waiting: Vec<Ticket> = waiting.map(|(ticket, _)| *ticket).collect();
+        let waiting = self
+            .submissions
+            .iter()
+            .filter(|(_, job)| job.step == Step::Waiting);
+        let waiting: Vec<SubmissionId> = waiting.map(|(ticket, _)| *ticket).collect();
         for ticket in waiting {
             self.attempt(now, ticket);
         }
     }
 
     fn pause_waiting(&mut self, now: Time) {
-        for job in self.jobs.values_mut().filter(|job| job.step == Step::Waiting) {
-            job.step = Step::Paused(now + PAUSE);
+        for job in self
+            .submissions
+            .values_mut()
+            .filter(|job| job.step == Step::Waiting)
+        {
+            job.step = Step::Paused(now + RETRY_DELAY);
         }
     }
 
@@ -342,13 +351,13 @@
             self.actions.push(Action::ReadSnapshot(base));
             self.read();
         }
-        let due = |job: &Job| match job.step {
+        let due = |job: &Submission| match job.step {
             Step::Paused(until) => now >= until,
-            Step::Waiting => now.since(job.started) >= self.limit,
+            Step::Waiting => now.since(job.started) >= self.timeout,
             Step::Storing | Step::Swapping => false,
         };
-        let due: Vec<Ticket> = self
-            .jobs
+        let due: Vec<SubmissionId> = self
+            .submissions
             .iter()
             .filter(|(_, j)| due(j))
             .map(|(t, _)| *t)
@@ -365,34 +374,34 @@
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Result<Outcome, Refused>) {
-        self.jobs.remove(&ticket);
+    fn answer(&mut self, ticket: SubmissionId, answer: Result<Outcome, SubmitError>) {
+        self.submissions.remove(&ticket);
         self.actions.push(Action::Answer(ticket, answer));
     }
 
     /// Whether the last swap of this job may still take effect: the key stands as the swap expects it.
-    fn is_open(&self, job: &Job) -> bool {
+    fn may_take_effect(&self, job: &Submission) -> bool {
         let revision = self.follower.stored().map(|s| s.revision);
-        job.open.is_some() && (revision.is_none() || job.open >= revision)
+        job.swap_revision.is_some() && (revision.is_none() || job.swap_revision >= revision)
     }
 
     /// One step towards accepting the proposal of `ticket`.
-    fn attempt(&mut self, now: Time, ticket: Ticket) {
-        let Some(mut job) = self.jobs.remove(&ticket) else {
+    fn attempt(&mut self, now: Time, ticket: SubmissionId) {
+        let Some(mut job) = self.submissions.remove(&ticket) else {
             return;
         };
         job.step = Step::Waiting;
-        if let Known::Accepted(version) = self.follower.state().find(job.proposal.id) {
-            if let Some(outdated) = job.outdated {
-                self.actions.push(Action::Remove(outdated));
+        if let CommandStatus::Accepted(version) = self.follower.state().find(job.proposal.id) {
+            if let Some(outdated) = job.outdated_snapshot {
+                self.actions.push(Action::RemoveSnapshot(outdated));
             }
-            let repeated = !job.tried;
+            let repeated = !job.swap_tried;
             return self.answer(ticket, Ok(Outcome { version, repeated }));
         }
-        if now.since(job.started) >= self.limit {
-            let refused = match self.is_open(&job) {
-                true => Refused::Unsure,
-                false => Refused::Late,
+        if now.since(job.started) >= self.timeout {
+            let refused = match self.may_take_effect(&job) {
+                true => SubmitError::Unknown,
+                false => SubmitError::TimedOut,
             };
             return self.answer(ticket, Err(refused));
         }
@@ -405,7 +414,7 @@
         match ready {
             Some(stored) => self.propose(ticket, job, &stored),
             None => {
-                self.jobs.insert(ticket, job);
+                self.submissions.insert(ticket, job);
                 if self.snapshot.is_none() {
                     self.read();
                 }
@@ -413,7 +422,7 @@
         }
     }
 
-    fn propose(&mut self, ticket: Ticket, mut job: Job, stored: &Stored) {
+    fn propose(&mut self, ticket: SubmissionId, mut job: Submission, stored: &StoredHead) {
         let head = &stored.head;
         let state = self.follower.state();
         // Nothing was in force here when the statement came in: its operator has not decided on version 0.
@@ -423,7 +432,7 @@
         match head.check(state, &job.proposal) {
             Err(rejected) => return self.answer(ticket, Err(rejected.into())),
             Ok(Some(version)) => {
-                let repeated = !job.tried;
+                let repeated = !job.swap_tried;
                 return self.answer(ticket, Ok(Outcome { version, repeated }));
             }
             Ok(None) => {}
@@ -432,13 +441,13 @@
             None if head.is_long() => {
                 let state = Box::new(state.clone());
                 job.step = Step::Storing;
-                self.jobs.insert(ticket, job);
-                return self.actions.push(Action::Store(ticket, state));
+                self.submissions.insert(ticket, job);
+                return self.actions.push(Action::StoreSnapshot(ticket, state));
             }
             Some((_, true)) => {
                 // A reader may still hold a head that names `head.base`; one that names `head.prior` is a whole
                 // tail behind, finds nothing and begins again with the head.
-                job.outdated = Some(head.prior).filter(|prior| *prior > Version::default());
+                job.outdated_snapshot = Some(head.prior).filter(|prior| *prior > Version::default());
                 head.shorten()
             }
             // Without a snapshot the change goes on top of the long tail; a later writer shortens it.
@@ -448,50 +457,50 @@
             Err(rejected) => self.answer(ticket, Err(rejected.into())),
             Ok(next) => {
                 job.step = Step::Swapping;
-                job.open = Some(stored.revision);
-                job.tried = true;
-                job.next = Some(next.clone());
-                self.jobs.insert(ticket, job);
+                job.swap_revision = Some(stored.revision);
+                job.swap_tried = true;
+                job.offered_head = Some(next.clone());
+                self.submissions.insert(ticket, job);
                 self.actions
-                    .push(Action::Swap(ticket, stored.revision, Box::new(next)));
+                    .push(Action::SwapHead(ticket, stored.revision, Box::new(next)));
             }
         }
     }
 
-    fn on_snapshot_stored(&mut self, now: Time, ticket: Ticket, snapshot: (Version, bool)) {
+    fn on_snapshot_stored(&mut self, now: Time, ticket: SubmissionId, snapshot: (Version, bool)) {
         let head = self.follower.stored().map(|s| s.head.clone()).unwrap_or_default();
-        match self.jobs.get_mut(&ticket) {
+        match self.submissions.get_mut(&ticket) {
             Some(job) if head.version == snapshot.0 => job.snapshot = Some(snapshot),
             _ => self.discard(Some(snapshot), &head),
         }
         self.attempt(now, ticket);
     }
 
-    fn on_swapped(&mut self, now: Time, ticket: Ticket, swapped: Swapped) {
-        let Some(job) = self.jobs.get_mut(&ticket) else {
+    fn on_swapped(&mut self, now: Time, ticket: SubmissionId, swapped: SwapResult) {
+        let Some(job) = self.submissions.get_mut(&ticket) else {
             return;
         };
         job.step = Step::Waiting;
         match swapped {
-            Swapped::Done(revision) => {
-                if let Some(head) = job.next.take() {
-                    self.on_stored(now, Stored { revision, head });
+            SwapResult::Done(revision) => {
+                if let Some(head) = job.offered_head.take() {
+                    self.on_stored(now, StoredHead { revision, head });
                 }
             }
-            Swapped::Conflict(stored) => {
-                job.open = None;
-                job.outdated = None;
+            SwapResult::Conflict(stored) => {
+                job.swap_revision = None;
+                job.outdated_snapshot = None;
                 let snapshot = job.snapshot.take();
                 self.discard(snapshot, &stored.head);
                 self.on_stored(now, stored);
             }
-            Swapped::Failed => {
-                job.open = None;
-                job.step = Step::Paused(now + PAUSE);
+            SwapResult::Failed => {
+                job.swap_revision = None;
+                job.step = Step::Paused(now + RETRY_DELAY);
             }
-            Swapped::TooLarge(bytes) => self.answer(ticket, Err(Refused::TooLarge(bytes))),
+            SwapResult::TooLarge(bytes) => self.answer(ticket, Err(SubmitError::TooLarge(bytes))),
             // Read back: the command id in the head is the proof that it took effect.
-            Swapped::Unsure => self.read(),
+            SwapResult::Unknown => self.read(),
         }
     }
 
@@ -500,7 +509,7 @@
     fn discard(&mut self, snapshot: Option<(Version, bool)>, head: &Head) {
         let Some((version, true)) = snapshot else { return };
         if head.version > version && head.base != version && head.prior != version {
-            self.actions.push(Action::Remove(version));
+            self.actions.push(Action::RemoveSnapshot(version));
         }
     }
 }
--- a/crates/core/src/config/touch.rs
+++ b/crates/core/src/config/resource.rs
@@ -8,7 +8,7 @@
 
 /// A thing that operators decide on.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Thing {
+pub enum Resource {
     /// A product.
     Product(Name),
     /// A service.
@@ -19,39 +19,39 @@
     Fingerprint(String),
 }
 
-impl fmt::Display for Thing {
+impl fmt::Display for Resource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Thing::Product(name) => write!(f, "product `{name}`"),
-            Thing::Service(name) => write!(f, "service `{name}`"),
-            Thing::Engine(name) => write!(f, "engine `{name}`"),
-            Thing::Fingerprint(text) => write!(f, "fingerprint `{text}`"),
+            Resource::Product(name) => write!(f, "product `{name}`"),
+            Resource::Service(name) => write!(f, "service `{name}`"),
+            Resource::Engine(name) => write!(f, "engine `{name}`"),
+            Resource::Fingerprint(text) => write!(f, "fingerprint `{text}`"),
         }
     }
 }
 
 impl Command {
     /// Adds the things whose decision this command replaces to `things`.
-    pub fn touch(&self, things: &mut BTreeSet<Thing>) {
+    pub fn collect_resources(&self, things: &mut BTreeSet<Resource>) {
         let thing = match self {
             Command::CreateProduct { name, .. }
             | Command::AlterProduct { name, .. }
-            | Command::DropProduct { name } => Thing::Product(name.clone()),
+            | Command::DropProduct { name } => Resource::Product(name.clone()),
             Command::CreateService { name, .. } | Command::DropService { name } => {
-                Thing::Service(name.clone())
+                Resource::Service(name.clone())
             }
             Command::ReplaceEngine { name, with, .. } => {
-                things.insert(Thing::Engine(with.clone()));
-                Thing::Engine(name.clone())
+                things.insert(Resource::Engine(with.clone()));
+                Resource::Engine(name.clone())
             }
             Command::PlaceEngine { name, .. }
             | Command::DrainEngine { name }
             | Command::ResumeEngine { name }
             | Command::WithdrawEngine { name }
             | Command::SetRole { name, .. }
-            | Command::ReleaseOrder { name, .. } => Thing::Engine(name.clone()),
+            | Command::ReleaseOrder { name, .. } => Resource::Engine(name.clone()),
             Command::Quarantine { fingerprint } | Command::Pardon { fingerprint } => {
-                Thing::Fingerprint(fingerprint.clone())
+                Resource::Fingerprint(fingerprint.clone())
             }
         };
         things.insert(thing);
@@ -59,10 +59,10 @@
 }
 
 /// Everything that `commands` touch.
-pub fn touched(commands: &[Command]) -> BTreeSet<Thing> {
+pub fn affected_resources(commands: &[Command]) -> BTreeSet<Resource> {
     let mut things = BTreeSet::new();
     for command in commands {
-        command.touch(&mut things);
+        command.collect_resources(&mut things);
     }
     things
 }
--- a/crates/core/src/config/share.rs
+++ b/crates/core/src/config/share.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// Parts per million in a percent.
-const PERCENT: u32 = 10_000;
+const PPM_PER_PERCENT: u32 = 10_000;
 
 /// Decimals that a share in percent may have.
 const DECIMALS: usize = 4;
@@ -27,11 +27,11 @@
 
 impl Share {
     /// All of it.
-    pub const WHOLE: Share = Share(100 * PERCENT);
+    pub const WHOLE: Share = Share(100 * PPM_PER_PERCENT);
 
     /// The share of `percent` hundredths.
     pub const fn percent(percent: u32) -> Share {
-        Share(percent * PERCENT)
+        Share(percent * PPM_PER_PERCENT)
     }
 
     /// The share as a fraction, 1.0 for all of it.
@@ -52,7 +52,7 @@
 
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (whole, part) = (self.0 / PERCENT, self.0 % PERCENT);
+        let (whole, part) = (self.0 / PPM_PER_PERCENT, self.0 % PPM_PER_PERCENT);
         match part {
             0 => write!(f, "{whole}%"),
             part => {
@@ -74,7 +74,9 @@
         }
         let whole: u32 = whole.parse().map_err(|_| ShareError)?;
         let part: u32 = format!("{part:0<DECIMALS$}").parse().map_err(|_| ShareError)?;
-        let share = whole.checked_mul(PERCENT).and_then(|w| w.checked_add(part));
+        let share = whole
+            .checked_mul(PPM_PER_PERCENT)
+            .and_then(|w| w.checked_add(part));
         let share = Share(share.ok_or(ShareError)?);
         match share <= Share::WHOLE {
             true => Ok(share),
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -18,14 +18,14 @@
 
 /// How many past changes a state remembers: their ids answer repeated commands, their text is the audit trail.
 /// At 210 changes a day this is two days and a half.
-pub const MAX_PAST: usize = 512;
+pub const MAX_AUDIT_ENTRIES: usize = 512;
 
 /// Longest statement kept in the trail, in bytes.
-pub const MAX_STATEMENT: usize = 240;
+pub const MAX_STATEMENT_BYTES: usize = 240;
 
 /// An entry of the audit trail. Only accepted changes have one; refused ones are logged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PastChange {
+pub struct AuditEntry {
     /// The version that it made.
     pub version: Version,
     /// The command's id.
@@ -48,7 +48,7 @@
     /// What operators decided.
     pub config: Config,
     /// The last changes, oldest first.
-    pub past: VecDeque<PastChange>,
+    pub past: VecDeque<AuditEntry>,
     /// Latest time within an id that `past` has dropped; an id with a later time was never dropped.
     pub forgotten: WallTime,
 }
@@ -82,13 +82,13 @@
 
 /// What is known of a command id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum CommandStatus {
     /// It was accepted as this version.
     Accepted(Version),
     /// It was not accepted.
-    Fresh,
+    New,
     /// It is so old that it may have been accepted and forgotten.
-    Forgotten,
+    Expired,
 }
 
 impl State {
@@ -99,7 +99,7 @@
     /// [`ApplyError`]; the state is then unchanged.
     pub fn apply(&mut self, change: &Change) -> Result<(), ApplyError> {
         if change.version <= self.version {
-            return self.check_same(change);
+            return self.check_fork(change);
         }
         if change.version.0 != self.version.0 + 1 {
             return Err(ApplyError::Gap {
@@ -115,7 +115,7 @@
         }
         self.config = config;
         self.version = change.version;
-        self.remember(change);
+        self.record(change);
         Ok(())
     }
 
@@ -125,13 +125,13 @@
     /// Ids carry their time (UUIDv7), and the state keeps the latest time among the ids it dropped. An id that
     /// is not found and has a later time was never dropped, whatever the clocks say. An id without a time is
     /// covered only as long as it is remembered.
-    pub fn find(&self, id: CommandId) -> Known {
+    pub fn find(&self, id: CommandId) -> CommandStatus {
         if let Some(past) = self.past.iter().rev().find(|past| past.id == id) {
-            return Known::Accepted(past.version);
+            return CommandStatus::Accepted(past.version);
         }
         match id.time() {
-            Some(time) if time <= self.forgotten => Known::Forgotten,
-            _ => Known::Fresh,
+            Some(time) if time <= self.forgotten => CommandStatus::Expired,
+            _ => CommandStatus::New,
         }
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Guards against a fork: a change of a version that is known must be the change that made it.
-    fn check_same(&self, change: &Change) -> Result<(), ApplyError> {
+    fn check_fork(&self, change: &Change) -> Result<(), ApplyError> {
         let known = self.past.iter().find(|past| past.version == change.version);
         match known {
             Some(past) if past.id != change.id => Err(ApplyError::Fork {
@@ -151,16 +151,16 @@
         }
     }
 
-    fn remember(&mut self, change: &Change) {
-        self.past.push_back(PastChange {
+    fn record(&mut self, change: &Change) {
+        self.past.push_back(AuditEntry {
             version: change.version,
             id: change.id,
             who: change.who.clone(),
             from: change.from.clone(),
             when: change.when,
-            statement: cut(&change.statement),
+            statement: truncate(&change.statement),
         });
-        while self.past.len() > MAX_PAST {
+        while self.past.len() > MAX_AUDIT_ENTRIES {
             let dropped = self.past.pop_front();
             let time = dropped.and_then(|past| past.id.time()).unwrap_or_default();
             self.forgotten = self.forgotten.max(time);
@@ -168,8 +168,8 @@
     }
 }
 
-fn cut(statement: &str) -> String {
-    let mut end = MAX_STATEMENT.min(statement.len());
+fn truncate(statement: &str) -> String {
+    let mut end = MAX_STATEMENT_BYTES.min(statement.len());
     while !statement.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -4,23 +4,23 @@
 //! decides whom to send one, what to make of those that come in, and how this instance stands ([`Standing`]).
 //! [`rank`] orders addresses for callers.
 
-mod beat;
-mod members;
+mod heartbeat;
+mod member_table;
 mod rank;
 mod roster;
 mod standing;
 
-pub use beat::About;
-pub use beat::Beat;
-pub use beat::MemberState;
-pub use beat::Notice;
-pub use beat::Rumor;
-pub use members::Action;
-pub use members::Event;
-pub use members::Limits;
-pub use members::Listing;
-pub use members::Members;
-pub use members::Myself;
+pub use heartbeat::About;
+pub use heartbeat::Beat;
+pub use heartbeat::MemberState;
+pub use heartbeat::Notice;
+pub use heartbeat::Rumor;
+pub use member_table::Action;
+pub use member_table::Event;
+pub use member_table::Limits;
+pub use member_table::Listing;
+pub use member_table::Members;
+pub use member_table::Myself;
 pub use rank::Caller;
 pub use rank::rank;
 pub use roster::Peer;
--- a/examples/config_cost.rs
+++ b/examples/config_cost.rs
@@ -9,13 +9,13 @@
 use sequoiastream_core::config::Command;
 use sequoiastream_core::config::CommandId;
 use sequoiastream_core::config::Event;
-use sequoiastream_core::config::Keeper;
 use sequoiastream_core::config::Proposal;
+use sequoiastream_core::config::Replicator;
 use sequoiastream_core::config::Revision;
 use sequoiastream_core::config::State;
-use sequoiastream_core::config::Stored;
-use sequoiastream_core::config::Swapped;
-use sequoiastream_core::config::Ticket;
+use sequoiastream_core::config::StoredHead;
+use sequoiastream_core::config::SubmissionId;
+use sequoiastream_core::config::SwapResult;
 use sequoiastream_core::time::Time;
 use sequoiastream_core::time::WallTime;
 use sequoiastream_operator::Statement;
@@ -64,7 +64,7 @@
     }
 }
 
-fn proposal(keeper: &Keeper, statement: String, commands: Vec<Command>) -> Proposal {
+fn proposal(keeper: &Replicator, statement: String, commands: Vec<Command>) -> Proposal {
     Proposal {
         id: CommandId(Uuid::now_v7()),
         who: "giulia".to_string(),
@@ -77,23 +77,28 @@
 }
 
 /// Accepts a change and counts what it costs.
-fn accept(keeper: &mut Keeper, revision: &mut u64, proposal: Proposal, cost: &mut Cost) -> eyre::Result<()> {
-    let mut events = vec![Event::Submitted(Ticket(1), Box::new(proposal))];
+fn accept(
+    keeper: &mut Replicator,
+    revision: &mut u64,
+    proposal: Proposal,
+    cost: &mut Cost,
+) -> eyre::Result<()> {
+    let mut events = vec![Event::Submitted(SubmissionId(1), Box::new(proposal))];
     while let Some(event) = events.pop() {
         for action in keeper.on(Time::ZERO, event) {
             match action {
-                Action::Store(ticket, state) => {
+                Action::StoreSnapshot(ticket, state) => {
                     cost.write(serde_json::to_vec(&state)?.len());
-                    events.push(Event::StoredSnapshot(ticket, state.version, true));
+                    events.push(Event::SnapshotStored(ticket, state.version, true));
                 }
-                Action::Swap(ticket, _, head) => {
+                Action::SwapHead(ticket, _, head) => {
                     let bytes = serde_json::to_vec(&head)?.len();
                     cost.write(bytes);
                     cost.read += READERS * bytes as u64;
                     *revision += 1;
-                    events.push(Event::Swapped(ticket, Swapped::Done(Revision(*revision))));
+                    events.push(Event::Swapped(ticket, SwapResult::Done(Revision(*revision))));
                 }
-                Action::Remove(_) => cost.calls += REMOVAL,
+                Action::RemoveSnapshot(_) => cost.calls += REMOVAL,
                 Action::Answer(_, answer) => {
                     answer.map_err(|e| eyre!("{e}"))?;
                 }
@@ -120,7 +125,7 @@
     Ok(())
 }
 
-fn load(keeper: &mut Keeper, revision: &mut u64, products: u32) -> eyre::Result<()> {
+fn load(keeper: &mut Replicator, revision: &mut u64, products: u32) -> eyre::Result<()> {
     let mut texts = vec!["create service assistente model \"ghiaccio-7b\"".to_string()];
     texts.extend((0..products).map(|i| format!("create product p{i} key \"secret-{i}\" share 0")));
     texts.extend((0..24).map(|i| {
@@ -139,8 +144,8 @@
 
 fn main() -> eyre::Result<()> {
     for products in [10, 1_500] {
-        let mut keeper = Keeper::new(Time::ZERO, std::time::Duration::from_secs(10));
-        keeper.on(Time::ZERO, Event::Read(Stored::default()));
+        let mut keeper = Replicator::new(Time::ZERO, std::time::Duration::from_secs(10));
+        keeper.on(Time::ZERO, Event::Read(StoredHead::default()));
         let mut revision = 0;
         load(&mut keeper, &mut revision, products)?;
         let (mut ours, mut trail, mut plain) = (Cost::default(), Cost::default(), Cost::default());
--- a/src/ops/control/config.rs
+++ b/src/ops/control/config.rs
@@ -1,4 +1,4 @@
-//! Keeper of the configuration: carries out the decisions of [`Keeper`].
+//! Keeper of the configuration: carries out the decisions of [`Replicator`].
 
 mod execute;
 mod store;
@@ -19,13 +19,13 @@
 use actix::WrapFuture;
 use sequoiastream_core::config::Action;
 use sequoiastream_core::config::Event;
-use sequoiastream_core::config::Keeper;
 use sequoiastream_core::config::Outcome;
 use sequoiastream_core::config::Proposal;
-use sequoiastream_core::config::Refused;
+use sequoiastream_core::config::Replicator;
 use sequoiastream_core::config::Revision;
-use sequoiastream_core::config::Stored;
-use sequoiastream_core::config::Ticket;
+use sequoiastream_core::config::StoredHead;
+use sequoiastream_core::config::SubmissionId;
+use sequoiastream_core::config::SubmitError;
 use sequoiastream_core::config::Update;
 use sequoiastream_core::config::Version;
 use sequoiastream_core::invariant;
@@ -61,7 +61,7 @@
 /// Watches end after this part of the stale limit, so that hearing nothing shows in time.
 const WATCH_PART: u32 = 3;
 
-type Answer = Result<Outcome, Refused>;
+type Answer = Result<Outcome, SubmitError>;
 
 /// Keeper of the configuration.
 #[derive(Debug)]
@@ -69,11 +69,11 @@
     shared: Arc<Shared>,
     store: ConfigStore,
     calls: CallClient,
-    keeper: Keeper,
+    keeper: Replicator,
     /// The highest revision seen, which the watch waits to be passed.
     seen: Revision,
     tickets: u64,
-    waiting: BTreeMap<Ticket, oneshot::Sender<Answer>>,
+    waiting: BTreeMap<SubmissionId, oneshot::Sender<Answer>>,
     followers: Vec<Recipient<InForce>>,
     leaving: BTreeSet<SocketAddr>,
     published: Version,
@@ -121,7 +121,7 @@
             shared,
             store: ConfigStore::new(kv),
             calls,
-            keeper: Keeper::new(clock::now(), SUBMIT_LIMIT),
+            keeper: Replicator::new(clock::now(), SUBMIT_LIMIT),
             seen: Revision::default(),
             tickets: 0,
             waiting: BTreeMap::new(),
@@ -155,7 +155,7 @@
     }
 
     /// Takes a head; returns how long to pause before the next watch.
-    fn on_watched(&mut self, sent: Time, stored: Stored, context: &mut Context<Self>) -> Duration {
+    fn on_watched(&mut self, sent: Time, stored: StoredHead, context: &mut Context<Self>) -> Duration {
         let (revision, version) = (stored.revision, stored.head.version);
         self.on(Event::Read(stored), context);
         if revision < self.seen {
@@ -184,7 +184,7 @@
             Action::ReadSnapshot(version) => self.spawn(context, async move {
                 Event::Snapshot(store.snapshot(version).await.map(Box::new))
             }),
-            Action::Store(ticket, state) => self.spawn(context, async move {
+            Action::StoreSnapshot(ticket, state) => self.spawn(context, async move {
                 let stored = store.store(&state).await;
                 log_event!(
                     info,
@@ -192,12 +192,12 @@
                     version = state.version.0,
                     stored
                 );
-                Event::StoredSnapshot(ticket, state.version, stored)
+                Event::SnapshotStored(ticket, state.version, stored)
             }),
-            Action::Swap(ticket, expect, head) => self.spawn(context, async move {
+            Action::SwapHead(ticket, expect, head) => self.spawn(context, async move {
                 Event::Swapped(ticket, store.swap(expect, &head).await)
             }),
-            Action::Remove(version) => {
+            Action::RemoveSnapshot(version) => {
                 let remove = async move { store.remove(version).await };
                 context.spawn(remove.into_actor(self).map(|result, _, _| {
                     if let Err(error) = result {
@@ -216,7 +216,7 @@
             Action::Stale(version) => {
                 log_event!(warn, log_event::CONFIG_STALE, version = version.0);
             }
-            Action::Broken(error) => log_event!(error, log_event::INVARIANT_BROKEN, %error),
+            Action::Inconsistent(error) => log_event!(error, log_event::INVARIANT_BROKEN, %error),
         }
     }
 
@@ -258,14 +258,14 @@
 
     fn submit(&mut self, proposal: Proposal, context: &mut Context<Self>) -> oneshot::Receiver<Answer> {
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        let ticket = SubmissionId(self.tickets);
         let (sender, receiver) = oneshot::channel();
         self.waiting.insert(ticket, sender);
         self.on(Event::Submitted(ticket, Box::new(proposal)), context);
         receiver
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
+    fn answer(&mut self, ticket: SubmissionId, answer: Answer) {
         if let Some(sender) = self.waiting.remove(&ticket) {
             // The operator may be gone; the change stands all the same.
             let _ = sender.send(answer);
@@ -273,7 +273,7 @@
     }
 }
 
-fn read(result: Result<Stored, KvError>) -> Event {
+fn read(result: Result<StoredHead, KvError>) -> Event {
     match result {
         Ok(stored) => Event::Read(stored),
         Err(error) => {
@@ -317,7 +317,7 @@
     type Result = ();
 
     fn handle(&mut self, Ahead(peer, version): Ahead, context: &mut Context<Self>) {
-        self.on(Event::Heard(peer, version), context);
+        self.on(Event::PeerVersion(peer, version), context);
     }
 }
 
--- a/src/ops/control/config/execute.rs
+++ b/src/ops/control/config/execute.rs
@@ -15,9 +15,9 @@
 use sequoiastream_core::config::CommandId;
 use sequoiastream_core::config::Outcome;
 use sequoiastream_core::config::Proposal;
-use sequoiastream_core::config::Refused;
-use sequoiastream_core::config::Rejected;
+use sequoiastream_core::config::ProposalError;
 use sequoiastream_core::config::State;
+use sequoiastream_core::config::SubmitError;
 use sequoiastream_core::config::Version;
 use sequoiastream_core::log_event;
 use sequoiastream_core::membership::Roster;
@@ -71,7 +71,7 @@
         let answer = self.submit(proposal.clone(), context);
         let (shared, wait) = (self.shared.clone(), body.wait);
         let reply = async move {
-            let outcome = answer.await.unwrap_or(Err(Refused::Unsure));
+            let outcome = answer.await.unwrap_or(Err(SubmitError::Unknown));
             finish(&shared, &proposal, outcome, wait).await
         };
         Box::pin(reply.into_actor(self).map(|reply, _, _| reply))
@@ -133,7 +133,7 @@
         commands,
         base: body
             .base
-            .map_or(Base::Implied(version), |named| Base::Named(Version(named))),
+            .map_or(Base::Implied(version), |named| Base::Explicit(Version(named))),
     }
 }
 
@@ -141,7 +141,7 @@
 async fn finish(
     shared: &Arc<Shared>,
     proposal: &Proposal,
-    outcome: Result<Outcome, Refused>,
+    outcome: Result<Outcome, SubmitError>,
     wait: bool,
 ) -> Result<ReplyBody, OperatorError> {
     let (who, from, id) = (&proposal.who, &proposal.from, proposal.id.0);
@@ -175,11 +175,13 @@
         .await;
 }
 
-fn error(refused: Refused) -> OperatorError {
+fn error(refused: SubmitError) -> OperatorError {
     let text = refused.to_string();
     match refused {
-        Refused::Rejected(Rejected::Apply(_)) | Refused::TooLarge(_) => OperatorError::Rejected(text),
-        Refused::Rejected(_) => OperatorError::Conflict(text),
-        Refused::Late | Refused::Unsure => OperatorError::Platform(text),
+        SubmitError::Rejected(ProposalError::Apply(_)) | SubmitError::TooLarge(_) => {
+            OperatorError::Rejected(text)
+        }
+        SubmitError::Rejected(_) => OperatorError::Conflict(text),
+        SubmitError::TimedOut | SubmitError::Unknown => OperatorError::Platform(text),
     }
 }
--- a/src/ops/control/config/store.rs
+++ b/src/ops/control/config/store.rs
@@ -5,8 +5,8 @@
 use sequoiastream_core::config::Head;
 use sequoiastream_core::config::Revision;
 use sequoiastream_core::config::State;
-use sequoiastream_core::config::Stored;
-use sequoiastream_core::config::Swapped;
+use sequoiastream_core::config::StoredHead;
+use sequoiastream_core::config::SwapResult;
 use sequoiastream_core::config::Version;
 use sequoiastream_kv::Entry;
 use sequoiastream_kv::Expect;
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// [`KvError`] if no usable answer came in time.
-    pub async fn head(&self) -> Result<Stored, KvError> {
+    pub async fn head(&self) -> Result<StoredHead, KvError> {
         stored(&self.kv.get(HEAD).await?)
     }
 
@@ -50,25 +50,25 @@
     /// # Errors
     ///
     /// [`KvError`] if no usable answer came in time.
-    pub async fn watch(&self, after: Revision, wait: Duration) -> Result<Option<Stored>, KvError> {
+    pub async fn watch(&self, after: Revision, wait: Duration) -> Result<Option<StoredHead>, KvError> {
         let entry = self.kv.watch(HEAD, KvVersion(after.0), wait).await?;
         entry.as_ref().map(stored).transpose()
     }
 
     /// Swaps in `head` if the key still has the revision `expect`.
-    pub async fn swap(&self, expect: Revision, head: &Head) -> Swapped {
+    pub async fn swap(&self, expect: Revision, head: &Head) -> SwapResult {
         let Ok(value) = serde_json::to_vec(head) else {
-            return Swapped::Failed;
+            return SwapResult::Failed;
         };
         if value.len() > MAX_VALUE {
-            return Swapped::TooLarge(value.len());
+            return SwapResult::TooLarge(value.len());
         }
         let expect = Expect::from(KvVersion(expect.0));
         match self.kv.swap(HEAD, expect, &value, None).await {
-            Ok(Swap::Done(version)) => Swapped::Done(Revision(version.0)),
-            Ok(Swap::Conflict(entry)) => stored(&entry).map_or(Swapped::Failed, Swapped::Conflict),
-            Err(error) if error.is_ambiguous() => Swapped::Unsure,
-            Err(_) => Swapped::Failed,
+            Ok(Swap::Done(version)) => SwapResult::Done(Revision(version.0)),
+            Ok(Swap::Conflict(entry)) => stored(&entry).map_or(SwapResult::Failed, SwapResult::Conflict),
+            Err(error) if error.is_ambiguous() => SwapResult::Unknown,
+            Err(_) => SwapResult::Failed,
         }
     }
 
@@ -118,12 +118,12 @@
     format!("config/snapshot/{version}")
 }
 
-fn stored(entry: &Entry) -> Result<Stored, KvError> {
+fn stored(entry: &Entry) -> Result<StoredHead, KvError> {
     let head = match &entry.value {
         Some(value) => serde_json::from_slice(value).map_err(|e| KvError::Malformed(e.to_string()))?,
         None => Head::default(),
     };
-    Ok(Stored {
+    Ok(StoredHead {
         revision: Revision(entry.version.0),
         head,
     })
--- a/tests/testsuite/config_keeper.rs
+++ b/tests/testsuite/config_keeper.rs
@@ -7,22 +7,22 @@
 use sequoiastream_core::config::Base;
 use sequoiastream_core::config::Command;
 use sequoiastream_core::config::CommandId;
+use sequoiastream_core::config::CommandStatus;
 use sequoiastream_core::config::Event;
 use sequoiastream_core::config::Follower;
 use sequoiastream_core::config::Head;
-use sequoiastream_core::config::Keeper;
-use sequoiastream_core::config::Known;
 use sequoiastream_core::config::Outcome;
 use sequoiastream_core::config::Progress;
 use sequoiastream_core::config::Proposal;
-use sequoiastream_core::config::Refused;
-use sequoiastream_core::config::Rejected;
+use sequoiastream_core::config::ProposalError;
+use sequoiastream_core::config::Replicator;
+use sequoiastream_core::config::Resource;
 use sequoiastream_core::config::Revision;
 use sequoiastream_core::config::State;
-use sequoiastream_core::config::Stored;
-use sequoiastream_core::config::Swapped;
-use sequoiastream_core::config::Thing;
-use sequoiastream_core::config::Ticket;
+use sequoiastream_core::config::StoredHead;
+use sequoiastream_core::config::SubmissionId;
+use sequoiastream_core::config::SubmitError;
+use sequoiastream_core::config::SwapResult;
 use sequoiastream_core::config::Version;
 use sequoiastream_core::time::Time;
 use sequoiastream_core::time::WallTime;
@@ -62,22 +62,22 @@
     (head, state)
 }
 
-fn stored(revision: u64, head: &Head) -> Stored {
-    Stored {
+fn stored(revision: u64, head: &Head) -> StoredHead {
+    StoredHead {
         revision: Revision(revision),
         head: head.clone(),
     }
 }
 
 /// A keeper that has seen `head` at revision 1.
-fn keeper(head: &Head) -> Keeper {
-    let mut keeper = Keeper::new(Time::ZERO, LIMIT);
+fn keeper(head: &Head) -> Replicator {
+    let mut keeper = Replicator::new(Time::ZERO, LIMIT);
     keeper.on(Time::ZERO, Event::Read(stored(1, head)));
     keeper
 }
 
-fn submit(keeper: &mut Keeper, proposal: Proposal) -> Vec<Action> {
-    keeper.on(Time::ZERO, Event::Submitted(Ticket(1), Box::new(proposal)))
+fn submit(keeper: &mut Replicator, proposal: Proposal) -> Vec<Action> {
+    keeper.on(Time::ZERO, Event::Submitted(SubmissionId(1), Box::new(proposal)))
 }
 
 /// Two operators look at version 3. One quarantines a fingerprint; the other, who hasn't seen that, decides on the
@@ -92,8 +92,8 @@
     state
         .apply(head.tail.back().expect("just pushed"))
         .expect("it follows");
-    let lost = Rejected::Lost {
-        thing: Thing::Fingerprint("beef".to_string()),
+    let lost = ProposalError::Conflict {
+        resource: Resource::Fingerprint("beef".to_string()),
         version: Version(4),
         who: "amina".to_string(),
         statement: "quarantine fingerprint beef".to_string(),
@@ -104,7 +104,10 @@
         (proposal(102, "baraka", "cafe", implied(3)), Ok(None)),
         (proposal(103, "baraka", "beef", implied(4)), Ok(None)),
         (proposal(104, "amina", "beef", implied(3)), Ok(None)),
-        (proposal(105, "amina", "beef", Base::Named(Version(3))), Err(lost)),
+        (
+            proposal(105, "amina", "beef", Base::Explicit(Version(3))),
+            Err(lost),
+        ),
         (proposal(100, "amina", "beef", implied(3)), Ok(Some(Version(4)))),
     ];
     for (proposal, expected) in cases {
@@ -121,7 +124,7 @@
     let mut keeper = keeper(&head);
     let actions = submit(&mut keeper, proposal(100, "amina", "beef", implied(3)));
     let expect = match actions.as_slice() {
-        [Action::Swap(Ticket(1), revision, _)] => *revision,
+        [Action::SwapHead(SubmissionId(1), revision, _)] => *revision,
         other => panic!("{other:?}"),
     };
     assert_eq!(
@@ -132,11 +135,11 @@
     let (later, state) = history(40);
     let later = later.shorten();
     let woken = Time::ZERO + LIMIT + Duration::from_secs(50);
-    let conflict = Swapped::Conflict(stored(90, &later));
-    let actions = keeper.on(woken, Event::Swapped(Ticket(1), conflict));
+    let conflict = SwapResult::Conflict(stored(90, &later));
+    let actions = keeper.on(woken, Event::Swapped(SubmissionId(1), conflict));
     assert_eq!(actions, [Action::ReadSnapshot(Version(40))]);
     let actions = keeper.on(woken, Event::Snapshot(Some(Box::new(state))));
-    let answer = Action::Answer(Ticket(1), Err(Refused::Late));
+    let answer = Action::Answer(SubmissionId(1), Err(SubmitError::TimedOut));
     assert_eq!(actions, [Action::Publish, answer]);
 }
 
@@ -149,7 +152,7 @@
     let ours = proposal(100, "amina", "beef", implied(3));
     submit(&mut keeper, ours.clone());
     assert_eq!(
-        keeper.on(Time::ZERO, Event::Swapped(Ticket(1), Swapped::Unsure)),
+        keeper.on(Time::ZERO, Event::Swapped(SubmissionId(1), SwapResult::Unknown)),
         [Action::Read]
     );
     let taken = head.push(&state, &ours).expect("accepted");
@@ -163,7 +166,10 @@
         version: Version(4),
         repeated: false,
     };
-    assert_eq!(actions, [Action::Publish, Action::Answer(Ticket(1), Ok(outcome))]);
+    assert_eq!(
+        actions,
+        [Action::Publish, Action::Answer(SubmissionId(1), Ok(outcome))]
+    );
 }
 
 /// The same, but the service stays out: nobody can tell, and the operator is told just that.
@@ -172,10 +178,13 @@
     let (head, _) = history(3);
     let mut keeper = keeper(&head);
     submit(&mut keeper, proposal(100, "amina", "beef", implied(3)));
-    keeper.on(Time::ZERO, Event::Swapped(Ticket(1), Swapped::Unsure));
+    keeper.on(Time::ZERO, Event::Swapped(SubmissionId(1), SwapResult::Unknown));
     keeper.on(Time::ZERO, Event::ReadFailed);
     let actions = keeper.on(Time::ZERO + LIMIT, Event::Tick);
-    assert_eq!(actions, [Action::Answer(Ticket(1), Err(Refused::Unsure))]);
+    assert_eq!(
+        actions,
+        [Action::Answer(SubmissionId(1), Err(SubmitError::Unknown))]
+    );
 }
 
 /// An answer of the service comes late, after a newer one, and offers a configuration that operators have replaced.
@@ -202,7 +211,7 @@
     for after in [Version(0), Version(2), Version(9)] {
         let progress = follower.on_update(stale.update_after(after));
         assert!(
-            matches!(progress, Progress::Same | Progress::Stale),
+            matches!(progress, Progress::Unchanged | Progress::Stale),
             "{progress:?}"
         );
         assert_eq!(follower.state(), &state);
@@ -214,12 +223,12 @@
 #[test]
 fn heard_fresh() {
     let peer: SocketAddr = "10.0.0.2:80".parse().expect("an address");
-    let mut keeper = Keeper::new(Time::ZERO, LIMIT);
-    assert_eq!(keeper.on(Time::ZERO, Event::Heard(peer, Version(3))), []);
+    let mut keeper = Replicator::new(Time::ZERO, LIMIT);
+    assert_eq!(keeper.on(Time::ZERO, Event::PeerVersion(peer, Version(3))), []);
     // The service is out: better the peer that is farthest ahead than nothing.
     let later = Time::ZERO + Duration::from_secs(3);
     let ahead: SocketAddr = "10.0.0.3:80".parse().expect("an address");
-    assert_eq!(keeper.on(Time::ZERO, Event::Heard(ahead, Version(5))), []);
+    assert_eq!(keeper.on(Time::ZERO, Event::PeerVersion(ahead, Version(5))), []);
     let fetch = Action::Fetch(ahead, Version(0));
     assert_eq!(keeper.on(later, Event::Tick), [fetch]);
 }
@@ -231,13 +240,13 @@
     let (mut head, state) = history(40);
     head.prior = Version(1);
     head.base = Version(2);
-    let mut keeper = Keeper::new(Time::ZERO, LIMIT);
+    let mut keeper = Replicator::new(Time::ZERO, LIMIT);
     keeper.on(Time::ZERO, Event::Read(stored(1, &head)));
     let actions = submit(&mut keeper, proposal(100, "amina", "beef", implied(40)));
-    assert_eq!(actions, [Action::Store(Ticket(1), Box::new(state))]);
-    let event = Event::StoredSnapshot(Ticket(1), Version(40), true);
+    assert_eq!(actions, [Action::StoreSnapshot(SubmissionId(1), Box::new(state))]);
+    let event = Event::SnapshotStored(SubmissionId(1), Version(40), true);
     let actions = keeper.on(Time::ZERO, event);
-    let [Action::Swap(_, Revision(1), next)] = actions.as_slice() else {
+    let [Action::SwapHead(_, Revision(1), next)] = actions.as_slice() else {
         panic!("{actions:?}");
     };
     assert_eq!(
@@ -245,14 +254,17 @@
         (Version(40), Version(2), Version(41))
     );
     assert_eq!(next.tail.len(), 9);
-    let done = Event::Swapped(Ticket(1), Swapped::Done(Revision(2)));
+    let done = Event::Swapped(SubmissionId(1), SwapResult::Done(Revision(2)));
     let actions = keeper.on(Time::ZERO, done);
     let outcome = Outcome {
         version: Version(41),
         repeated: false,
     };
-    let answer = Action::Answer(Ticket(1), Ok(outcome));
-    assert_eq!(actions, [Action::Publish, Action::Remove(Version(1)), answer]);
+    let answer = Action::Answer(SubmissionId(1), Ok(outcome));
+    assert_eq!(
+        actions,
+        [Action::Publish, Action::RemoveSnapshot(Version(1)), answer]
+    );
 }
 
 /// An instance has just started and waits for the snapshot when an operator's statement comes in. It must be
@@ -260,7 +272,7 @@
 #[test]
 fn submit_before_snapshot() {
     let (head, state) = history(40);
-    let mut keeper = Keeper::new(Time::ZERO, LIMIT);
+    let mut keeper = Replicator::new(Time::ZERO, LIMIT);
     keeper.on(Time::ZERO, Event::Read(stored(1, &head.shorten())));
     let waits = submit(&mut keeper, proposal(100, "amina", "f3", implied(0)));
     assert_eq!(waits, []);
@@ -268,7 +280,7 @@
     assert!(
         matches!(
             actions.as_slice(),
-            [Action::Publish, Action::Swap(_, Revision(1), _)]
+            [Action::Publish, Action::SwapHead(_, Revision(1), _)]
         ),
         "{actions:?}"
     );
@@ -291,12 +303,12 @@
         head.tail.drain(..head.tail.len() - 1);
         state.apply(&head.tail[0]).expect("it follows");
     }
-    assert_eq!(state.find(first), Known::Forgotten);
-    assert_eq!(state.find(id(1_500)), Known::Forgotten);
-    assert_eq!(state.find(id(9_000)), Known::Fresh);
+    assert_eq!(state.find(first), CommandStatus::Expired);
+    assert_eq!(state.find(id(1_500)), CommandStatus::Expired);
+    assert_eq!(state.find(id(9_000)), CommandStatus::New);
     let mut again = proposal(0, "o", "f0", implied(600));
     again.id = first;
-    assert_eq!(head.check(&state, &again), Err(Rejected::Forgotten));
+    assert_eq!(head.check(&state, &again), Err(ProposalError::Expired));
 }
 
 /// Two histories claim the same version: an invariant of ours is broken, and the one that is in force stays.
@@ -310,6 +322,6 @@
         .push(&below, &proposal(999, "o", "x", implied(3)))
         .expect("accepted");
     let progress = follower.on_stored(stored(2, &other));
-    assert!(matches!(progress, Progress::Broken(_)), "{progress:?}");
+    assert!(matches!(progress, Progress::Inconsistent(_)), "{progress:?}");
     assert_eq!(follower.state(), &state);
 }
--- a/tests/testsuite/config_run/world.rs
+++ b/tests/testsuite/config_run/world.rs
@@ -15,15 +15,15 @@
 use sequoiastream_core::config::Config;
 use sequoiastream_core::config::Event;
 use sequoiastream_core::config::Head;
-use sequoiastream_core::config::Keeper;
 use sequoiastream_core::config::Proposal;
-use sequoiastream_core::config::Refused;
-use sequoiastream_core::config::Rejected;
+use sequoiastream_core::config::ProposalError;
+use sequoiastream_core::config::Replicator;
 use sequoiastream_core::config::Revision;
 use sequoiastream_core::config::State;
-use sequoiastream_core::config::Stored;
-use sequoiastream_core::config::Swapped;
-use sequoiastream_core::config::Ticket;
+use sequoiastream_core::config::StoredHead;
+use sequoiastream_core::config::SubmissionId;
+use sequoiastream_core::config::SubmitError;
+use sequoiastream_core::config::SwapResult;
 use sequoiastream_core::config::Version;
 use sequoiastream_core::time::Time;
 use sequoiastream_core::time::WallTime;
@@ -51,7 +51,7 @@
 
 #[derive(Debug)]
 struct Instance {
-    keeper: Keeper,
+    keeper: Replicator,
     incarnation: u64,
     paused: Option<Time>,
     published: Version,
@@ -66,12 +66,12 @@
     now: Time,
     instances: Vec<Instance>,
     flying: Vec<Flying>,
-    stored: Stored,
+    stored: StoredHead,
     snapshots: BTreeMap<Version, State>,
     /// The accepted changes in their order, and the configuration after each.
     accepted: Vec<(CommandId, Config)>,
     submitted: BTreeMap<CommandId, u32>,
-    tickets: BTreeMap<Ticket, (usize, CommandId)>,
+    tickets: BTreeMap<SubmissionId, (usize, CommandId)>,
     denied: Vec<CommandId>,
     faults: bool,
     /// Kills, and stored snapshots whose writer did not learn so: each may leave a snapshot behind.
@@ -81,7 +81,7 @@
 impl World {
     pub fn new(seed: u64) -> World {
         let instance = |_| Instance {
-            keeper: Keeper::new(Time::ZERO, LIMIT),
+            keeper: Replicator::new(Time::ZERO, LIMIT),
             incarnation: 0,
             paused: None,
             published: Version::default(),
@@ -93,7 +93,7 @@
             now: Time::ZERO,
             instances: (0..INSTANCES).map(instance).collect(),
             flying: Vec::new(),
-            stored: Stored::default(),
+            stored: StoredHead::default(),
             snapshots: BTreeMap::new(),
             accepted: Vec::new(),
             submitted: BTreeMap::new(),
@@ -174,7 +174,7 @@
             false => CommandId(Uuid::from_u128(self.random.random())),
         };
         *self.submitted.entry(id).or_default() += 1;
-        let ticket = Ticket(self.random.random());
+        let ticket = SubmissionId(self.random.random());
         self.tickets.insert(ticket, (instance, id));
         let proposal = Proposal {
             id,
@@ -194,7 +194,7 @@
     fn kill(&mut self, instance: usize) {
         self.excuses += 1;
         let killed = &mut self.instances[instance];
-        killed.keeper = Keeper::new(self.now, LIMIT);
+        killed.keeper = Replicator::new(self.now, LIMIT);
         killed.incarnation += 1;
         killed.paused = None;
         killed.floor = killed.floor.max(killed.published);
@@ -207,7 +207,7 @@
     fn gossip(&mut self, instance: usize) {
         let version = self.instances[instance].published;
         let to = self.random.random_range(0..INSTANCES);
-        self.fly(to, Message::Tell(Event::Heard(address(instance), version)));
+        self.fly(to, Message::Tell(Event::PeerVersion(address(instance), version)));
     }
 
     fn watch(&mut self, instance: usize) {
@@ -262,7 +262,7 @@
     /// What the service or a peer does about a call that has reached it.
     fn serve(&mut self, instance: usize, incarnation: u64, action: Action) {
         let chance = match action {
-            Action::Store(..) => 0.4,
+            Action::StoreSnapshot(..) => 0.4,
             _ => 0.05,
         };
         let failed = self.faults && self.random.random_bool(chance);
@@ -274,24 +274,24 @@
                 let snapshot = self.snapshots.get(&version).filter(|_| !failed);
                 Event::Snapshot(snapshot.cloned().map(Box::new))
             }
-            Action::Store(ticket, state) => {
+            Action::StoreSnapshot(ticket, state) => {
                 let version = state.version;
                 if !failed {
                     self.snapshots.entry(version).or_insert(*state);
                     self.excuses += usize::from(lost);
                 }
-                Event::StoredSnapshot(ticket, version, !failed && !lost)
+                Event::SnapshotStored(ticket, version, !failed && !lost)
             }
-            Action::Swap(ticket, ..) if failed => Event::Swapped(ticket, Swapped::Failed),
-            Action::Swap(ticket, expect, head) => {
+            Action::SwapHead(ticket, ..) if failed => Event::Swapped(ticket, SwapResult::Failed),
+            Action::SwapHead(ticket, expect, head) => {
                 let swapped = self.swap(expect, *head);
-                Event::Swapped(ticket, if lost { Swapped::Unsure } else { swapped })
+                Event::Swapped(ticket, if lost { SwapResult::Unknown } else { swapped })
             }
             Action::Fetch(peer, after) => {
                 let told = (0..INSTANCES).find(|i| address(*i) == peer && !failed);
                 Event::Fetched(told.map(|i| self.instances[i].keeper.update_after(after)))
             }
-            Action::Remove(version) => {
+            Action::RemoveSnapshot(version) => {
                 self.snapshots.remove(&version);
                 return;
             }
@@ -302,9 +302,9 @@
         }
     }
 
-    fn swap(&mut self, expect: Revision, head: Head) -> Swapped {
+    fn swap(&mut self, expect: Revision, head: Head) -> SwapResult {
         if self.stored.revision != expect {
-            return Swapped::Conflict(self.stored.clone());
+            return SwapResult::Conflict(self.stored.clone());
         }
         assert_eq!(
             head.version.0,
@@ -328,11 +328,11 @@
             "the snapshot {} of the head is stored",
             head.base
         );
-        self.stored = Stored {
+        self.stored = StoredHead {
             revision: Revision(expect.0 + 1),
             head,
         };
-        Swapped::Done(self.stored.revision)
+        SwapResult::Done(self.stored.revision)
     }
 
     /// Gives the keeper an event and carries out its actions.
@@ -354,14 +354,14 @@
                             let accepted = &self.accepted[outcome.version.0 as usize - 1].0;
                             assert_eq!(*accepted, id, "the operator was told another's version");
                         }
-                        Err(Refused::Unsure) => {}
-                        Err(Refused::Rejected(Rejected::Apply(ApplyError::Gap { state, next }))) => {
+                        Err(SubmitError::Unknown) => {}
+                        Err(SubmitError::Rejected(ProposalError::Apply(ApplyError::Gap { state, next }))) => {
                             panic!("version {next} was tried on a state of version {state}")
                         }
                         Err(_) => self.denied.push(id),
                     }
                 }
-                Action::Broken(error) => panic!("{error}"),
+                Action::Inconsistent(error) => panic!("{error}"),
                 Action::Stale(_) => {}
                 action => self.fly(instance, Message::Do(action)),
             }
--- a/tests/testsuite/peer.rs
+++ b/tests/testsuite/peer.rs
@@ -116,7 +116,7 @@
     struct Whole;
     impl Responder for Whole {
         async fn respond(&self, _: Request) -> Response {
-            Response::Config(Update::Whole(Box::default()))
+            Response::Config(Update::Snapshot(Box::default()))
         }
     }
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
@@ -124,7 +124,7 @@
     actix_web::rt::spawn(serve(listener, key(), Whole));
     let client = CallClient::new(key());
     let answer = client.call(address, &Request::Config(Version(0)), LIMIT).await;
-    assert_eq!(answer, Ok(Response::Config(Update::Whole(Box::default()))));
+    assert_eq!(answer, Ok(Response::Config(Update::Snapshot(Box::default()))));
 }
 
 /// A page of `count` engine entries of similar size.
--- a/tests/testsuite/whole/kv.rs
+++ b/tests/testsuite/whole/kv.rs
@@ -17,7 +17,7 @@
 use sequoiastream_core::config::Config;
 use sequoiastream_core::config::Head;
 use sequoiastream_core::config::State;
-use sequoiastream_core::config::Swapped;
+use sequoiastream_core::config::SwapResult;
 use sequoiastream_core::config::Version;
 use sequoiastream_core::time::Time;
 
@@ -35,8 +35,8 @@
     WriteRecord(CallId, RecordVersion, Box<authority::Record>),
     ReadHead,
     ReadSnapshot(Version),
-    Store(config::Ticket, Box<State>),
-    Swap(config::Ticket, config::Revision, Box<Head>),
+    Store(config::SubmissionId, Box<State>),
+    Swap(config::SubmissionId, config::Revision, Box<Head>),
     Remove(Version),
     ReadBucket(BucketId),
     WriteBucket(BucketId, claims::Revision, Bucket),
@@ -64,12 +64,12 @@
             Call::ReadHead => Message::Keeper(config::Event::ReadFailed),
             Call::ReadSnapshot(_) => Message::Keeper(config::Event::Snapshot(None)),
             Call::Store(ticket, state) => {
-                Message::Keeper(config::Event::StoredSnapshot(*ticket, state.version, false))
+                Message::Keeper(config::Event::SnapshotStored(*ticket, state.version, false))
             }
             Call::Swap(ticket, ..) => {
                 let swapped = match unsure {
-                    true => Swapped::Unsure,
-                    false => Swapped::Failed,
+                    true => SwapResult::Unknown,
+                    false => SwapResult::Failed,
                 };
                 Message::Keeper(config::Event::Swapped(*ticket, swapped))
             }
@@ -104,7 +104,7 @@
     version: u64,
     /// Instance, incarnation and end of the lease.
     lease: Option<(usize, Incarnation, Time)>,
-    pub stored: config::Stored,
+    pub stored: config::StoredHead,
     snapshots: BTreeMap<Version, State>,
     /// The accepted changes; version n is at index n - 1.
     pub accepted: Vec<Accepted>,
@@ -144,7 +144,7 @@
             Call::Store(ticket, state) => {
                 let version = state.version;
                 self.snapshots.entry(version).or_insert(*state);
-                let stored = config::Event::StoredSnapshot(ticket, version, true);
+                let stored = config::Event::SnapshotStored(ticket, version, true);
                 Some(Message::Keeper(stored))
             }
             Call::Swap(ticket, expect, head) => {
@@ -204,9 +204,9 @@
     }
 
     /// Swaps the head. Accepted changes must follow on each other, and each id be accepted once.
-    fn swap(&mut self, now: Time, expect: config::Revision, head: Head) -> Swapped {
+    fn swap(&mut self, now: Time, expect: config::Revision, head: Head) -> SwapResult {
         if self.stored.revision != expect {
-            return Swapped::Conflict(self.stored.clone());
+            return SwapResult::Conflict(self.stored.clone());
         }
         assert_eq!(
             head.version.0,
@@ -228,11 +228,11 @@
             at: now,
             config,
         });
-        self.stored = config::Stored {
+        self.stored = config::StoredHead {
             revision: config::Revision(expect.0 + 1),
             head,
         };
-        Swapped::Done(self.stored.revision)
+        SwapResult::Done(self.stored.revision)
     }
 
     /// The version in force by `at`; 0 before the first.
--- a/tests/testsuite/whole/operators.rs
+++ b/tests/testsuite/whole/operators.rs
@@ -19,8 +19,8 @@
 use sequoiastream_core::config::Service;
 use sequoiastream_core::config::ServiceKind;
 use sequoiastream_core::config::State;
-use sequoiastream_core::config::Swapped;
-use sequoiastream_core::config::Ticket;
+use sequoiastream_core::config::SubmissionId;
+use sequoiastream_core::config::SwapResult;
 use sequoiastream_core::config::Version;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
@@ -87,11 +87,11 @@
             self.now,
             0,
             sequoiastream_core::authority::Incarnation(Uuid::nil()),
-            Call::Swap(Ticket(0), Revision(0), Box::new(head)),
+            Call::Swap(SubmissionId(0), Revision(0), Box::new(head)),
         ) else {
             panic!("a swap is answered");
         };
-        assert!(matches!(swapped, Swapped::Done(_)));
+        assert!(matches!(swapped, SwapResult::Done(_)));
     }
 
     fn proposal(&mut self, commands: Vec<Command>, base: Base) -> Proposal {
@@ -133,7 +133,7 @@
     }
 
     fn propose(&mut self, index: usize, proposal: Proposal) {
-        let ticket = Ticket(self.rng.random());
+        let ticket = SubmissionId(self.rng.random());
         let event = Event::Submitted(ticket, Box::new(proposal));
         let to = self.process(index);
         let travel = self.millis(1..50);
@@ -177,7 +177,7 @@
         let to = self.process(to);
         if !self.chance(10) {
             let travel = self.delay();
-            let heard = Event::Heard(address(index), version);
+            let heard = Event::PeerVersion(address(index), version);
             self.post(travel, Some(to), Message::Keeper(heard));
         }
     }
@@ -193,9 +193,9 @@
         match action {
             Action::Read => self.call(index, Call::ReadHead),
             Action::ReadSnapshot(version) => self.call(index, Call::ReadSnapshot(version)),
-            Action::Store(ticket, state) => self.call(index, Call::Store(ticket, state)),
-            Action::Swap(ticket, expect, head) => self.call(index, Call::Swap(ticket, expect, head)),
-            Action::Remove(version) => self.call(index, Call::Remove(version)),
+            Action::StoreSnapshot(ticket, state) => self.call(index, Call::Store(ticket, state)),
+            Action::SwapHead(ticket, expect, head) => self.call(index, Call::Swap(ticket, expect, head)),
+            Action::RemoveSnapshot(version) => self.call(index, Call::Remove(version)),
             Action::Fetch(peer, after) => {
                 let from = self.process(index);
                 let asked = self.process(usize::from(peer.port()));
@@ -211,7 +211,7 @@
                 );
             }
             Action::Answer(..) | Action::Stale(_) => {}
-            Action::Broken(error) => panic!("{error}"),
+            Action::Inconsistent(error) => panic!("{error}"),
         }
     }
 
--- a/tests/testsuite/whole/world.rs
+++ b/tests/testsuite/whole/world.rs
@@ -24,7 +24,7 @@
 use sequoiastream_core::config::Command;
 use sequoiastream_core::config::CommandId;
 use sequoiastream_core::config::Fencing;
-use sequoiastream_core::config::Keeper;
+use sequoiastream_core::config::Replicator;
 use sequoiastream_core::config::Version;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
@@ -82,7 +82,7 @@
 pub struct Instance {
     pub life: u32,
     pub incarnation: Incarnation,
-    pub keeper: Keeper,
+    pub keeper: Replicator,
     pub authority: Authority,
     pub owner: Owner,
     pub wake: Option<Time>,
@@ -162,7 +162,7 @@
         Instance {
             life,
             incarnation,
-            keeper: Keeper::new(self.now, LIMIT),
+            keeper: Replicator::new(self.now, LIMIT),
             authority: Authority::new(settings),
             owner: Owner::new(OwnerSettings::default()),
             wake: None,
