--- a/crates/core/src/membership/heartbeat.rs
+++ b/crates/core/src/membership/heartbeat.rs
@@ -19,7 +19,7 @@
 
 /// What an instance says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct About {
+pub struct InstanceInfo {
     /// When the process started, in milliseconds since the Unix epoch: orders its incarnations.
     pub incarnation: u64,
     /// Counts the heartbeats of the incarnation.
@@ -29,7 +29,8 @@
     /// Where callers connect.
     pub address: SocketAddr,
     /// Where other instances connect.
-    pub peer: SocketAddr,
+    #[serde(rename = "peer")]
+    pub peer_address: SocketAddr,
     /// Whether it stays.
     pub state: MemberState,
     /// The configuration in force there: the digest by which others see that they are behind.
@@ -38,15 +39,15 @@
     pub silence: u32,
 }
 
-impl About {
+impl InstanceInfo {
     /// What is known of an instance at first, before it has said anything.
-    pub fn new(incarnation: u64, zone: Name, address: SocketAddr, peer: SocketAddr) -> About {
-        About {
+    pub fn new(incarnation: u64, zone: Name, address: SocketAddr, peer: SocketAddr) -> InstanceInfo {
+        InstanceInfo {
             incarnation,
             number: 0,
             zone,
             address,
-            peer,
+            peer_address: peer,
             state: MemberState::Live,
             version: Version::default(),
             silence: u32::MAX,
@@ -60,7 +61,8 @@
     /// The other.
     pub name: Name,
     /// What it said of itself.
-    pub about: About,
+    #[serde(rename = "about")]
+    pub info: InstanceInfo,
     /// Milliseconds since it said so. Ages only grow on their way, so that what is told of an instance that is gone
     /// ends.
     pub age: u32,
@@ -68,7 +70,7 @@
 
 /// An upstream that the platform's list shows as leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Notice {
+pub struct LeavingNotice {
     /// Where it listens.
     pub address: SocketAddr,
     /// Milliseconds since some instance saw it on the list.
@@ -77,11 +79,12 @@
 
 /// A heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Of the sender.
-    pub about: About,
+    #[serde(rename = "about")]
+    pub info: InstanceInfo,
     /// Of others: a part of the sender's table that rotates.
     pub rumors: Vec<Rumor>,
     /// Upstreams that leave.
-    pub notices: Vec<Notice>,
+    pub notices: Vec<LeavingNotice>,
 }
--- a/crates/core/src/membership/rank.rs
+++ b/crates/core/src/membership/rank.rs
@@ -23,7 +23,7 @@
 where
     I: IntoIterator<Item = &'a Peer>,
 {
-    let open = peers.into_iter().filter(|peer| peer.is_open());
+    let open = peers.into_iter().filter(|peer| peer.accepts_work());
     let mut ranked: Vec<(bool, u64, SocketAddr)> = open
         .map(|peer| (peer.zone == *caller.zone, score(&peer.name, caller), peer.address))
         .collect();
--- a/crates/core/src/membership/roster.rs
+++ b/crates/core/src/membership/roster.rs
@@ -19,7 +19,7 @@
     /// Where callers connect.
     pub address: SocketAddr,
     /// Where other instances connect.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Whether it stays.
     pub state: MemberState,
     /// Whether it was heard of within the silent limit.
@@ -30,7 +30,7 @@
 
 impl Peer {
     /// Whether callers may be sent there: it is heard of, stays, and has a configuration.
-    pub fn is_open(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.heard && self.state == MemberState::Live && self.version > Version::default()
     }
 }
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Roster {
     /// This instance; `None` before the first look around.
-    pub myself: Option<Peer>,
+    pub local: Option<Peer>,
     /// The others, in the order of their names.
     pub peers: Vec<Peer>,
     /// Upstreams that leave, by address.
@@ -47,7 +47,7 @@
     /// Whether this instance may take new work.
     pub standing: Standing,
     /// When this was judged; each tick judges anew.
-    pub judged: Time,
+    pub evaluated_at: Time,
 }
 
 impl Roster {
--- a/crates/core/src/membership/standing.rs
+++ b/crates/core/src/membership/standing.rs
@@ -9,7 +9,7 @@
 /// What a group that hears each other, but not the key-value service, does while an instance of the last
 /// list is silent. That instance may have crashed, or it may be accepting changes on the far side of a cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum CutRule {
+pub enum PartitionPolicy {
     /// Takes no new work: what was decided is in force wherever work is taken.
     #[default]
     Stop,
@@ -36,7 +36,7 @@
 
 impl Standing {
     /// Whether new work may be taken.
-    pub fn is_open(self) -> bool {
+    pub fn accepts_work(self) -> bool {
         match self {
             Standing::Current | Standing::Outage | Standing::Guessing => true,
             Standing::Cut | Standing::Isolated => false,
@@ -46,11 +46,11 @@
 
 /// What a judgement rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Witness {
+pub struct Reachability {
     /// Time since this instance had an answer of the key-value service, if it ever had one.
-    pub own: Option<Duration>,
+    pub own_contact: Option<Duration>,
     /// Least time since any peer that was heard of lately had one.
-    pub peers: Option<Duration>,
+    pub peer_contact: Option<Duration>,
     /// Whether the list of instances was ever read.
     pub listed: bool,
     /// Peers heard of lately.
@@ -61,19 +61,26 @@
 
 /// How an instance with this evidence stands. `stale` is the longest time for which what is known of the
 /// configuration may go unconfirmed.
-pub fn judge(witness: &Witness, stale: Duration, rule: CutRule) -> Standing {
-    let confirmed = [witness.own, witness.peers].into_iter().flatten().min();
-    if confirmed.is_some_and(|since| since <= stale) {
+pub fn evaluate_standing(
+    reachability: &Reachability,
+    stale_after: Duration,
+    policy: PartitionPolicy,
+) -> Standing {
+    let confirmed = [reachability.own_contact, reachability.peer_contact]
+        .into_iter()
+        .flatten()
+        .min();
+    if confirmed.is_some_and(|since| since <= stale_after) {
         return Standing::Current;
     }
-    if witness.listed && witness.silent == 0 {
+    if reachability.listed && reachability.silent == 0 {
         return Standing::Outage;
     }
-    if witness.heard == 0 {
+    if reachability.heard == 0 {
         return Standing::Isolated;
     }
-    match rule {
-        CutRule::Serve => Standing::Guessing,
-        CutRule::Stop => Standing::Cut,
+    match policy {
+        PartitionPolicy::Serve => Standing::Guessing,
+        PartitionPolicy::Stop => Standing::Cut,
     }
 }
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -11,7 +11,7 @@
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::config::Update;
 use sequoiastream_core::config::Version;
-use sequoiastream_core::membership::Beat;
+use sequoiastream_core::membership::Heartbeat;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::poison::Ask;
 use sequoiastream_core::poison::Fingerprint;
@@ -28,7 +28,7 @@
     /// Only shows that the sender runs.
     Ping,
     /// A heartbeat.
-    Beat(Beat),
+    Beat(Heartbeat),
     /// The sender's work at the engines.
     Load(Digest),
     /// Asks, under this number, for a proof of what the peer knows of the store.
--- a/examples/membership_cost.rs
+++ b/examples/membership_cost.rs
@@ -10,14 +10,14 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use sequoiastream_core::config::Version;
-use sequoiastream_core::membership::About;
 use sequoiastream_core::membership::Action;
 use sequoiastream_core::membership::Event;
+use sequoiastream_core::membership::InstanceInfo;
 use sequoiastream_core::membership::Limits;
 use sequoiastream_core::membership::Listing;
+use sequoiastream_core::membership::LocalInstance;
 use sequoiastream_core::membership::MemberState;
-use sequoiastream_core::membership::Members;
-use sequoiastream_core::membership::Myself;
+use sequoiastream_core::membership::MemberTable;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
 
@@ -39,13 +39,13 @@
     Ok(Name::new(&text)?)
 }
 
-fn about(index: usize) -> eyre::Result<About> {
-    Ok(About {
+fn about(index: usize) -> eyre::Result<InstanceInfo> {
+    Ok(InstanceInfo {
         incarnation: 1_796_000_000_000 + index as u64,
         number: 0,
         zone: name(format!("zone-{}", index % 12))?,
         address: address(index, 8080),
-        peer: address(index, 8090),
+        peer_address: address(index, 8090),
         state: MemberState::Live,
         version: Version(1),
         silence: 0,
@@ -58,13 +58,13 @@
         name: name(format!("instance-{index}"))?,
         zone: about.zone,
         address: about.address,
-        peer: about.peer,
+        peer_address: about.peer_address,
         state: MemberState::Live,
     })
 }
 
 struct Fleet {
-    members: Vec<Members>,
+    members: Vec<MemberTable>,
     names: Vec<Name>,
     index: BTreeMap<SocketAddr, usize>,
     versions: Vec<u64>,
@@ -84,12 +84,12 @@
             largest: 0,
         };
         for index in 0..count {
-            let myself = Myself {
+            let myself = LocalInstance {
                 name: fleet.names[index].clone(),
-                about: about(index)?,
+                info: about(index)?,
                 seed: index as u64,
             };
-            let mut members = Members::new(myself, Limits::default());
+            let mut members = MemberTable::new(myself, Limits::default());
             members.on(Time::ZERO, Event::Listed(list.clone()));
             members.on(Time::ZERO, Event::InForce(Version(1)));
             fleet.members.push(members);
@@ -108,14 +108,14 @@
                         self.sent += bytes;
                         self.largest = self.largest.max(bytes);
                         if let Some(to) = self.index.get(&to) {
-                            queue.push((*to, Event::Heard(self.names[at].clone(), beat)));
+                            queue.push((*to, Event::Heartbeat(self.names[at].clone(), beat)));
                         }
                     }
-                    Action::Ahead(_, version) if version.0 > self.versions[at] => {
+                    Action::PeerAhead(_, version) if version.0 > self.versions[at] => {
                         self.versions[at] = version.0;
                         queue.push((at, Event::InForce(version)));
                     }
-                    Action::Ahead(..) | Action::Publish | Action::Woke => {}
+                    Action::PeerAhead(..) | Action::Publish | Action::Resumed => {}
                 }
             }
         }
@@ -126,7 +126,7 @@
     fn second(&mut self, second: u64) -> eyre::Result<()> {
         let now = Time::from_millis(second * 1_000);
         for index in 0..self.members.len() {
-            self.on(now, index, Event::Contact(now))?;
+            self.on(now, index, Event::KvContact(now))?;
             self.on(now, index, Event::Tick)?;
         }
         Ok(())
@@ -172,7 +172,7 @@
     const OUTAGES: usize = 20_000;
     const LAG: f64 = 30.0;
     let rate = 6.0 / 350.0 / 86_400.0 * count as f64;
-    let stale = Limits::default().stale.as_secs_f64();
+    let stale = Limits::default().stale_after.as_secs_f64();
     let mut exponential = |mean: f64| -mean * (1.0 - random.random::<f64>()).ln();
     let (mut total, mut strict, mut closed) = (0.0, 0.0, 0.0);
     for _ in 0..OUTAGES {
--- a/src/ops/control/authority/drain.rs
+++ b/src/ops/control/authority/drain.rs
@@ -101,7 +101,13 @@
     async fn others(&self) -> Option<BTreeMap<Name, SocketAddr>> {
         let roster = self.shared.roster();
         if !roster.peers.is_empty() {
-            return Some(roster.peers.iter().map(|p| (p.name.clone(), p.peer)).collect());
+            return Some(
+                roster
+                    .peers
+                    .iter()
+                    .map(|p| (p.name.clone(), p.peer_address))
+                    .collect(),
+            );
         }
         let list = self.kv.instances().await.ok()?;
         let others = list.into_iter().filter(|l| l.name != self.shared.settings.name);
--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -144,7 +144,13 @@
             watch.keep(|name| peers.contains(name));
             watch.next(&peers, self.compared.as_ref()).cloned()
         };
-        let address = |name: &Name| roster.peers.iter().find(|p| p.name == *name).map(|p| p.peer);
+        let address = |name: &Name| {
+            roster
+                .peers
+                .iter()
+                .find(|p| p.name == *name)
+                .map(|p| p.peer_address)
+        };
         if let Some((name, address)) = next.and_then(|name| Some((name.clone(), address(&name)?))) {
             self.compared = Some(name.clone());
             let calls = self.calls.clone();
--- a/src/ops/control/config.rs
+++ b/src/ops/control/config.rs
@@ -133,7 +133,7 @@
 
     fn watch(&mut self, context: &mut Context<Self>) {
         let settings = &self.shared.settings;
-        let wait = settings.wait.min(settings.limits.stale / WATCH_PART);
+        let wait = settings.wait.min(settings.limits.stale_after / WATCH_PART);
         let (store, after) = (self.store.clone(), self.seen);
         let sent = clock::now();
         let watch = async move { store.watch(after, wait).await };
--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: carries out the decisions of [`Members`], and reads the platform's lists.
+//! Membership: carries out the decisions of [`MemberTable`], and reads the platform's lists.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 use actix::Message;
 use actix::WrapFuture;
 use sequoiastream_core::log_event;
-use sequoiastream_core::membership::About;
 use sequoiastream_core::membership::Action;
-use sequoiastream_core::membership::Beat;
 use sequoiastream_core::membership::Event;
+use sequoiastream_core::membership::Heartbeat;
+use sequoiastream_core::membership::InstanceInfo;
 use sequoiastream_core::membership::Listing;
+use sequoiastream_core::membership::LocalInstance;
 use sequoiastream_core::membership::MemberState;
-use sequoiastream_core::membership::Members;
-use sequoiastream_core::membership::Myself;
+use sequoiastream_core::membership::MemberTable;
 use sequoiastream_core::membership::Standing;
 use sequoiastream_core::name::Name;
 use sequoiastream_kv::KvClient;
@@ -56,7 +56,7 @@
     kv: KvClient,
     config: Addr<ConfigActor>,
     socket: Rc<DatagramSocket>,
-    members: Members,
+    members: MemberTable,
 }
 
 /// This instance begins to shut down: others stop naming it.
@@ -78,13 +78,13 @@
         bound: Bound,
     ) -> MembershipActor {
         let settings = &shared.settings;
-        let about = About::new(clock::wall().0, settings.zone.clone(), bound.listen, bound.peer);
-        let myself = Myself {
+        let about = InstanceInfo::new(clock::wall().0, settings.zone.clone(), bound.listen, bound.peer);
+        let myself = LocalInstance {
             name: settings.name.clone(),
             seed: about.incarnation,
-            about,
+            info: about,
         };
-        let members = Members::new(myself, settings.limits);
+        let members = MemberTable::new(myself, settings.limits);
         MembershipActor {
             shared,
             kv,
@@ -98,14 +98,14 @@
         for action in self.members.on(clock::now(), event) {
             match action {
                 Action::Send(to, beat) => self.send(to, beat),
-                Action::Ahead(peer, version) => self.config.do_send(Ahead(peer, version)),
+                Action::PeerAhead(peer, version) => self.config.do_send(Ahead(peer, version)),
                 Action::Publish => self.publish(),
-                Action::Woke => self.config.do_send(Confirm),
+                Action::Resumed => self.config.do_send(Confirm),
             }
         }
     }
 
-    fn send(&self, to: std::net::SocketAddr, beat: Beat) {
+    fn send(&self, to: std::net::SocketAddr, beat: Heartbeat) {
         let socket = self.socket.clone();
         let metrics = self.shared.metrics.membership.clone();
         actix::spawn(async move {
@@ -125,7 +125,7 @@
         let peers = i64::try_from(roster.peers.len()).unwrap_or(i64::MAX);
         self.shared.metrics.membership.peers.set(peers);
         let before = self.shared.publish_roster(roster);
-        match before.myself {
+        match before.local {
             // Right after its start an instance knows nothing yet; that is no fault.
             None => log_event!(info, log_event::STANDING, after = ?standing),
             Some(_) if before.standing != standing => log_standing(before.standing, standing),
@@ -175,7 +175,7 @@
         name: listed.name.clone(),
         zone: listed.zone.clone(),
         address: listed.address,
-        peer: listed.peer?,
+        peer_address: listed.peer?,
         state: match listed.state {
             ListedState::Live => MemberState::Live,
             ListedState::Leaving => MemberState::Leaving,
@@ -184,7 +184,7 @@
 }
 
 fn log_standing(before: Standing, after: Standing) {
-    match after.is_open() {
+    match after.accepts_work() {
         true => log_event!(info, log_event::STANDING, ?before, ?after),
         false => log_event!(error, log_event::STANDING, ?before, ?after),
     }
@@ -220,7 +220,7 @@
         match received {
             Ok((name, Datagram::Beat(beat))) => {
                 self.shared.metrics.membership.received.inc();
-                self.on(Event::Heard(name, beat));
+                self.on(Event::Heartbeat(name, beat));
             }
             Ok((_, Datagram::Ping | Datagram::Load(_))) => {}
             Ok((_, Datagram::Prove(_) | Datagram::Proof(_) | Datagram::Counts(_))) => {}
@@ -234,7 +234,7 @@
 
     fn handle(&mut self, news: InForce, _: &mut Context<Self>) {
         match news.contact {
-            Some(at) => self.on(Event::Contact(at)),
+            Some(at) => self.on(Event::KvContact(at)),
             None => self.on(Event::InForce(news.version)),
         }
     }
--- a/src/ops/dispatch/addresses.rs
+++ b/src/ops/dispatch/addresses.rs
@@ -49,7 +49,7 @@
         name: shared.settings.name.clone(),
         zone: shared.settings.zone.clone(),
         address: dispatch.control.bound.listen,
-        peer: dispatch.control.bound.peer,
+        peer_address: dispatch.control.bound.peer,
         state: if leaves {
             MemberState::Leaving
         } else {
@@ -74,7 +74,7 @@
         _ => "this instance is cut off and doesn't know the configuration in force",
     };
     let roster = dispatch.shared.roster();
-    let others = roster.peers.iter().filter(|peer| peer.is_open());
+    let others = roster.peers.iter().filter(|peer| peer.accepts_work());
     let others: Vec<String> = others
         .take(MAX_ADDRESSES)
         .map(|p| p.address.to_string())
--- a/src/ops/dispatch/owners.rs
+++ b/src/ops/dispatch/owners.rs
@@ -55,7 +55,11 @@
 
     fn peer(&self, name: &Name) -> Option<SocketAddr> {
         let roster = self.shared.roster();
-        roster.peers.iter().find(|p| p.name == *name).map(|p| p.peer)
+        roster
+            .peers
+            .iter()
+            .find(|p| p.name == *name)
+            .map(|p| p.peer_address)
     }
 
     /// Asks `owner` for a claim.
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -351,7 +351,7 @@
         let calls = roster
             .peers
             .iter()
-            .map(|peer| self.calls.call(peer.peer, &request, PEER_LIMIT));
+            .map(|peer| self.calls.call(peer.peer_address, &request, PEER_LIMIT));
         let answers = join_all(calls).await.into_iter();
         answers
             .filter_map(|answer| match answer {
--- a/src/ops/relay/peers/ask.rs
+++ b/src/ops/relay/peers/ask.rs
@@ -47,7 +47,7 @@
         let choose = |peers: Vec<&Peer>| {
             let known: Vec<u64> = peers.iter().map(known).collect();
             let asked = peers[furthest(&known, revision, rand::random::<u32>() as usize)?];
-            Some((asked.name.clone(), asked.peer))
+            Some((asked.name.clone(), asked.peer_address))
         };
         choose(heard(true)).or_else(|| choose(heard(false)).filter(|_| other_zones))
     }
--- a/src/ops/relay/peers/counts.rs
+++ b/src/ops/relay/peers/counts.rs
@@ -113,7 +113,7 @@
         let view = self.0.shared.view.load();
         let listed = self.0.listed.borrow();
         let holder = view.lead.as_ref().and_then(|lead| Name::new(&lead.holder).ok());
-        let holder = holder.and_then(|name| Some(listed.get(&name)?.listing.peer));
+        let holder = holder.and_then(|name| Some(listed.get(&name)?.listing.peer_address));
         let stand_by = self.0.tallies.stand_by.borrow();
         let all = holder.into_iter().chain(stand_by.iter().copied());
         all.filter(|peer| *peer != self.0.shared.options.peer).collect()
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -17,13 +17,13 @@
 
 use sequoiastream_core::config::Version;
 use sequoiastream_core::log_event;
-use sequoiastream_core::membership::About;
 use sequoiastream_core::membership::Action;
-use sequoiastream_core::membership::CutRule;
 use sequoiastream_core::membership::Event;
+use sequoiastream_core::membership::InstanceInfo;
 use sequoiastream_core::membership::Limits;
-use sequoiastream_core::membership::Members;
-use sequoiastream_core::membership::Myself;
+use sequoiastream_core::membership::LocalInstance;
+use sequoiastream_core::membership::MemberTable;
+use sequoiastream_core::membership::PartitionPolicy;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::relay::book::Work;
 use sequoiastream_core::relay::digest;
@@ -164,7 +164,7 @@
 struct State {
     shared: Arc<Shared>,
     socket: DatagramSocket,
-    members: RefCell<Members>,
+    members: RefCell<MemberTable>,
     listed: RefCell<BTreeMap<Name, Listed>>,
     quiet: Cell<bool>,
     turn: Cell<u32>,
@@ -192,18 +192,18 @@
 /// Starts to speak with the peers.
 pub fn start(shared: Arc<Shared>, sockets: Sockets, known: Known) -> Fleet {
     let options = &shared.options;
-    let about = About::new(clock::wall().0, options.zone.clone(), options.front, options.peer);
-    let myself = Myself {
+    let about = InstanceInfo::new(clock::wall().0, options.zone.clone(), options.front, options.peer);
+    let myself = LocalInstance {
         name: options.name.clone(),
         seed: about.incarnation,
-        about,
+        info: about,
     };
     let limits = Limits {
         interval: INTERVAL,
         fanout: FANOUT,
         cross_zone: CROSS_ZONE_FANOUT,
-        silent: SILENT,
-        rule: CutRule::Serve,
+        silent_after: SILENT,
+        partition_policy: PartitionPolicy::Serve,
         ..Limits::default()
     };
     let key = ClusterKey::new(&shared.options.cluster);
@@ -222,7 +222,7 @@
         ahead: RefCell::default(),
         proofs: Proofs::default(),
         tallies: Tallies::new(),
-        members: RefCell::new(Members::new(myself, limits)),
+        members: RefCell::new(MemberTable::new(myself, limits)),
         listed: RefCell::default(),
         quiet: Cell::new(true),
         turn: Cell::new(0),
@@ -239,7 +239,7 @@
 async fn receive(fleet: Fleet) {
     loop {
         match fleet.0.socket.receive().await {
-            Ok((name, Datagram::Beat(beat))) => fleet.on(Event::Heard(name, beat)),
+            Ok((name, Datagram::Beat(beat))) => fleet.on(Event::Heartbeat(name, beat)),
             Ok((name, Datagram::Load(digest))) => fleet.on_load(&name, digest),
             Ok((name, Datagram::Prove(question))) => fleet.on_prove(&name, question),
             Ok((_, Datagram::Proof(proof))) => fleet.on_proof(proof),
@@ -338,14 +338,14 @@
     }
 
     fn on(&self, event: Event) {
-        let is_heartbeat = matches!(event, Event::Heard(..));
+        let is_heartbeat = matches!(event, Event::Heartbeat(..));
         let actions = self.0.members.borrow_mut().on(clock::now(), event);
         let mut publish = false;
         for action in actions {
             match action {
                 Action::Send(to, beat) => self.send(to, Datagram::Beat(beat)),
                 Action::Publish => publish = true,
-                Action::Ahead(..) | Action::Woke => {}
+                Action::PeerAhead(..) | Action::Resumed => {}
             }
         }
         // The cost of publishing grows with the size of the fleet, and in a large fleet heartbeats with news arrive all the
--- a/src/ops/relay/peers/prove.rs
+++ b/src/ops/relay/peers/prove.rs
@@ -134,7 +134,7 @@
     /// Answers a peer's question for a proof.
     pub(super) fn on_prove(&self, name: &Name, question: u64) {
         let listed = self.0.listed.borrow();
-        let Some(peer) = listed.get(name).map(|l| l.listing.peer) else {
+        let Some(peer) = listed.get(name).map(|l| l.listing.peer_address) else {
             return;
         };
         if let Some(word) = self.0.known.proof_word(clock::now()) {
--- a/src/ops/relay/peers/roster.rs
+++ b/src/ops/relay/peers/roster.rs
@@ -33,11 +33,15 @@
         let before = roster
             .peers
             .iter()
-            .filter(|p| p.is_open() && p.name < self.0.shared.options.name);
+            .filter(|p| p.accepts_work() && p.name < self.0.shared.options.name);
         let rank = u32::try_from(before.count()).unwrap_or(u32::MAX);
         self.sit(&roster);
         self.note_heard(&roster);
-        let open = roster.peers.iter().filter(|p| p.is_open()).map(|p| p.peer);
+        let open = roster
+            .peers
+            .iter()
+            .filter(|p| p.accepts_work())
+            .map(|p| p.peer_address);
         self.note_stand_by(open.take(STAND_BY).collect());
         let view = self.0.shared.view.load();
         if view.entrances != entrances || view.instances != instances || view.rank != rank {
@@ -53,7 +57,7 @@
         let zone = &self.0.shared.options.zone;
         let heard = roster.peers.iter().filter(|p| p.heard);
         let (same_zone, other_zones): (Vec<&Peer>, Vec<&Peer>) = heard.partition(|p| p.zone == *zone);
-        let addresses = |peers: Vec<&Peer>| peers.into_iter().map(|p| p.peer).collect();
+        let addresses = |peers: Vec<&Peer>| peers.into_iter().map(|p| p.peer_address).collect();
         *self.0.heard.borrow_mut() = [addresses(same_zone), addresses(other_zones)];
     }
 
@@ -69,7 +73,7 @@
         let now = clock::now();
         let limit = self.0.shared.proof_limit();
         let holds = |p: &&Peer| limit.is_none_or(|limit| self.0.proofs.holds(now, &p.name, limit));
-        let open: Vec<&Peer> = roster.peers.iter().filter(|p| p.is_open()).collect();
+        let open: Vec<&Peer> = roster.peers.iter().filter(|p| p.accepts_work()).collect();
         let proven: Vec<&Peer> = open.iter().copied().filter(holds).collect();
         // Where nobody may let requests in, callers are told of all: those that come back first serve them.
         let named = match proven.is_empty() && own.is_none() {
@@ -106,8 +110,10 @@
         let ranked = watchers::rank_candidates(others.chain([own]).collect());
         let zones: BTreeSet<&str> = ranked.iter().map(|c| c.zone).collect();
         let watcher_count = watchers::count(ranked.len());
-        let addresses: BTreeMap<&str, SocketAddr> =
-            present.iter().map(|p| (p.name.as_str(), p.peer)).collect();
+        let addresses: BTreeMap<&str, SocketAddr> = present
+            .iter()
+            .map(|p| (p.name.as_str(), p.peer_address))
+            .collect();
         let top_addresses = |count: usize| {
             ranked
                 .iter()
--- a/src/ops/relay/register.rs
+++ b/src/ops/relay/register.rs
@@ -293,7 +293,7 @@
                 name,
                 zone: card.zone,
                 address: card.front,
-                peer: card.peer,
+                peer_address: card.peer,
                 state: MemberState::Live,
             },
             capacity: card.capacity,
--- a/src/ops/shared.rs
+++ b/src/ops/shared.rs
@@ -182,8 +182,8 @@
     /// Whether this instance runs and knows the configuration in force, as far as it can tell.
     pub fn is_confirmed(&self) -> bool {
         let roster = self.roster.borrow();
-        let awake = clock::now().since(roster.judged) <= self.settings.limits.asleep;
-        awake && roster.standing.is_open()
+        let awake = clock::now().since(roster.evaluated_at) <= self.settings.limits.pause_limit;
+        awake && roster.standing.accepts_work()
     }
 
     /// Counts a piece of work as running until the result is dropped.
--- a/src/ops/tables.rs
+++ b/src/ops/tables.rs
@@ -115,13 +115,13 @@
 /// The instances as this one sees them, itself first.
 pub fn instances(roster: &Roster) -> TableBody {
     let standing = format!("{:?}", roster.standing).to_lowercase();
-    let rows = roster.myself.iter().chain(&roster.peers).map(|peer| {
+    let rows = roster.local.iter().chain(&roster.peers).map(|peer| {
         let state = match (peer.heard, peer.state) {
             (false, _) => "silent",
             (true, MemberState::Live) => "live",
             (true, MemberState::Leaving) => "leaving",
         };
-        let myself = roster.myself.as_ref().is_some_and(|m| m.name == peer.name);
+        let myself = roster.local.as_ref().is_some_and(|m| m.name == peer.name);
         vec![
             peer.name.to_string(),
             peer.zone.to_string(),
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -4,8 +4,8 @@
 
 use clap::Arg;
 use clap::ArgMatches;
-use sequoiastream_core::membership::CutRule;
 use sequoiastream_core::membership::Limits;
+use sequoiastream_core::membership::PartitionPolicy;
 
 use crate::settings::Reader;
 use crate::settings::number;
@@ -49,23 +49,23 @@
     let mut millis = |name: &str| Duration::from_millis(reader.positive(name));
     let limits = Limits {
         interval: millis("heartbeat-ms"),
-        silent: millis("silent-ms"),
-        stale: millis("stale-ms"),
-        asleep: millis("asleep-ms"),
-        rule: rule(reader.matches),
+        silent_after: millis("silent-ms"),
+        stale_after: millis("stale-ms"),
+        pause_limit: millis("asleep-ms"),
+        partition_policy: rule(reader.matches),
         ..Limits::default()
     };
-    if limits.silent < limits.interval * 2 {
+    if limits.silent_after < limits.interval * 2 {
         let fault =
             "--silent-ms must be at least twice --heartbeat-ms, or instances seem silent between heartbeats";
         reader.faults.push(fault.to_string());
     }
-    if limits.asleep < limits.interval * 2 {
+    if limits.pause_limit < limits.interval * 2 {
         let fault =
             "--asleep-ms must be at least twice --heartbeat-ms, or instances seem paused between heartbeats";
         reader.faults.push(fault.to_string());
     }
-    if limits.stale < limits.silent {
+    if limits.stale_after < limits.silent_after {
         let fault = "--stale-ms must be at least --silent-ms";
         reader.faults.push(fault.to_string());
     }
@@ -77,9 +77,9 @@
     Duration::from_millis(reader.positive("list-ms"))
 }
 
-fn rule(matches: &ArgMatches) -> CutRule {
+fn rule(matches: &ArgMatches) -> PartitionPolicy {
     match matches.get_one::<String>("on-cut").map(String::as_str) {
-        Some("serve") => CutRule::Serve,
-        _ => CutRule::Stop,
+        Some("serve") => PartitionPolicy::Serve,
+        _ => PartitionPolicy::Stop,
     }
 }
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -7,21 +7,21 @@
 
 use sequoiastream_caller::AddressBody;
 use sequoiastream_core::config::Version;
-use sequoiastream_core::membership::About;
 use sequoiastream_core::membership::Action;
-use sequoiastream_core::membership::Beat;
 use sequoiastream_core::membership::Caller;
-use sequoiastream_core::membership::CutRule;
 use sequoiastream_core::membership::Event;
+use sequoiastream_core::membership::Heartbeat;
+use sequoiastream_core::membership::InstanceInfo;
 use sequoiastream_core::membership::Limits;
 use sequoiastream_core::membership::Listing;
+use sequoiastream_core::membership::LocalInstance;
 use sequoiastream_core::membership::MemberState;
-use sequoiastream_core::membership::Members;
-use sequoiastream_core::membership::Myself;
+use sequoiastream_core::membership::MemberTable;
+use sequoiastream_core::membership::PartitionPolicy;
 use sequoiastream_core::membership::Peer;
+use sequoiastream_core::membership::Reachability;
 use sequoiastream_core::membership::Standing;
-use sequoiastream_core::membership::Witness;
-use sequoiastream_core::membership::judge;
+use sequoiastream_core::membership::evaluate_standing;
 use sequoiastream_core::membership::rank;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
@@ -66,14 +66,14 @@
 fn judge_cases() {
     let stale = Duration::from_secs(15);
     let (fresh, old) = (Some(Duration::from_secs(1)), Some(Duration::from_secs(60)));
-    let witness = |own, peers, heard, silent| Witness {
-        own,
-        peers,
+    let witness = |own, peers, heard, silent| Reachability {
+        own_contact: own,
+        peer_contact: peers,
         listed: true,
         heard,
         silent,
     };
-    let unlisted = Witness {
+    let unlisted = Reachability {
         listed: false,
         ..witness(None, None, 2, 0)
     };
@@ -99,10 +99,17 @@
         ("never had a list", unlisted, Standing::Cut),
     ];
     for (case, witness, expected) in cases {
-        assert_eq!(judge(&witness, stale, CutRule::Stop), expected, "{case}");
+        assert_eq!(
+            evaluate_standing(&witness, stale, PartitionPolicy::Stop),
+            expected,
+            "{case}"
+        );
     }
     let split = witness(old, old, 6, 1);
-    assert_eq!(judge(&split, stale, CutRule::Serve), Standing::Guessing);
+    assert_eq!(
+        evaluate_standing(&split, stale, PartitionPolicy::Serve),
+        Standing::Guessing
+    );
 }
 
 /// Requests of one conversation go to one instance, for its prefix cache; those of another elsewhere. When an
@@ -114,7 +121,7 @@
         name: name(&format!("i{i}")),
         zone: name(zones[usize::from(i % 2)]),
         address: SocketAddr::from(([10, 0, 0, 1], i)),
-        peer: SocketAddr::from(([10, 0, 0, 2], i)),
+        peer_address: SocketAddr::from(([10, 0, 0, 2], i)),
         state: MemberState::Live,
         heard: true,
         version: Version(1),
@@ -158,30 +165,30 @@
 #[test]
 fn send_longest_names() {
     let long = |i: usize| name(&format!("i{i:0>62}"));
-    let about = |i: u16| About {
+    let about = |i: u16| InstanceInfo {
         incarnation: u64::MAX,
         number: u64::MAX / 2,
         zone: long(usize::from(i)),
         address: SocketAddr::from(([255; 16], 60_000 + i)),
-        peer: SocketAddr::from(([255; 16], 61_000 + i)),
+        peer_address: SocketAddr::from(([255; 16], 61_000 + i)),
         state: MemberState::Live,
         version: Version(u64::MAX),
         silence: u32::MAX,
     };
-    let myself = Myself {
+    let myself = LocalInstance {
         name: long(0),
-        about: about(0),
+        info: about(0),
         seed: 1,
     };
     let now = Time::from_millis(3_600_000);
-    let mut members = Members::new(myself, Limits::default());
+    let mut members = MemberTable::new(myself, Limits::default());
     for i in 1..30 {
-        let beat = Beat {
-            about: about(i),
+        let beat = Heartbeat {
+            info: about(i),
             rumors: Vec::new(),
             notices: Vec::new(),
         };
-        members.on(now, Event::Heard(long(usize::from(i)), beat));
+        members.on(now, Event::Heartbeat(long(usize::from(i)), beat));
     }
     let leaving = (0..40).map(|i| SocketAddr::from(([255; 16], 50_000 + i)));
     members.on(now, Event::Leaving(leaving.collect()));
@@ -205,10 +212,10 @@
     for size in [985, 2_000] {
         let zone = |i: u16| name(["a", "b", "c", "d", "e", "f"][usize::from(i % 6)]);
         let address = |i: u16| SocketAddr::from(([10, 0, 0, 1], 10_000 + i));
-        let about = |i: u16| About::new(1, zone(i), address(i), address(i));
-        let myself = Myself {
+        let about = |i: u16| InstanceInfo::new(1, zone(i), address(i), address(i));
+        let myself = LocalInstance {
             name: name("i0"),
-            about: about(0),
+            info: about(0),
             seed: 1,
         };
         let limits = Limits {
@@ -216,13 +223,13 @@
             cross_zone: 2,
             ..Limits::default()
         };
-        let mut members = Members::new(myself, limits);
+        let mut members = MemberTable::new(myself, limits);
         let now = Time::from_millis(3_600_000);
         let listing = |i: u16| Listing {
             name: name(&format!("i{i}")),
             zone: zone(i),
             address: address(i),
-            peer: address(i),
+            peer_address: address(i),
             state: MemberState::Live,
         };
         members.on(now, Event::Listed((1..size).map(listing).collect()));
@@ -442,18 +449,18 @@
 /// that waited in the socket. Fresh evidence opens the instance again.
 #[test]
 fn judge_after_pause() {
-    let about = |name: &str| About {
+    let about = |name: &str| InstanceInfo {
         incarnation: 1,
         number: 1,
         zone: Name::new("lodi-a").expect("a name"),
         address: format!("127.0.0.{}:80", name.len()).parse().expect("an address"),
-        peer: format!("127.0.0.{}:90", name.len()).parse().expect("an address"),
+        peer_address: format!("127.0.0.{}:90", name.len()).parse().expect("an address"),
         state: MemberState::Live,
         version: Version(1),
         silence: 0,
     };
-    let beat = |number| Beat {
-        about: About {
+    let beat = |number| Heartbeat {
+        info: InstanceInfo {
             number,
             ..about("peer")
         },
@@ -461,27 +468,27 @@
         notices: Vec::new(),
     };
     let peer = Name::new("peer").expect("a name");
-    let myself = Myself {
+    let myself = LocalInstance {
         name: Name::new("me").expect("a name"),
-        about: about("me"),
+        info: about("me"),
         seed: 1,
     };
     let at = Time::from_millis;
-    let mut members = Members::new(myself, Limits::default());
-    members.on(at(0), Event::Contact(at(0)));
-    members.on(at(100), Event::Heard(peer.clone(), beat(1)));
+    let mut members = MemberTable::new(myself, Limits::default());
+    members.on(at(0), Event::KvContact(at(0)));
+    members.on(at(100), Event::Heartbeat(peer.clone(), beat(1)));
     assert_eq!(members.roster(at(1_000)).standing, Standing::Current);
     members.on(at(1_000), Event::Tick);
 
-    let woke = members.on(at(9_000), Event::Heard(peer.clone(), beat(2)));
-    assert!(woke.contains(&Action::Woke), "{woke:?}");
-    assert!(!members.roster(at(9_000)).standing.is_open());
-    members.on(at(9_100), Event::Contact(at(900)));
+    let woke = members.on(at(9_000), Event::Heartbeat(peer.clone(), beat(2)));
+    assert!(woke.contains(&Action::Resumed), "{woke:?}");
+    assert!(!members.roster(at(9_000)).standing.accepts_work());
+    members.on(at(9_100), Event::KvContact(at(900)));
     assert!(
-        !members.roster(at(9_100)).standing.is_open(),
+        !members.roster(at(9_100)).standing.accepts_work(),
         "an answer from before the pause"
     );
 
-    members.on(at(10_500), Event::Heard(peer, beat(3)));
+    members.on(at(10_500), Event::Heartbeat(peer, beat(3)));
     assert_eq!(members.roster(at(10_500)).standing, Standing::Current);
 }
