--- a/crates/core/src/config/command.rs
+++ b/crates/core/src/config/command.rs
@@ -1,4 +1,4 @@
-//! The commands by which operators change the configuration, as data. The grammar is the operator package's.
+//! The commands with which operators change the configuration, as data. The operator package defines their grammar.
 
 use std::net::SocketAddr;
 
@@ -15,23 +15,23 @@
 use crate::config::Share;
 use crate::name::Name;
 
-/// Where and as what an engine is placed in service.
+/// Settings with which an engine is placed in service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlaceEngine {
-    /// The service it becomes part of.
+    /// The service that the engine joins.
     pub service: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Whether it checks fencing numbers.
+    /// Whether the engine checks fencing numbers.
     pub fencing: Fencing,
-    /// Its fixed role, if any.
+    /// Its fixed role; `None` leaves the role to the planner.
     pub role: Option<Role>,
 }
 
 impl PlaceEngine {
-    /// The engine as it stands right after it was placed.
+    /// The engine as configured right after it is placed.
     pub fn to_engine(&self) -> Engine {
         Engine {
             service: self.service.clone(),
@@ -44,20 +44,20 @@
     }
 }
 
-/// What to change of a product; `None` leaves a setting as it is.
+/// Changes to the settings of a product; `None` leaves a setting unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct AlterProduct {
-    /// A further API key.
+    /// Hash of an API key to add.
     pub key: Option<KeyHash>,
-    /// Share of engine time.
+    /// New share of engine time.
     pub share: Option<Share>,
-    /// Default deadline, in milliseconds.
+    /// New default deadline of requests, in milliseconds.
     pub deadline: Option<u32>,
-    /// Weight of one role change, 0 to 100.
+    /// New weight of one role change against goodput, 0 to 100.
     pub weight: Option<u32>,
 }
 
-/// A change of the configuration.
+/// A command that changes the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Command {
@@ -72,7 +72,7 @@
     AlterProduct {
         /// Its name.
         name: Name,
-        /// What to change.
+        /// The settings to change.
         alter: AlterProduct,
     },
     /// Removes a product.
@@ -84,7 +84,7 @@
     CreateService {
         /// Its name.
         name: Name,
-        /// What stands behind it.
+        /// Its settings.
         service: Service,
     },
     /// Removes a service that has no engines.
@@ -96,15 +96,15 @@
     PlaceEngine {
         /// Its name.
         name: Name,
-        /// Where and as what.
+        /// Its settings.
         place: PlaceEngine,
     },
-    /// Lets an engine finish its work and gives it no more.
+    /// Drains an engine: it finishes its current work and gets no new work.
     DrainEngine {
         /// Its name.
         name: Name,
     },
-    /// Gives a drained engine work again.
+    /// Gives a drained engine new work again.
     ResumeEngine {
         /// Its name.
         name: Name,
@@ -116,32 +116,32 @@
     },
     /// Places a new engine and drains the old one in one change.
     ReplaceEngine {
-        /// The engine that leaves.
+        /// The engine to drain.
         name: Name,
-        /// The engine that comes.
+        /// Name of the new engine.
         with: Name,
-        /// Where and as what it comes.
+        /// Settings of the new engine.
         place: PlaceEngine,
     },
-    /// Fixes an engine's role, or leaves it to the planner.
+    /// Fixes the role of an engine, or leaves it to the planner.
     SetRole {
         /// The engine.
         name: Name,
-        /// The role; `None` for the planner's choice.
+        /// The role; `None` leaves it to the planner.
         role: Option<Role>,
     },
-    /// Forbids a request by fingerprint.
+    /// Quarantines a request by its fingerprint: it may not run.
     Quarantine {
         /// The fingerprint in hexadecimal.
         fingerprint: String,
     },
-    /// Allows it again.
+    /// Allows a quarantined request again.
     Pardon {
         /// The fingerprint in hexadecimal.
         fingerprint: String,
     },
-    /// Declares that an order to an engine which ignores fencing numbers can't arrive any more, though
-    /// nothing shows that it took effect.
+    /// Declares that an order to an engine that ignores fencing numbers can no longer arrive, although nothing
+    /// shows that it took effect.
     ReleaseOrder {
         /// The engine.
         name: Name,
--- a/crates/core/src/config/follower.rs
+++ b/crates/core/src/config/follower.rs
@@ -1,6 +1,6 @@
-//! Following the accepted changes, from the key-value service and from peers.
+//! Follows accepted changes, read from the key-value service or received from peers.
 //!
-//! Whatever comes in, the version in force only rises, and a version that is known stays the change that made it.
+//! Whatever the input, the version in force only rises, and a known version always stands for the same change.
 
 use std::collections::VecDeque;
 
@@ -14,31 +14,31 @@
 use crate::config::Version;
 use crate::config::head::MAX_TAIL;
 
-/// The key-value service's own version of the head's key; 0 if the key is absent.
+/// Revision of the head's key in the key-value service; 0 if the key is absent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Revision(pub u64);
 
-/// A head as the key-value service gave it.
+/// A head as read from the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoredHead {
-    /// Its revision.
+    /// Revision of the key that holds the head.
     pub revision: Revision,
     /// The head.
     pub head: Head,
 }
 
-/// What one instance tells another that is behind.
+/// What an instance sends to a peer that has an older version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// The changes after the version that the other has.
+    /// The changes after the version that the peer has.
     Changes(Vec<Change>),
-    /// Everything, since the other is too far behind.
+    /// The whole state, because the peer is too far behind for single changes.
     #[serde(rename = "Whole")]
     Snapshot(Box<State>),
 }
 
 impl Update {
-    /// The version that it leads to; 0 if it holds nothing.
+    /// The version after the update is applied; 0 if the update is empty.
     pub fn version(&self) -> Version {
         match self {
             Update::Snapshot(state) => state.version,
@@ -47,22 +47,22 @@
     }
 }
 
-/// What came of input.
+/// The result of processing an input.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Progress {
     /// The version in force rose.
     Advanced,
-    /// Nothing new.
+    /// The input held nothing new.
     Unchanged,
-    /// It is older than what is known and was ignored.
+    /// The input is older than what is known and was ignored.
     Stale,
-    /// The snapshot of this version is needed first.
+    /// The snapshot of this version must be read first.
     NeedsSnapshot(Version),
-    /// It contradicts what is known and was ignored.
+    /// The input contradicts what is known and was ignored.
     Inconsistent(ApplyError),
 }
 
-/// The configuration in force on one instance, and the head it can build changes on.
+/// The configuration in force on one instance, and the latest head, on which changes can be proposed.
 #[derive(Debug, Clone, Default)]
 pub struct Follower {
     state: State,
@@ -76,16 +76,16 @@
         &self.state
     }
 
-    /// The last head that the key-value service gave.
+    /// The last head read from the key-value service.
     pub fn stored(&self) -> Option<&StoredHead> {
         self.stored.as_ref()
     }
 
-    /// Takes a head that the key-value service gave.
+    /// Processes a head read from the key-value service.
     ///
-    /// Failure guarded against: an answer from the past (delayed on its way, or of a replica that lags) brings
-    /// back a configuration that operators have replaced: a drained engine gets work again. It shows as a
-    /// revision or a version below what is known, and is ignored.
+    /// Failure guarded against: an outdated response (delayed in the network, or from a lagging replica) restores a
+    /// configuration that operators have replaced, and a drained engine gets work again. Such a response has a
+    /// revision or a version below the known one, and is ignored.
     pub fn on_stored(&mut self, stored: StoredHead) -> Progress {
         let known = self.stored.as_ref().map(|s| s.revision);
         if known.is_some_and(|known| stored.revision < known) || stored.head.version < self.state.version {
@@ -98,7 +98,7 @@
         progress
     }
 
-    /// Takes a snapshot that the head named.
+    /// Processes a snapshot that the head refers to.
     pub fn on_snapshot(&mut self, snapshot: State) -> Progress {
         let progress = self.replace_state(snapshot);
         let Some(stored) = self.stored.take() else {
@@ -112,11 +112,12 @@
         }
     }
 
-    /// Takes what a peer told.
+    /// Processes an update received from a peer.
     ///
-    /// Failure guarded against: an instance that has just restarted has read the head, waits for its snapshot, and
-    /// is told an older configuration by a peer that is behind. It knew a later one before its restart, so the
-    /// version in force would go back. What is older than the head that it knows is not taken as a beginning.
+    /// Failure guarded against: an instance that has just restarted has read the head and waits for the snapshot, and
+    /// a peer that is behind sends it an older configuration. The instance had a later one in force before the
+    /// restart, so its version would go back. An update older than the known head is therefore not accepted as the
+    /// first state.
     pub fn on_update(&mut self, update: Update) -> Progress {
         let head = self.stored.as_ref().map(|s| s.head.version).unwrap_or_default();
         if self.state.version == Version::default() && update.version() < head {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// What to tell a peer that has version `after` in force.
+    /// The update for a peer that has version `after` in force.
     pub fn update_after(&self, after: Version) -> Update {
         let covers = self.recent.front().is_some_and(|c| c.version.0 <= after.0 + 1);
         match covers || after >= self.state.version {
@@ -182,7 +183,7 @@
         Progress::Advanced
     }
 
-    /// A later state must remember our last change as the one that we know.
+    /// Checks that `later` lists our last change under the same id; otherwise the histories have forked.
     fn find_fork(&self, later: &State) -> Option<ApplyError> {
         let ours = self.state.past.back()?;
         let theirs = later.past.iter().find(|past| past.version == ours.version)?;
--- a/crates/core/src/config/head.rs
+++ b/crates/core/src/config/head.rs
@@ -1,8 +1,8 @@
-//! The head of the accepted changes.
+//! The head of the log of accepted changes.
 //!
-//! One compare-and-swap on the head's key is the act of accepting a change. The head holds the last changes
-//! (the tail), so that whoever follows it needs nothing else, and names the snapshot for whoever is too far
-//! behind.
+//! A change is accepted by one compare-and-swap on the head's key. The head holds the latest changes (the tail),
+//! so that instances that are up to date need to read nothing else, and the version of the snapshot for instances
+//! that are too far behind.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -22,23 +22,23 @@
 use crate::config::resource::affected_resources;
 use crate::time::WallTime;
 
-/// How many changes the tail holds before its writer stores a snapshot and starts a short one.
+/// Number of changes in the tail at which the next writer stores a snapshot and shortens the tail.
 pub const MAX_TAIL: usize = 32;
 
-/// How many changes a shortened tail keeps, so that an instance a little behind needs no snapshot.
+/// Maximum number of changes kept in a shortened tail, so that an instance slightly behind needs no snapshot.
 pub const SHORT_TAIL: usize = 8;
 
-/// Weight, in bytes by estimate, at which a tail counts as long whatever its number of changes. The first
-/// load of a large configuration is one heavy change: without this limit each later change would write it again.
+/// Estimated size, in bytes, at which a tail counts as long whatever its number of changes. The initial load of a
+/// large configuration is one large change; without this limit, each later change would write it again.
 pub const MAX_TAIL_BYTES: usize = 48 * 1024;
 
-/// Estimated bytes of a change besides its statement and commands.
+/// Estimated size of a change without its statement and commands, in bytes.
 const CHANGE_BASE_BYTES: usize = 200;
 
-/// Estimated bytes of a stored command.
+/// Estimated size of a stored command, in bytes.
 const COMMAND_BYTES: usize = 160;
 
-/// Count of accepted changes; each accepted change raises it by one.
+/// Version of the configuration: the number of changes accepted so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Version(pub u64);
 
@@ -48,12 +48,12 @@
     }
 }
 
-/// Identifies a command, so that repeating it is safe.
+/// Identifies a proposed change, so that it can be retried safely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CommandId(pub Uuid);
 
 impl CommandId {
-    /// The time that the id carries, if it is a UUIDv7.
+    /// The timestamp in the id, if it is a UUIDv7.
     pub fn time(self) -> Option<WallTime> {
         if self.0.get_version_num() != 7 {
             return None;
@@ -67,19 +67,19 @@
 /// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version that it made.
+    /// The version that the change produced.
     pub version: Version,
     /// The command's id.
     pub id: CommandId,
-    /// The operator who gave it.
+    /// The operator who proposed it.
     pub who: String,
-    /// Where it came from.
+    /// Where the operator's statement came from.
     pub from: String,
-    /// When it was accepted, by the wall clock of the instance that wrote it.
+    /// When it was accepted, by the wall clock of the instance that wrote the head.
     pub when: WallTime,
-    /// The statement as written, secrets replaced.
+    /// The statement as entered, with secrets replaced.
     pub statement: String,
-    /// The commands, applied together or not at all.
+    /// The commands, applied atomically.
     pub commands: Vec<Command>,
 }
 
@@ -89,37 +89,37 @@
     }
 }
 
-/// A change that an operator asks for.
+/// A change that an operator proposes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
     /// The command's id.
     pub id: CommandId,
-    /// The operator who gives it.
+    /// The operator who proposes it.
     pub who: String,
-    /// Where it comes from.
+    /// Where the operator's statement comes from.
     pub from: String,
-    /// Wall clock of the instance that takes it.
+    /// Wall clock time on the instance that received the proposal.
     pub when: WallTime,
-    /// The statement as written, secrets replaced.
+    /// The statement as entered, with secrets replaced.
     pub statement: String,
-    /// The commands, applied together or not at all.
+    /// The commands, applied atomically.
     pub commands: Vec<Command>,
-    /// The version that the operator decided on.
+    /// The version that the proposal is based on.
     pub base: Base,
 }
 
-/// The version that an operator decided on.
+/// The version that a proposal is based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Base {
-    /// The operator named it: any later change of the same things is a conflict.
+    /// The operator gave the version: any later change to the same resources is a conflict.
     Explicit(Version),
-    /// The version in force where the statement came in. The operator's own later changes are no conflict, since
-    /// they may have gone through another instance a moment before.
+    /// The version in force on the instance that received the statement. Later changes by the same operator are not
+    /// conflicts, since they may have been made through another instance a moment before.
     Implied(Version),
 }
 
 impl Base {
-    /// The version.
+    /// The version, whether explicit or implied.
     pub fn version(self) -> Version {
         match self {
             Base::Explicit(version) | Base::Implied(version) => version,
@@ -127,58 +127,59 @@
     }
 }
 
-/// The value of the head's key.
+/// The value stored under the head's key.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Head {
-    /// Version after the last change of the tail.
+    /// Version produced by the last change in the tail.
     pub version: Version,
-    /// Version of the snapshot to begin with; version 0 is the empty configuration, which is stored nowhere.
+    /// Version of the snapshot to start from; version 0 is the empty configuration, for which no snapshot is stored.
     pub base: Version,
-    /// Version of the snapshot before that one; it stays for readers of an older head.
+    /// Version of the previous snapshot, which is kept for readers of an older head.
     pub prior: Version,
-    /// The last changes, oldest first. A shortened tail begins before its snapshot.
+    /// The latest changes, oldest first. A shortened tail starts before the version of its snapshot.
     pub tail: VecDeque<Change>,
 }
 
-/// Why a change was not accepted.
+/// Why a proposal can't be accepted on a head.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProposalError {
     /// A command can't be applied.
     #[error(transparent)]
     Apply(#[from] ApplyError),
-    /// Another operator's change of the same thing came first.
+    /// Another change to the same resource was accepted first.
     #[error("{resource} was changed by version {version} ({who}: {statement}) after version {base}")]
     Conflict {
-        /// What both touch.
+        /// The resource that both changes affect.
         resource: Resource,
-        /// Version of the change that came first.
+        /// Version of the change that was accepted first.
         version: Version,
-        /// Who gave it.
+        /// The operator who proposed that change.
         who: String,
-        /// Its statement.
+        /// The statement of that change.
         statement: String,
-        /// The version that the refused change was based on.
+        /// The version that the rejected proposal was based on.
         base: Version,
     },
-    /// So much was changed since that the tail can't tell what.
-    #[error("version {base} is too far behind version {head} to tell what was changed since")]
+    /// The tail no longer covers all changes since the version that the proposal is based on.
+    #[error("version {base} is too far behind version {head} to check what was changed since")]
     BaseTooOld {
-        /// The version that the refused change was based on.
+        /// The version that the rejected proposal was based on.
         base: Version,
         /// The version in force.
         head: Version,
     },
-    /// The id is so old that it may have been accepted and forgotten.
+    /// The id is so old that it may have been accepted and dropped from the audit trail.
     #[error("the command id is too old to tell whether it was accepted before")]
     Expired,
 }
 
 impl Head {
-    /// Whether `proposal` may be accepted on this head, whose state is `state`; its version if it was already.
+    /// Checks whether `proposal` may be accepted on this head, whose state is `state`. Returns its version if it was
+    /// accepted before.
     ///
     /// # Errors
     ///
-    /// [`ProposalError`] with what stands against it.
+    /// [`ProposalError`] if the proposal conflicts with a later change, or if its base or its id is too old.
     pub fn check(&self, state: &State, proposal: &Proposal) -> Result<Option<Version>, ProposalError> {
         match state.find(proposal.id) {
             CommandStatus::Accepted(version) => Ok(Some(version)),
@@ -187,11 +188,11 @@
         }
     }
 
-    /// The head that accepts `proposal` on top of this one, whose state is `state`.
+    /// Returns the head with `proposal` appended to this one, whose state is `state`.
     ///
     /// # Errors
     ///
-    /// [`ProposalError`] naming the command that can't be applied.
+    /// [`ProposalError::Apply`] with the command that can't be applied.
     pub fn push(&self, state: &State, proposal: &Proposal) -> Result<Head, ProposalError> {
         let change = Change {
             version: Version(self.version.0 + 1),
@@ -210,12 +211,12 @@
         Ok(head)
     }
 
-    /// Whether the tail has grown so long that its writer should store a snapshot and start a short one.
+    /// Whether the tail is so long that the next writer should store a snapshot and shorten it.
     pub fn is_long(&self) -> bool {
         self.tail.len() >= MAX_TAIL || self.estimated_bytes() >= MAX_TAIL_BYTES
     }
 
-    /// This head with a short tail on a snapshot of its own version.
+    /// This head with a shortened tail, based on a snapshot of its own version.
     pub fn shorten(&self) -> Head {
         let mut head = self.clone();
         head.prior = head.base;
@@ -228,7 +229,7 @@
         head
     }
 
-    /// The version before the first change of the tail: a state of this version or later needs no snapshot.
+    /// The version before the first change in the tail: a state of this version or later needs no snapshot.
     pub fn tail_base(&self) -> Version {
         match self.tail.front() {
             Some(change) => Version(change.version.0.saturating_sub(1)),
@@ -240,8 +241,9 @@
         self.tail.iter().map(Change::estimated_bytes).sum()
     }
 
-    /// Guards against racing operators: the second would undo the first without having seen it. It is refused
-    /// with the name of the change that it lost to. Changes of other things don't stand in its way.
+    /// Guards against lost updates between concurrent operators: the second would undo the first operator's change
+    /// without having seen it. It is rejected with an error that gives the earlier change. Changes to other resources
+    /// are not conflicts.
     fn check_base(&self, proposal: &Proposal) -> Result<(), ProposalError> {
         let base = proposal.base.version();
         if base >= self.version {
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,8 +1,9 @@
-//! The configuration that operators decide: model, changes, and how accepted changes are made and followed.
+//! The configuration that operators set: its model, its changes, and how changes are accepted and followed.
 //!
-//! The accepted order of changes is the order of compare-and-swaps on one key, `config/head`. A [`Head`]
-//! carries the version, the last changes (the tail), and the snapshot they build on. A [`State`] is the
-//! configuration at one version; a [`Follower`] keeps it and never goes back; a [`Replicator`] accepts changes.
+//! Changes are totally ordered by the compare-and-swaps on one key, `config/head`. A [`Head`] holds the version,
+//! the latest changes (the tail), and the version of the snapshot that they build on. A [`State`] is the
+//! configuration at one version. A [`Follower`] tracks the current state and never goes back to an older version.
+//! A [`Replicator`] accepts proposed changes and follows those accepted by other instances.
 
 mod command;
 mod follower;
--- a/crates/core/src/config/model.rs
+++ b/crates/core/src/config/model.rs
@@ -1,4 +1,4 @@
-//! What operators decide: products, services, and the engines in service.
+//! The configuration model: products, services, and the engines in service.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 use crate::config::Share;
 use crate::name::Name;
 
-/// Hash of an API key, in hexadecimal. The configuration never holds the key itself.
+/// Hash of an API key, in hexadecimal. The configuration never contains the key itself.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyHash(String);
 
@@ -26,15 +26,15 @@
     }
 }
 
-/// Which part of the work an engine does.
+/// The stages of a request that an engine processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Prompt processing.
+    /// Prompt processing only.
     Prefill,
-    /// Output generation.
+    /// Output generation only.
     Decode,
-    /// Both.
+    /// Both prompt processing and output generation.
     Mixed,
 }
 
@@ -48,35 +48,35 @@
     }
 }
 
-/// Whether an engine refuses an order that carries an old fencing number.
+/// Whether an engine refuses orders with an outdated fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// It refuses.
+    /// The engine refuses such orders.
     Checked,
-    /// It ignores the number.
+    /// The engine ignores the number.
     Ignored,
 }
 
-/// What operators want of an engine.
+/// Whether operators want an engine to get work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineState {
-    /// It takes work.
+    /// The engine gets work.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// The engine finishes its current work and gets no new work.
     Draining,
 }
 
-/// Whether a call to a plain service may be repeated.
+/// Whether a call to a plain service may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// Idempotent.
+    /// Idempotent: may be retried.
     Safe,
-    /// At most once: needs an idempotency key.
+    /// At most once; a call needs an idempotency key.
     Never,
-    /// At most once, but the service itself drops repeats of a key that is passed through.
+    /// At most once, but the idempotency key is passed through and the service itself drops repeated calls.
     Dedupes,
 }
 
@@ -87,11 +87,11 @@
     pub method: String,
     /// Path prefix.
     pub path: String,
-    /// Whether a call may be repeated.
+    /// Whether a call may be retried.
     pub repeat: Repeat,
 }
 
-/// What stands behind a service.
+/// The kind of upstreams that a service consists of.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
@@ -102,7 +102,7 @@
     },
     /// Plain upstreams.
     Plain {
-        /// Routes; the longest matching path prefix counts. A call that matches none may not be repeated.
+        /// Routes, of which the longest matching path prefix applies. A call that matches none may not be retried.
         routes: Vec<Route>,
     },
 }
@@ -110,41 +110,41 @@
 /// A set of interchangeable engines or plain upstreams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// What stands behind it.
+    /// Model engines or plain upstreams.
     pub kind: ServiceKind,
 }
 
 /// An engine (or plain upstream) placed in service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// The service it is part of.
+    /// The service that it belongs to.
     pub service: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Whether it checks fencing numbers.
     pub fencing: Fencing,
-    /// Whether it takes work.
+    /// Whether it gets work.
     pub state: EngineState,
-    /// The role that an operator fixed; `None` leaves it to the planner.
+    /// The role fixed by an operator; `None` leaves it to the planner.
     pub role: Option<Role>,
 }
 
-/// A business of its own on the shared fleet.
+/// A product: a separate business that runs on the shared fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Product {
     /// Hashes of its API keys.
     pub keys: BTreeSet<KeyHash>,
-    /// Share of engine time it is owed.
+    /// Share of engine time that it is entitled to.
     pub share: Share,
     /// Default deadline of its requests, in milliseconds.
     pub deadline: u32,
-    /// Weight of one role change against goodput, 0 (only goodput counts) to 100.
+    /// Weight of one role change against goodput, from 0 (only goodput counts) to 100.
     pub weight: u32,
 }
 
-/// The whole of what operators decided, at one version.
+/// The complete configuration at one version.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Config {
     /// Products by name.
@@ -153,11 +153,11 @@
     pub services: BTreeMap<Name, Service>,
     /// Engines and plain upstreams by name.
     pub engines: BTreeMap<Name, Engine>,
-    /// Fingerprints of requests that may not run, in hexadecimal.
+    /// Fingerprints of quarantined requests, which may not run, in hexadecimal.
     pub quarantine: BTreeSet<String>,
-    /// Sequence number of the order that operators released last, by engine.
-    // Never skipped: instances tell each other configurations by postcard, which has no names of fields and reads
-    // what follows in the place of one that is left out.
+    /// Sequence number of the order last released by operators, by engine.
+    // Always serialized: instances exchange configurations in postcard, which has no field names, so a skipped field
+    // would be read from the bytes of whatever follows it.
     #[serde(default)]
     pub released: BTreeMap<Name, u64>,
 }
@@ -165,52 +165,52 @@
 /// Why a command can't be applied to a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// A thing of that name exists already.
-    #[error("{kind} `{name}` exists already")]
+    /// A resource of that name already exists.
+    #[error("{kind} `{name}` already exists")]
     Exists {
-        /// What it is.
+        /// Kind of the resource.
         kind: &'static str,
         /// Its name.
         name: Name,
     },
-    /// No thing of that name exists.
+    /// No resource of that name exists.
     #[error("there is no {kind} `{name}`")]
     Missing {
-        /// What it is.
+        /// Kind of the resource.
         kind: &'static str,
         /// Its name.
         name: Name,
     },
-    /// Products would be owed more than there is.
+    /// The shares of all products would exceed 100%.
     #[error("shares would add up to {sum}, more than {}", Share::WHOLE)]
     SharesExceeded {
-        /// The sum.
+        /// Sum of the shares.
         sum: Share,
     },
     /// The service still has engines.
     #[error("service `{service}` still has engine `{engine}`: withdraw it first")]
     ServiceInUse {
-        /// The service.
+        /// The service to drop.
         service: Name,
         /// One of its engines.
         engine: Name,
     },
-    /// Another engine listens there.
+    /// Another engine has the address.
     #[error("address {address} is taken by engine `{engine}`")]
     AddressInUse {
         /// The address.
         address: SocketAddr,
-        /// Who has it.
+        /// The engine that has it.
         engine: Name,
     },
 }
 
 impl Config {
-    /// Applies `command`; on an error nothing has changed.
+    /// Applies `command`; on an error nothing is changed.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] naming what stands against it.
+    /// [`ConfigError`] if the command can't be applied.
     pub fn apply(&mut self, command: &Command) -> Result<(), ConfigError> {
         match command {
             Command::CreateProduct { name, product } => self.create_product(name, product),
@@ -298,7 +298,7 @@
     }
 
     /// Drains the old engine in the same change that places the new one, so that no version of the
-    /// configuration has neither.
+    /// configuration lacks both.
     fn replace_engine(&mut self, name: &Name, with: &Name, place: &PlaceEngine) -> Result<(), ConfigError> {
         if !self.engines.contains_key(name) {
             return Err(ConfigError::Missing {
--- a/crates/core/src/config/replicator.rs
+++ b/crates/core/src/config/replicator.rs
@@ -1,7 +1,7 @@
-//! Accepting changes and following those of others: the decisions of the configuration's keeper.
+//! Replication of the configuration: accepts changes submitted here and follows those accepted elsewhere.
 //!
-//! A change is accepted by one compare-and-swap on the head's key, compared on the key-value service's own
-//! version of the key. The swap that loses is worked out anew on the head that won; see
+//! A change is accepted by one compare-and-swap on the head's key, which compares the key's revision in the
+//! key-value service. A proposal whose swap fails on a conflict is checked again on the head that won; see
 //! `docs/design/config.md`.
 
 use std::collections::BTreeMap;
@@ -25,113 +25,115 @@
 use crate::config::Version;
 use crate::time::Time;
 
-/// Pause before a failed call to the key-value service is made again.
+/// Delay before a failed call to the key-value service is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a fetch from a peer may take before another peer is asked.
+/// Timeout of a fetch from a peer, after which another peer may be asked.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an instance that has just started waits for the key-value service before it asks a peer.
+/// How long a newly started instance waits for the key-value service before it asks a peer.
 const STARTUP_WAIT: Duration = Duration::from_secs(2);
 
-/// Names a proposal that was submitted here.
+/// Identifies a proposal that was submitted to this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SubmissionId(pub u64);
 
-/// How a swap of the head ended.
+/// Result of a compare-and-swap on the head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SwapResult {
-    /// It took effect.
+    /// The swap took effect.
     Done(Revision),
-    /// It did not: the key stands so.
+    /// The swap did not take effect, because the key holds this head.
     Conflict(StoredHead),
-    /// It did not take effect, for another reason.
+    /// The swap did not take effect, for another reason.
     Failed,
-    /// It may have taken effect.
+    /// The swap may have taken effect.
     Unknown,
     /// The head is too large to be stored, in bytes.
     TooLarge(usize),
 }
 
-/// What the keeper is told.
+/// Input to the [`Replicator`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A watch gave the head, or a read did.
+    /// A read or a watch returned the head.
     Read(StoredHead),
-    /// The read asked for by [`Action::Read`] gave nothing.
+    /// The read requested by [`Action::Read`] failed.
     ReadFailed,
-    /// The snapshot asked for; `None` if there was none or no answer.
+    /// The snapshot requested by [`Action::ReadSnapshot`]; `None` if it is absent or the read failed.
     Snapshot(Option<Box<State>>),
-    /// An operator proposes a change.
+    /// An operator submitted a proposal.
     Submitted(SubmissionId, Box<Proposal>),
-    /// Whether the snapshot of this version, asked for by [`Action::Store`], is in place.
+    /// Whether the snapshot of this version, requested by [`Action::StoreSnapshot`], is stored.
     SnapshotStored(SubmissionId, Version, bool),
-    /// How [`Action::Swap`] ended.
+    /// Result of [`Action::SwapHead`].
     Swapped(SubmissionId, SwapResult),
-    /// A peer has this version in force.
+    /// A peer reported that it has this version in force.
     PeerVersion(SocketAddr, Version),
-    /// What the peer asked by [`Action::Fetch`] told; `None` if nothing.
+    /// The response of the peer to [`Action::Fetch`]; `None` if there was none.
     Fetched(Option<Update>),
-    /// Time passed.
+    /// Periodic timer.
     Tick,
 }
 
-/// What the keeper wants done.
+/// Output of the [`Replicator`], for its driver to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Read the head; give [`Event::Read`] or [`Event::ReadFailed`].
+    /// Read the head, and report [`Event::Read`] or [`Event::ReadFailed`].
     Read,
-    /// Read the snapshot of this version.
+    /// Read the snapshot of this version, and report [`Event::Snapshot`].
     ReadSnapshot(Version),
-    /// Store a snapshot under its version if there is none yet.
+    /// Store a snapshot under its version, unless one is stored already.
     StoreSnapshot(SubmissionId, Box<State>),
-    /// Swap in the head if the key still has the revision.
+    /// Replace the head if the key still has the revision.
     SwapHead(SubmissionId, Revision, Box<Head>),
-    /// Remove the snapshot of this version: no reader can need it.
+    /// Remove the snapshot of this version, which no reader can need.
     RemoveSnapshot(Version),
-    /// Ask the peer for what came after the version.
+    /// Request from the peer the changes after the version.
     Fetch(SocketAddr, Version),
     /// A new version is in force: publish it.
     Publish,
-    /// Tell the operator.
+    /// Answer the operator who submitted the proposal.
     Answer(SubmissionId, Result<Outcome, SubmitError>),
-    /// Input older than what is known was ignored; the version it offered.
+    /// An input older than what is known was ignored; its version.
     Stale(Version),
-    /// Input contradicts what is known and was ignored.
+    /// An input that contradicts what is known was ignored.
     Inconsistent(ApplyError),
 }
 
-/// A change that is in force here.
+/// A submitted change that was accepted and is in force here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Outcome {
-    /// The version that it made.
+    /// The version that the change produced.
     pub version: Version,
-    /// Whether it had been accepted before it was submitted here.
+    /// Whether the change was accepted before it was submitted here.
     pub repeated: bool,
 }
 
-/// Why a proposal was not accepted.
+/// Why a submitted proposal failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// It stands against the configuration or another change.
+    /// The proposal conflicts with the configuration or another change.
     #[error(transparent)]
     Rejected(#[from] ProposalError),
-    /// It was not accepted in time, and won't be.
-    #[error("the change was not accepted in time; nothing changed")]
+    /// The proposal was not accepted in time, and won't be later.
+    #[error("the change was not accepted before the timeout; nothing was changed")]
     TimedOut,
-    /// It is too large to be stored.
-    #[error("the change makes a value of {0} bytes, too many; give it in parts")]
+    /// The resulting head is too large to be stored; its size in bytes.
+    #[error(
+        "the change makes a value of {0} bytes, which is too large to store; split it into several changes"
+    )]
     TooLarge(usize),
-    /// It may or may not have been accepted.
-    #[error("it could not be found out in time whether the change was accepted")]
+    /// The proposal may or may not have been accepted.
+    #[error("it is unknown whether the change was accepted: no proof of it was found before the timeout")]
     Unknown,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
-    /// Waits for the head, or for the state to reach it.
+    /// Waits for the head, or for the state to catch up with it.
     Waiting,
-    /// Waits until the time for another try.
+    /// Waits until this time before the next attempt.
     Paused(Time),
     Storing,
     Swapping,
@@ -142,19 +144,19 @@
     proposal: Proposal,
     started: Time,
     step: Step,
-    /// Revision that our last swap compared with, while its fate is open.
+    /// Revision compared by our last swap, as long as its result is unknown.
     swap_revision: Option<Revision>,
-    /// Whether a swap was tried.
+    /// Whether a swap was attempted.
     swap_tried: bool,
-    /// The head that our last swap offered.
+    /// The new head in our last swap.
     offered_head: Option<Head>,
-    /// Snapshot that nobody needs once our last swap took effect.
+    /// Snapshot that no reader needs once our last swap has taken effect.
     outdated_snapshot: Option<Version>,
-    /// Version whose snapshot we stored, or failed to store.
+    /// Version whose snapshot we tried to store, and whether that succeeded.
     snapshot: Option<(Version, bool)>,
 }
 
-/// Keeper of the configuration of one instance.
+/// Replicates the configuration on one instance. This is a state machine without I/O.
 #[derive(Debug)]
 pub struct Replicator {
     follower: Follower,
@@ -169,8 +171,8 @@
 }
 
 impl Replicator {
-    /// A keeper that knows only the empty configuration and gives each proposal `timeout`. `now` is the start of
-    /// its process.
+    /// Creates a replicator that has the empty configuration and fails proposals that are not accepted within
+    /// `timeout`. `now` is the start time of the process.
     pub fn new(now: Time, timeout: Duration) -> Replicator {
         Replicator {
             follower: Follower::default(),
@@ -190,12 +192,12 @@
         self.follower.state()
     }
 
-    /// What to tell a peer that has version `after` in force.
+    /// The update for a peer that has version `after` in force.
     pub fn update_after(&self, after: Version) -> Update {
         self.follower.update_after(after)
     }
 
-    /// Works out what to do about `event`.
+    /// Handles `event` and returns the actions to carry out.
     pub fn on(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Read(stored) => {
@@ -207,11 +209,11 @@
                 self.pause_waiting(now);
             }
             Event::Snapshot(snapshot) => self.on_snapshot(now, snapshot),
-            Event::Submitted(ticket, proposal) => self.submit(now, ticket, *proposal),
-            Event::SnapshotStored(ticket, version, stored) => {
-                self.on_snapshot_stored(now, ticket, (version, stored));
+            Event::Submitted(id, proposal) => self.submit(now, id, *proposal),
+            Event::SnapshotStored(id, version, stored) => {
+                self.on_snapshot_stored(now, id, (version, stored));
             }
-            Event::Swapped(ticket, swapped) => self.on_swapped(now, ticket, swapped),
+            Event::Swapped(id, swapped) => self.on_swapped(now, id, swapped),
             Event::PeerVersion(peer, version) => {
                 self.peer_versions.insert(peer, version);
                 self.fetch(now);
@@ -253,14 +255,14 @@
     }
 
     fn on_snapshot(&mut self, now: Time, snapshot: Option<Box<State>>) {
-        let asked = self.snapshot.take();
+        let requested = self.snapshot.take();
         match snapshot {
-            Some(state) if Some(state.version) == asked => {
+            Some(state) if Some(state.version) == requested => {
                 let offered = state.version;
                 let progress = self.follower.on_snapshot(*state);
                 self.on_progress(now, progress, offered);
             }
-            // The snapshot was removed since the head was read, or the call failed: begin with the head again.
+            // The snapshot was removed after the head was read, or the call failed: start again from the head.
             _ => self.pause_waiting(now),
         }
     }
@@ -274,36 +276,38 @@
         self.fetch(now);
     }
 
-    /// Asks the peer that is farthest ahead, one at a time.
+    /// Fetches from the peer with the highest version, one peer at a time.
     ///
-    /// Failure guarded against: the key-value service is slow or out and an accepted change isn't in force here
-    /// for as long. A peer that has it tells it instead; its version digest comes with each heartbeat.
+    /// Failure guarded against: the key-value service is slow or unavailable, and for that long an accepted change is
+    /// not in force here. The change is fetched from a peer that has it; each heartbeat carries its sender's version.
     fn fetch(&mut self, now: Time) {
-        let busy = self
+        let fetching = self
             .fetch_started
             .is_some_and(|since| now.since(since) < FETCH_TIMEOUT);
-        if busy || self.is_starting(now) {
+        if fetching || self.is_starting(now) {
             return;
         }
         let ours = self.follower.state().version;
         self.peer_versions.retain(|_, version| *version > ours);
-        let farthest = self.peer_versions.iter().max_by_key(|(_, version)| **version);
-        if let Some(peer) = farthest.map(|(peer, _)| *peer) {
+        let furthest_ahead = self.peer_versions.iter().max_by_key(|(_, version)| **version);
+        if let Some(peer) = furthest_ahead.map(|(peer, _)| *peer) {
             self.peer_versions.remove(&peer);
             self.fetch_started = Some(now);
             self.actions.push(Action::Fetch(peer, ours));
         }
     }
 
-    /// Guards against a configuration that goes back over a restart: a peer that is itself behind would tell an
-    /// old one to an instance that knew a later one before it was restarted. The key-value service is asked
-    /// first; only if it gives no answer does the instance trust the peer that is farthest ahead.
+    /// Whether this instance has just started and should wait for the key-value service.
+    ///
+    /// Guards against a configuration that goes back to an older version over a restart: a peer that is itself behind
+    /// would send an old configuration to an instance that had a later one before its restart. The key-value service is
+    /// asked first; only if it does not answer does the instance fetch from the peer with the highest version.
     fn is_starting(&self, now: Time) -> bool {
         self.follower.stored().is_none() && now.since(self.started) < STARTUP_WAIT
     }
 
-    fn submit(&mut self, now: Time, ticket: SubmissionId, proposal: Proposal) {
-        let job = Submission {
+    fn submit(&mut self, now: Time, id: SubmissionId, proposal: Proposal) {
+        let submission = Submission {
             proposal,
             started: now,
             step: Step::Waiting,
@@ -313,29 +317,29 @@
             outdated_snapshot: None,
             snapshot: None,
         };
-        self.submissions.insert(ticket, job);
-        self.attempt(now, ticket);
+        self.submissions.insert(id, submission);
+        self.attempt(now, id);
     }
 
-    /// Tries the proposals that waited for the head or the state.
+    /// Attempts the proposals that are waiting for the head or the state.
     fn resume(&mut self, now: Time) {
         let waiting = self
             .submissions
             .iter()
-            .filter(|(_, job)| job.step == Step::Waiting);
-        let waiting: Vec<SubmissionId> = waiting.map(|(ticket, _)| *ticket).collect();
-        for ticket in waiting {
-            self.attempt(now, ticket);
+            .filter(|(_, submission)| submission.step == Step::Waiting);
+        let waiting: Vec<SubmissionId> = waiting.map(|(id, _)| *id).collect();
+        for id in waiting {
+            self.attempt(now, id);
         }
     }
 
     fn pause_waiting(&mut self, now: Time) {
-        for job in self
+        for submission in self
             .submissions
             .values_mut()
-            .filter(|job| job.step == Step::Waiting)
+            .filter(|submission| submission.step == Step::Waiting)
         {
-            job.step = Step::Paused(now + RETRY_DELAY);
+            submission.step = Step::Paused(now + RETRY_DELAY);
         }
     }
 
@@ -351,9 +355,9 @@
             self.actions.push(Action::ReadSnapshot(base));
             self.read();
         }
-        let due = |job: &Submission| match job.step {
+        let due = |submission: &Submission| match submission.step {
             Step::Paused(until) => now >= until,
-            Step::Waiting => now.since(job.started) >= self.timeout,
+            Step::Waiting => now.since(submission.started) >= self.timeout,
             Step::Storing | Step::Swapping => false,
         };
         let due: Vec<SubmissionId> = self
@@ -362,8 +366,8 @@
             .filter(|(_, j)| due(j))
             .map(|(t, _)| *t)
             .collect();
-        for ticket in due {
-            self.attempt(now, ticket);
+        for id in due {
+            self.attempt(now, id);
         }
     }
 
@@ -374,36 +378,36 @@
         }
     }
 
-    fn answer(&mut self, ticket: SubmissionId, answer: Result<Outcome, SubmitError>) {
-        self.submissions.remove(&ticket);
-        self.actions.push(Action::Answer(ticket, answer));
+    fn answer(&mut self, id: SubmissionId, answer: Result<Outcome, SubmitError>) {
+        self.submissions.remove(&id);
+        self.actions.push(Action::Answer(id, answer));
     }
 
-    /// Whether the last swap of this job may still take effect: the key stands as the swap expects it.
-    fn may_take_effect(&self, job: &Submission) -> bool {
+    /// Whether the last swap of this submission may still take effect: the key may still have the expected revision.
+    fn may_take_effect(&self, submission: &Submission) -> bool {
         let revision = self.follower.stored().map(|s| s.revision);
-        job.swap_revision.is_some() && (revision.is_none() || job.swap_revision >= revision)
+        submission.swap_revision.is_some() && (revision.is_none() || submission.swap_revision >= revision)
     }
 
-    /// One step towards accepting the proposal of `ticket`.
-    fn attempt(&mut self, now: Time, ticket: SubmissionId) {
-        let Some(mut job) = self.submissions.remove(&ticket) else {
+    /// Takes the next step towards accepting the submission `id`.
+    fn attempt(&mut self, now: Time, id: SubmissionId) {
+        let Some(mut submission) = self.submissions.remove(&id) else {
             return;
         };
-        job.step = Step::Waiting;
-        if let CommandStatus::Accepted(version) = self.follower.state().find(job.proposal.id) {
-            if let Some(outdated) = job.outdated_snapshot {
+        submission.step = Step::Waiting;
+        if let CommandStatus::Accepted(version) = self.follower.state().find(submission.proposal.id) {
+            if let Some(outdated) = submission.outdated_snapshot {
                 self.actions.push(Action::RemoveSnapshot(outdated));
             }
-            let repeated = !job.swap_tried;
-            return self.answer(ticket, Ok(Outcome { version, repeated }));
+            let repeated = !submission.swap_tried;
+            return self.answer(id, Ok(Outcome { version, repeated }));
         }
-        if now.since(job.started) >= self.timeout {
-            let refused = match self.may_take_effect(&job) {
+        if now.since(submission.started) >= self.timeout {
+            let refused = match self.may_take_effect(&submission) {
                 true => SubmitError::Unknown,
                 false => SubmitError::TimedOut,
             };
-            return self.answer(ticket, Err(refused));
+            return self.answer(id, Err(refused));
         }
         let version = self.follower.state().version;
         let ready = self
@@ -412,9 +416,9 @@
             .filter(|s| s.head.version == version)
             .cloned();
         match ready {
-            Some(stored) => self.propose(ticket, job, &stored),
+            Some(stored) => self.propose(id, submission, &stored),
             None => {
-                self.submissions.insert(ticket, job);
+                self.submissions.insert(id, submission);
                 if self.snapshot.is_none() {
                     self.read();
                 }
@@ -422,90 +426,93 @@
         }
     }
 
-    fn propose(&mut self, ticket: SubmissionId, mut job: Submission, stored: &StoredHead) {
+    fn propose(&mut self, id: SubmissionId, mut submission: Submission, stored: &StoredHead) {
         let head = &stored.head;
         let state = self.follower.state();
-        // Nothing was in force here when the statement came in: its operator has not decided on version 0.
-        if job.proposal.base == Base::Implied(Version::default()) {
-            job.proposal.base = Base::Implied(state.version);
+        // No configuration was in force here when the statement came in: the operator did not base it on version 0.
+        if submission.proposal.base == Base::Implied(Version::default()) {
+            submission.proposal.base = Base::Implied(state.version);
         }
-        match head.check(state, &job.proposal) {
-            Err(rejected) => return self.answer(ticket, Err(rejected.into())),
+        match head.check(state, &submission.proposal) {
+            Err(rejected) => return self.answer(id, Err(rejected.into())),
             Ok(Some(version)) => {
-                let repeated = !job.swap_tried;
-                return self.answer(ticket, Ok(Outcome { version, repeated }));
+                let repeated = !submission.swap_tried;
+                return self.answer(id, Ok(Outcome { version, repeated }));
             }
             Ok(None) => {}
         }
-        let basis = match job.snapshot.filter(|(version, _)| *version == head.version) {
+        let base_head = match submission
+            .snapshot
+            .filter(|(version, _)| *version == head.version)
+        {
             None if head.is_long() => {
                 let state = Box::new(state.clone());
-                job.step = Step::Storing;
-                self.submissions.insert(ticket, job);
-                return self.actions.push(Action::StoreSnapshot(ticket, state));
+                submission.step = Step::Storing;
+                self.submissions.insert(id, submission);
+                return self.actions.push(Action::StoreSnapshot(id, state));
             }
             Some((_, true)) => {
-                // A reader may still hold a head that names `head.base`; one that names `head.prior` is a whole
-                // tail behind, finds nothing and begins again with the head.
-                job.outdated_snapshot = Some(head.prior).filter(|prior| *prior > Version::default());
+                // A reader may still hold a head whose base is `head.base`. A reader of a head whose base is
+                // `head.prior` is a whole tail behind; it finds no snapshot and starts again from the head.
+                submission.outdated_snapshot = Some(head.prior).filter(|prior| *prior > Version::default());
                 head.shorten()
             }
-            // Without a snapshot the change goes on top of the long tail; a later writer shortens it.
+            // Without a snapshot, the change is appended to the long tail; a later writer shortens it.
             _ => head.clone(),
         };
-        match basis.push(state, &job.proposal) {
-            Err(rejected) => self.answer(ticket, Err(rejected.into())),
+        match base_head.push(state, &submission.proposal) {
+            Err(rejected) => self.answer(id, Err(rejected.into())),
             Ok(next) => {
-                job.step = Step::Swapping;
-                job.swap_revision = Some(stored.revision);
-                job.swap_tried = true;
-                job.offered_head = Some(next.clone());
-                self.submissions.insert(ticket, job);
+                submission.step = Step::Swapping;
+                submission.swap_revision = Some(stored.revision);
+                submission.swap_tried = true;
+                submission.offered_head = Some(next.clone());
+                self.submissions.insert(id, submission);
                 self.actions
-                    .push(Action::SwapHead(ticket, stored.revision, Box::new(next)));
+                    .push(Action::SwapHead(id, stored.revision, Box::new(next)));
             }
         }
     }
 
-    fn on_snapshot_stored(&mut self, now: Time, ticket: SubmissionId, snapshot: (Version, bool)) {
+    fn on_snapshot_stored(&mut self, now: Time, id: SubmissionId, snapshot: (Version, bool)) {
         let head = self.follower.stored().map(|s| s.head.clone()).unwrap_or_default();
-        match self.submissions.get_mut(&ticket) {
-            Some(job) if head.version == snapshot.0 => job.snapshot = Some(snapshot),
+        match self.submissions.get_mut(&id) {
+            Some(submission) if head.version == snapshot.0 => submission.snapshot = Some(snapshot),
             _ => self.discard(Some(snapshot), &head),
         }
-        self.attempt(now, ticket);
+        self.attempt(now, id);
     }
 
-    fn on_swapped(&mut self, now: Time, ticket: SubmissionId, swapped: SwapResult) {
-        let Some(job) = self.submissions.get_mut(&ticket) else {
+    fn on_swapped(&mut self, now: Time, id: SubmissionId, swapped: SwapResult) {
+        let Some(submission) = self.submissions.get_mut(&id) else {
             return;
         };
-        job.step = Step::Waiting;
+        submission.step = Step::Waiting;
         match swapped {
             SwapResult::Done(revision) => {
-                if let Some(head) = job.offered_head.take() {
+                if let Some(head) = submission.offered_head.take() {
                     self.on_stored(now, StoredHead { revision, head });
                 }
             }
             SwapResult::Conflict(stored) => {
-                job.swap_revision = None;
-                job.outdated_snapshot = None;
-                let snapshot = job.snapshot.take();
+                submission.swap_revision = None;
+                submission.outdated_snapshot = None;
+                let snapshot = submission.snapshot.take();
                 self.discard(snapshot, &stored.head);
                 self.on_stored(now, stored);
             }
             SwapResult::Failed => {
-                job.swap_revision = None;
-                job.step = Step::Paused(now + RETRY_DELAY);
+                submission.swap_revision = None;
+                submission.step = Step::Paused(now + RETRY_DELAY);
             }
-            SwapResult::TooLarge(bytes) => self.answer(ticket, Err(SubmitError::TooLarge(bytes))),
-            // Read back: the command id in the head is the proof that it took effect.
+            SwapResult::TooLarge(bytes) => self.answer(id, Err(SubmitError::TooLarge(bytes))),
+            // Read the head again: it contains the command id if the swap took effect.
             SwapResult::Unknown => self.read(),
         }
     }
 
-    /// Removes the snapshot that we stored for a swap that lost or wasn't tried, unless the head builds on it.
-    /// Nobody can come to build on it: a swap at its version compares with a revision that is past.
+    /// Removes the snapshot that we stored for a swap that failed or was not attempted, unless the head refers to it.
+    /// No later head can refer to it: a swap at its version would compare an outdated revision.
     fn discard(&mut self, snapshot: Option<(Version, bool)>, head: &Head) {
         let Some((version, true)) = snapshot else { return };
         if head.version > version && head.base != version && head.prior != version {
--- a/crates/core/src/config/resource.rs
+++ b/crates/core/src/config/resource.rs
@@ -1,4 +1,4 @@
-//! What a command touches, to tell racing operators from independent ones.
+//! The resources that a command affects, to tell conflicting changes of concurrent operators from independent ones.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,7 +6,7 @@
 use crate::config::Command;
 use crate::name::Name;
 
-/// A thing that operators decide on.
+/// A resource that operators configure.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Resource {
     /// A product.
@@ -15,7 +15,7 @@
     Service(Name),
     /// An engine or plain upstream.
     Engine(Name),
-    /// A request's fingerprint.
+    /// The fingerprint of a request.
     Fingerprint(String),
 }
 
@@ -31,9 +31,9 @@
 }
 
 impl Command {
-    /// Adds the things whose decision this command replaces to `things`.
-    pub fn collect_resources(&self, things: &mut BTreeSet<Resource>) {
-        let thing = match self {
+    /// Adds the resources whose configuration this command changes to `resources`.
+    pub fn collect_resources(&self, resources: &mut BTreeSet<Resource>) {
+        let resource = match self {
             Command::CreateProduct { name, .. }
             | Command::AlterProduct { name, .. }
             | Command::DropProduct { name } => Resource::Product(name.clone()),
@@ -41,7 +41,7 @@
                 Resource::Service(name.clone())
             }
             Command::ReplaceEngine { name, with, .. } => {
-                things.insert(Resource::Engine(with.clone()));
+                resources.insert(Resource::Engine(with.clone()));
                 Resource::Engine(name.clone())
             }
             Command::PlaceEngine { name, .. }
@@ -54,15 +54,15 @@
                 Resource::Fingerprint(fingerprint.clone())
             }
         };
-        things.insert(thing);
+        resources.insert(resource);
     }
 }
 
-/// Everything that `commands` touch.
+/// Returns all resources that `commands` affect.
 pub fn affected_resources(commands: &[Command]) -> BTreeSet<Resource> {
-    let mut things = BTreeSet::new();
+    let mut resources = BTreeSet::new();
     for command in commands {
-        command.collect_resources(&mut things);
+        command.collect_resources(&mut resources);
     }
-    things
+    resources
 }
--- a/crates/core/src/config/share.rs
+++ b/crates/core/src/config/share.rs
@@ -1,4 +1,4 @@
-//! What a product is owed of engine time.
+//! Shares of engine time that products are entitled to.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,34 +7,34 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Parts per million in a percent.
+/// Parts per million in one percent.
 const PPM_PER_PERCENT: u32 = 10_000;
 
-/// Decimals that a share in percent may have.
+/// Maximum number of decimals of a share written in percent.
 const DECIMALS: usize = 4;
 
 /// A share of engine time, in parts per million.
 ///
-/// Whole percents can't tell 1,500 products apart; a share is written in percent with up to four decimals.
+/// Whole percentages are too coarse for 1,500 products, so a share is written in percent with up to four decimals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Share(u32);
 
-/// A text is no share: not a number of percent from 0 to 100 with at most four decimals.
+/// The text is not a share: a percentage from 0 to 100 with at most four decimals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a share is a percentage from 0 to 100 with at most {DECIMALS} decimals")]
 pub struct ShareError;
 
 impl Share {
-    /// All of it.
+    /// All engine time (100%).
     pub const WHOLE: Share = Share(100 * PPM_PER_PERCENT);
 
-    /// The share of `percent` hundredths.
+    /// Creates a share of `percent` percent.
     pub const fn percent(percent: u32) -> Share {
         Share(percent * PPM_PER_PERCENT)
     }
 
-    /// The share as a fraction, 1.0 for all of it.
+    /// The share as a fraction; 1.0 is all engine time.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / f64::from(Share::WHOLE.0)
     }
@@ -44,7 +44,7 @@
         self.0
     }
 
-    /// Both shares together; stays at the largest number if that is too much.
+    /// Adds the shares, saturating at the largest representable value.
     pub fn saturating_add(self, other: Share) -> Share {
         Share(self.0.saturating_add(other.0))
     }
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -1,7 +1,7 @@
-//! The configuration at one version, with the trail of the last changes.
+//! The configuration at one version, with the audit trail of the latest changes.
 //!
-//! A [`State`] is a function of the accepted changes alone: whoever applies the same changes in the same order
-//! holds an equal one. That is why a snapshot of a version, written by any instance, is as good as any other.
+//! A [`State`] depends only on the accepted changes: every instance that applies the same changes in the same order
+//! has an equal state. Therefore all snapshots of a version are equal, whichever instance wrote them.
 
 use std::collections::VecDeque;
 
@@ -16,27 +16,27 @@
 use crate::config::Version;
 use crate::time::WallTime;
 
-/// How many past changes a state remembers: their ids answer repeated commands, their text is the audit trail.
-/// At 210 changes a day this is two days and a half.
+/// Number of changes kept in the audit trail, whose ids also identify repeated commands. At 210 changes a day this
+/// covers two and a half days.
 pub const MAX_AUDIT_ENTRIES: usize = 512;
 
-/// Longest statement kept in the trail, in bytes.
+/// Maximum length of a statement in the audit trail, in bytes; longer ones are truncated.
 pub const MAX_STATEMENT_BYTES: usize = 240;
 
-/// An entry of the audit trail. Only accepted changes have one; refused ones are logged.
+/// An entry of the audit trail. Only accepted changes have one; rejected proposals are logged instead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// The version that it made.
+    /// The version that the change produced.
     pub version: Version,
     /// The command's id.
     pub id: CommandId,
-    /// The operator who gave it.
+    /// The operator who proposed it.
     pub who: String,
-    /// Where it came from.
+    /// Where the operator's statement came from.
     pub from: String,
     /// When it was accepted.
     pub when: WallTime,
-    /// The statement, cut at [`MAX_STATEMENT`].
+    /// The statement, truncated to [`MAX_STATEMENT_BYTES`].
     pub statement: String,
 }
 
@@ -45,15 +45,15 @@
 pub struct State {
     /// The version.
     pub version: Version,
-    /// What operators decided.
+    /// The configuration that operators set.
     pub config: Config,
-    /// The last changes, oldest first.
+    /// The audit trail of the latest changes, oldest first.
     pub past: VecDeque<AuditEntry>,
-    /// Latest time within an id that `past` has dropped; an id with a later time was never dropped.
+    /// Latest timestamp among the ids dropped from `past`; an id with a later timestamp was never dropped.
     pub forgotten: WallTime,
 }
 
-/// Why a change doesn't follow on a state.
+/// Why a change can't be applied to a state.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ApplyError {
     /// A command can't be applied; nothing was changed.
@@ -61,38 +61,38 @@
     Config {
         /// Index of the command in the change.
         index: usize,
-        /// What stands against it.
+        /// Why it can't be applied.
         source: ConfigError,
     },
-    /// Changes between are missing.
-    #[error("version {next} doesn't follow on version {state}")]
+    /// Changes between the state and this change are missing.
+    #[error("version {next} does not follow version {state}")]
     Gap {
         /// Version of the state.
         state: Version,
         /// Version of the change.
         next: Version,
     },
-    /// Another change made this version: the accepted changes would not be a total order.
-    #[error("two changes claim version {version}")]
+    /// Another change has this version: the accepted changes would not be totally ordered.
+    #[error("two different changes have version {version}")]
     Fork {
         /// The version.
         version: Version,
     },
 }
 
-/// What is known of a command id.
+/// What a state knows about a command id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandStatus {
-    /// It was accepted as this version.
+    /// The command was accepted as this version.
     Accepted(Version),
-    /// It was not accepted.
+    /// The command was not accepted before.
     New,
-    /// It is so old that it may have been accepted and forgotten.
+    /// The id is so old that its command may have been accepted and dropped from the audit trail.
     Expired,
 }
 
 impl State {
-    /// Applies `change`, or skips it if it is in the state already.
+    /// Applies `change`, or skips it if the state includes it already.
     ///
     /// # Errors
     ///
@@ -119,12 +119,12 @@
         Ok(())
     }
 
-    /// What is known of `id`.
+    /// Returns what is known about the command `id`.
     ///
     /// Failure guarded against: an operator repeats a command days later, and it takes effect a second time.
-    /// Ids carry their time (UUIDv7), and the state keeps the latest time among the ids it dropped. An id that
-    /// is not found and has a later time was never dropped, whatever the clocks say. An id without a time is
-    /// covered only as long as it is remembered.
+    /// Ids contain a timestamp (UUIDv7), and the state keeps the latest timestamp among the ids that it dropped. An id
+    /// that is not found and has a later timestamp was never dropped, however wrong the clocks are. An id without a
+    /// timestamp is recognized only as long as it is in the audit trail.
     pub fn find(&self, id: CommandId) -> CommandStatus {
         if let Some(past) = self.past.iter().rev().find(|past| past.id == id) {
             return CommandStatus::Accepted(past.version);
@@ -135,12 +135,12 @@
         }
     }
 
-    /// The oldest version whose change is still remembered.
+    /// The oldest version whose change is still in the audit trail.
     pub fn oldest(&self) -> Option<Version> {
         self.past.front().map(|past| past.version)
     }
 
-    /// Guards against a fork: a change of a version that is known must be the change that made it.
+    /// Guards against a fork: a change with a known version must be the change that produced that version.
     fn check_fork(&self, change: &Change) -> Result<(), ApplyError> {
         let known = self.past.iter().find(|past| past.version == change.version);
         match known {
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -176,7 +176,7 @@
     assert_data_eq!(
         err(&output),
         str![[r#"
-error: could not accept the change: command [..] can't be applied: product `dispatch` exists already
+error: could not accept the change: command [..] can't be applied: product `dispatch` already exists
 
 "#]]
     );
