--- a/crates/core/src/config/replicator.rs
+++ b/crates/core/src/config/replicator.rs
@@ -120,9 +120,7 @@
     #[error("the change was not accepted before the timeout; nothing was changed")]
     TimedOut,
     /// The resulting head is too large to be stored; its size in bytes.
-    #[error(
-        "the change makes a value of {0} bytes, which is too large to store; split it into several changes"
-    )]
+    #[error("the change makes a value of {0} bytes, too large to store; split it into several changes")]
     TooLarge(usize),
     /// The proposal may or may not have been accepted.
     #[error("it is unknown whether the change was accepted: no proof of it was found before the timeout")]
--- a/crates/core/src/membership/heartbeat.rs
+++ b/crates/core/src/membership/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, as they go over the network.
+//! Heartbeat messages, as sent over the network.
 
 use std::net::SocketAddr;
 
@@ -8,39 +8,39 @@
 use crate::config::Version;
 use crate::name::Name;
 
-/// Whether an instance stays.
+/// Whether an instance is live or leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It serves.
+    /// The instance serves.
     Live,
-    /// It is shutting down.
+    /// The instance is shutting down.
     Leaving,
 }
 
-/// What an instance says of itself.
+/// What an instance reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceInfo {
-    /// When the process started, in milliseconds since the Unix epoch: orders its incarnations.
+    /// Start time of the process, in milliseconds since the Unix epoch; orders the incarnations of an instance.
     pub incarnation: u64,
-    /// Counts the heartbeats of the incarnation.
+    /// Sequence number of the heartbeat within the incarnation.
     pub number: u64,
     /// Availability zone.
     pub zone: Name,
-    /// Where callers connect.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other instances connect.
+    /// Address for other instances.
     #[serde(rename = "peer")]
     pub peer_address: SocketAddr,
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub state: MemberState,
-    /// The configuration in force there: the digest by which others see that they are behind.
+    /// Version of the configuration in force there, by which others detect that they are behind.
     pub version: Version,
-    /// Milliseconds since it had an answer of the key-value service.
+    /// Milliseconds since it last had a response from the key-value service.
     pub silence: u32,
 }
 
 impl InstanceInfo {
-    /// What is known of an instance at first, before it has said anything.
+    /// Creates the information about an instance that has not sent a heartbeat yet.
     pub fn new(incarnation: u64, zone: Name, address: SocketAddr, peer: SocketAddr) -> InstanceInfo {
         InstanceInfo {
             incarnation,
@@ -55,36 +55,36 @@
     }
 }
 
-/// What an instance heard of another.
+/// Information about another instance that a sender passes on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumor {
-    /// The other.
+    /// Name of the other instance.
     pub name: Name,
-    /// What it said of itself.
+    /// What that instance last reported about itself.
     #[serde(rename = "about")]
     pub info: InstanceInfo,
-    /// Milliseconds since it said so. Ages only grow on their way, so that what is told of an instance that is gone
-    /// ends.
+    /// Milliseconds since that report. Ages only grow as rumors are passed on, so that rumors about an instance that is
+    /// gone come to an end.
     pub age: u32,
 }
 
-/// An upstream that the platform's list shows as leaving.
+/// Notice that the platform's list shows an upstream as leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingNotice {
-    /// Where it listens.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Milliseconds since some instance saw it on the list.
+    /// Milliseconds since an instance last saw it so on the list.
     pub age: u32,
 }
 
-/// A heartbeat.
+/// A heartbeat message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Of the sender.
+    /// Information about the sender.
     #[serde(rename = "about")]
     pub info: InstanceInfo,
-    /// Of others: a part of the sender's table that rotates.
+    /// Information about other instances: a rotating part of the sender's table.
     pub rumors: Vec<Rumor>,
-    /// Upstreams that leave.
+    /// Upstreams that are leaving.
     pub notices: Vec<LeavingNotice>,
 }
--- a/crates/core/src/membership/member_table.rs
+++ b/crates/core/src/membership/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of instances: heartbeats out, heartbeats and lists in.
+//! The table of known instances, updated from heartbeats and the platform's lists; the source of outgoing heartbeats.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,45 +23,45 @@
 use crate::name::Name;
 use crate::time::Time;
 
-/// Bytes that rumors may take in a heartbeat, by estimate. With the longest names for all, and with everything else that
-/// a datagram carries, it stays below what crosses an ordinary network unfragmented.
+/// Estimated bytes that rumors may take up in a heartbeat. Even if all names have the maximum length, the datagram with
+/// everything else that it carries stays below the size that an ordinary network delivers unfragmented.
 const MAX_RUMOR_BYTES: usize = 720;
 
-/// Estimated bytes of a rumor besides its names.
+/// Estimated size of a rumor without its names, in bytes.
 const RUMOR_BASE_BYTES: usize = 72;
 
-/// How long an upstream counts as leaving after the platform's list last showed it so.
+/// How long an upstream counts as leaving after the platform's list last showed it as leaving.
 const NOTICE_TTL: Duration = Duration::from_secs(30);
 
-/// Most notices in a heartbeat.
+/// Maximum number of notices in a heartbeat.
 const MAX_NOTICES: usize = 12;
 
-/// Peers that are told at once of a new version or of leaving: all of a small fleet.
+/// Number of peers that are notified at once of a new version or of a shutdown: all peers in a small fleet.
 const URGENT_FANOUT: usize = 16;
 
-/// Times the table must have gone round before a peer that was not heard of counts as silent.
+/// Number of full rotations of the table through heartbeats before a peer that was not heard from counts as silent.
 const SILENT_ROUNDS: u32 = 6;
 
 /// Time limits and sizes of membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Time between two heartbeats.
+    /// Interval between heartbeats.
     pub interval: Duration,
-    /// Peers that get each heartbeat.
+    /// Number of peers to which each heartbeat is sent.
     pub fanout: usize,
-    /// Number of these that are in other zones, if there are more than [`Self::fanout`] peers. More are chosen from
+    /// Number of these that are in other zones, if there are more than [`Self::fanout`] peers. More are selected from
     /// other zones only if the instance's own zone has too few peers.
     pub cross_zone: usize,
-    /// Rumors in a heartbeat.
+    /// Maximum number of rumors in a heartbeat.
     pub max_rumors: usize,
-    /// A peer not heard of for so long counts as silent; longer in a fleet so large that its table takes
-    /// longer to go round.
+    /// A peer not heard from for this long counts as silent. The limit is longer in a fleet so large that its table
+    /// takes longer to rotate.
     pub silent_after: Duration,
-    /// Longest time for which what is known of the configuration may go unconfirmed.
+    /// Maximum time since the configuration was last confirmed to be current.
     pub stale_after: Duration,
-    /// What a group cut off together does.
+    /// What a group of instances does that is partitioned from the key-value service.
     pub partition_policy: PartitionPolicy,
-    /// An instance that did not run for so long takes no new work until it knows anew how things stand.
+    /// An instance that was paused for longer than this takes no new work until its standing is confirmed again.
     pub pause_limit: Duration,
 }
 
@@ -85,9 +85,9 @@
 pub struct LocalInstance {
     /// Its name.
     pub name: Name,
-    /// What it says of itself; number, version and silence are filled in.
+    /// What it reports about itself; `number`, `version` and `silence` are filled in by the table.
     pub info: InstanceInfo,
-    /// Seed of the choice of peers.
+    /// Seed for the random selection of peers.
     pub seed: u64,
 }
 
@@ -98,77 +98,77 @@
     pub name: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Where callers connect.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other instances connect.
+    /// Address for other instances.
     pub peer_address: SocketAddr,
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub state: MemberState,
 }
 
 impl Listing {
-    /// What the instance would say of itself, as far as the list tells.
+    /// What the instance would report about itself, as far as the list shows.
     fn into_info(self) -> InstanceInfo {
         InstanceInfo::new(0, self.zone, self.address, self.peer_address)
     }
 }
 
-/// What membership is told.
+/// Input to the [`MemberTable`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The platform's list of instances.
+    /// The platform's list of instances was read.
     Listed(Vec<Listing>),
-    /// Addresses of the upstreams that the platform's list shows as leaving.
+    /// The platform's list shows the upstreams at these addresses as leaving.
     Leaving(Vec<SocketAddr>),
-    /// A heartbeat of this instance.
+    /// A heartbeat was received from the instance of this name.
     Heartbeat(Name, Heartbeat),
-    /// An answer of the key-value service showed the configuration as it stood at this time.
+    /// A response from the key-value service showed the configuration as of this time.
     KvContact(Time),
-    /// This version is in force here.
+    /// This version came into force here.
     InForce(Version),
     /// This instance begins to shut down.
     Leave,
-    /// The interval is over.
+    /// The heartbeat interval has elapsed.
     Tick,
 }
 
-/// What membership wants done.
+/// Output of the [`MemberTable`], for its driver to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a heartbeat.
     Send(SocketAddr, Heartbeat),
-    /// The peer has this version, higher than ours.
+    /// The peer has this version in force, which is higher than ours.
     PeerAhead(SocketAddr, Version),
     /// The roster may have changed.
     Publish,
-    /// This instance did not run for a while: ask the key-value service at once.
+    /// This instance resumed after a pause: query the key-value service at once.
     Resumed,
 }
 
 #[derive(Debug)]
 struct Member {
-    /// What it last said of itself, or what the list shows of one that was not heard of lately.
+    /// What it last reported about itself; the list updates the zone and addresses of one not heard from recently.
     info: InstanceInfo,
-    /// What the platform's list shows, if it shows the instance.
+    /// Its state on the platform's list; `None` if it is not listed.
     listed: Option<MemberState>,
-    /// When it said so, by our clock.
+    /// When it last reported about itself, by our clock.
     heard: Option<Time>,
-    /// When it last had an answer of the key-value service, by our clock.
+    /// When it last had a response from the key-value service, by our clock.
     kv_contact: Option<Time>,
 }
 
 impl Member {
     fn new(info: InstanceInfo) -> Member {
         Member {
-            info: info,
+            info,
             listed: None,
             heard: None,
             kv_contact: None,
         }
     }
 
-    /// Takes what the member said of itself at `at`, unless it has said something later. Whether anything that
-    /// matters to others changed.
+    /// Records what the member reported about itself at `at`, unless a later report is known. Returns whether the
+    /// state, version or address for callers changed, or the member was not heard from before.
     fn update(&mut self, at: Time, info: InstanceInfo) -> bool {
         let order = |a: &InstanceInfo| (a.incarnation, a.number);
         if self.heard.is_some() && order(&info) <= order(&self.info) {
@@ -182,13 +182,13 @@
         changed
     }
 
-    /// Leaving, if the instance or the list says so.
+    /// Leaving if the instance or the list says so, otherwise live.
     fn state(&self) -> MemberState {
         self.info.state.max(self.listed.unwrap_or(MemberState::Live))
     }
 }
 
-/// The table of instances as one of them sees it.
+/// The table of instances as known to one of them. This is a state machine without I/O.
 #[derive(Debug)]
 pub struct MemberTable {
     local: LocalInstance,
@@ -200,18 +200,18 @@
     cursor: Option<Name>,
     rng: ChaCha8Rng,
     actions: Vec<Action>,
-    /// When the last event came.
+    /// When the last event was received.
     last_event: Option<Time>,
-    /// When this instance last went on after it had not run for a while.
+    /// When this instance last resumed after a pause.
     resumed_at: Option<Time>,
 }
 
 impl MemberTable {
-    /// A table that knows of nobody else.
+    /// Creates a table that contains no other instances.
     pub fn new(local: LocalInstance, limits: Limits) -> MemberTable {
         MemberTable {
             rng: ChaCha8Rng::seed_from_u64(local.seed),
-            local: local,
+            local,
             limits,
             members: BTreeMap::new(),
             notices: BTreeMap::new(),
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Works out what to do about `event`.
+    /// Handles `event` and returns the actions to carry out.
     pub fn on(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.detect_pause(now);
         match event {
@@ -256,11 +256,11 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Notices that this instance did not run for a while; ticks come far more often.
+    /// Detects that this instance was paused: ticks normally come far more often than the pause limit.
     ///
-    /// Failure guarded against: an instance is paused, operators drain an engine meanwhile, and when the instance
-    /// goes on it takes the requests that waited in its sockets by the configuration from before. What it knew
-    /// before it woke proves nothing any more, see [`Self::reachability`].
+    /// Failure guarded against: an instance is paused, operators drain an engine meanwhile, and after resuming the
+    /// instance processes the requests that waited in its sockets with the old configuration. What it knew before
+    /// it resumed is no longer evidence, see [`Self::reachability`].
     fn detect_pause(&mut self, now: Time) {
         let latest = self.last_event.replace(now);
         if latest.is_some_and(|at| now.since(at) > self.limits.pause_limit) {
@@ -270,7 +270,7 @@
         }
     }
 
-    /// The others, the upstreams that leave, and how this instance stands.
+    /// Returns the known instances, the upstreams that are leaving, and the standing of this instance.
     pub fn roster(&self, now: Time) -> Roster {
         let peers = self.members.iter().map(|(name, member)| Peer {
             name: name.clone(),
@@ -304,13 +304,13 @@
         }
     }
 
-    /// The address at which an instance receives messages from its peers, if the instance is known.
+    /// The address on which an instance receives messages from its peers, if the instance is known.
     pub fn address(&self, name: &Name) -> Option<SocketAddr> {
         self.members.get(name).map(|m| m.info.peer_address)
     }
 
-    /// A peer counts as heard for the silent limit, or for as long as the table takes to go round
-    /// [`SILENT_ROUNDS`] times if that is longer.
+    /// Whether a peer last heard from at `heard` still counts as heard from. It does for
+    /// [`Limits::silent_after`], or for [`SILENT_ROUNDS`] full rotations of the table if that is longer.
     fn is_heard(&self, now: Time, heard: Option<Time>) -> bool {
         let each = (self.limits.fanout * (self.limits.max_rumors + 1)).max(1);
         let round = u32::try_from(self.members.len().div_ceil(each)).unwrap_or(u32::MAX);
@@ -322,8 +322,9 @@
         heard.is_some_and(|at| now.since(at) <= limit)
     }
 
-    /// What the standing rests on: of what was known before this instance woke, nothing. Heartbeats that waited
-    /// in the socket meanwhile are read at once after waking, so they count only an interval later.
+    /// The evidence for the standing, which excludes everything known before this instance last resumed. Heartbeats
+    /// that waited in the socket during a pause are read right after it, so only those received more than an
+    /// interval after resuming count.
     fn reachability(&self, now: Time) -> Reachability {
         let fresh = |at: Time| {
             self.resumed_at
@@ -371,16 +372,16 @@
             let member = self.members.entry(name);
             let member = member.or_insert_with(|| Member::new(info.clone()));
             member.listed = Some(state);
-            // Heartbeats are fresher than the list. One that is silent may have been replaced under its name by one
-            // that listens elsewhere, and that can't reach the platform to find us.
+            // Heartbeats are more recent than the list. A silent instance may have been replaced by one of the
+            // same name that listens on another address and can't reach the platform to find us.
             if !heard {
                 member.info.zone = info.zone;
                 member.info.address = info.address;
                 member.info.peer_address = info.peer_address;
             }
         }
-        // Only a list takes an instance out: one that was heard and fell silent while no list can be read may be
-        // on the far side of a cut.
+        // Only a list removes an instance: one that has fallen silent while no list can be read may be on the
+        // other side of a network partition.
         let gone = |m: &Member| m.listed.is_none() && !self.is_heard(now, m.heard);
         let gone: Vec<Name> = self
             .members
@@ -429,8 +430,8 @@
         member.update(at, info)
     }
 
-    /// Takes note that the list showed the upstream as leaving at `at`. Ages only grow on their way from
-    /// instance to instance, so that a notice ends when the list has stopped showing it.
+    /// Records that the list showed the upstream as leaving at `at`. Ages only grow as notices are passed on between
+    /// instances, so a notice expires once the list no longer shows it.
     fn record_notice(&mut self, address: SocketAddr, at: Time) {
         let known = self.notices.entry(address).or_insert(at);
         *known = (*known).max(at);
@@ -449,9 +450,9 @@
         self.actions.extend(sends);
     }
 
-    /// Samples `count` peers, limiting those in other zones to [`Limits::cross_zone`] if the own zone has enough peers.
+    /// Samples `count` peers, limiting those in other zones to [`Limits::cross_zone`] if our own zone has enough peers.
     ///
-    /// Guards against nearly all heartbeats of a large fleet crossing zones, where traffic is expensive. Peers of the
+    /// Guards against nearly all heartbeats in a large fleet crossing zones, where traffic is expensive. Peers in the
     /// same zone pass on what they receive.
     fn sample_peers(&mut self, count: usize) -> Vec<SocketAddr> {
         if self.members.len() <= count || self.limits.cross_zone >= count {
@@ -464,7 +465,7 @@
         let mut chosen = same_zone
             .into_iter()
             .sample(&mut self.rng, count - self.limits.cross_zone);
-        // If the own zone has too few peers, the rest come from other zones.
+        // If our own zone has too few peers, the rest come from other zones.
         chosen.extend(
             other_zones
                 .into_iter()
@@ -473,7 +474,7 @@
         chosen.into_iter().map(|m| m.info.peer_address).collect()
     }
 
-    /// The next part of the table, going round by name.
+    /// Returns the next part of the table, which rotates in the order of names.
     fn rumors(&mut self, now: Time) -> Vec<Rumor> {
         let cursor = self.cursor.clone();
         let after = self
@@ -501,7 +502,7 @@
         rumors
     }
 
-    /// The freshest notices.
+    /// The most recent notices, up to [`MAX_NOTICES`].
     fn notices(&self, now: Time) -> Vec<LeavingNotice> {
         let mut notices: Vec<LeavingNotice> = self
             .notices
@@ -525,7 +526,8 @@
     }
 }
 
-/// The time `age` milliseconds before `now`; `None` if our clock didn't run yet, or if there is none.
+/// The time `age` milliseconds before `now`; `None` if that is before our clock started. An age of `u32::MAX` means
+/// never.
 fn ago(now: Time, age: u32) -> Option<Time> {
     let age = Duration::from_millis(u64::from(age));
     (now.since(Time::ZERO) >= age).then(|| now - age)
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,8 +1,8 @@
-//! Which instances run, what they know, and whether this one may take new work.
+//! Cluster membership: which instances run, what they know, and whether this one may take new work.
 //!
-//! The platform's list of instances lags, so instances send each other heartbeats ([`Heartbeat`]). A [`MemberTable`]
-//! decides whom to send one, what to make of those that come in, and how this instance stands ([`Standing`]).
-//! [`rank`] orders addresses for callers.
+//! The platform's list of instances lags, so instances exchange heartbeats ([`Heartbeat`]). A [`MemberTable`]
+//! selects the recipients of heartbeats, processes those received, and determines the [`Standing`] of this instance:
+//! whether its configuration is recent enough for new work. [`rank`] orders addresses for callers.
 
 mod heartbeat;
 mod member_table;
--- a/crates/core/src/membership/rank.rs
+++ b/crates/core/src/membership/rank.rs
@@ -1,24 +1,24 @@
-//! Which addresses a caller should use, in order.
+//! The order in which a caller should use the addresses of instances.
 
 use std::net::SocketAddr;
 
 use crate::membership::Peer;
 use crate::name::Name;
 
-/// Who asks.
+/// The caller that addresses are ranked for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Caller<'a> {
     /// Availability zone to prefer.
     pub zone: &'a Name,
     /// The product.
     pub product: &'a Name,
-    /// What the caller calls its conversation; requests of one conversation share a prompt prefix.
+    /// The caller's name for its conversation; requests of one conversation share a prompt prefix.
     pub conversation: &'a str,
 }
 
-/// The addresses of `peers` that callers may be sent to, the best first: those of the caller's zone, then the
-/// others, each in the order of a hash of product, conversation and instance (rendezvous hashing). When an
-/// instance leaves, only the conversations that it had move.
+/// Returns the addresses of those `peers` that callers may be sent to, best first: those in the caller's zone, then
+/// the others, each group ordered by a hash of product, conversation and instance (rendezvous hashing). When an
+/// instance leaves, only its own conversations move.
 pub fn rank<'a, I>(peers: I, caller: &Caller<'_>) -> Vec<SocketAddr>
 where
     I: IntoIterator<Item = &'a Peer>,
--- a/crates/core/src/membership/roster.rs
+++ b/crates/core/src/membership/roster.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of the others, published whole.
+//! A snapshot of what this instance knows about the others.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,47 +16,48 @@
     pub name: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Where callers connect.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other instances connect.
+    /// Address for other instances.
     pub peer_address: SocketAddr,
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub state: MemberState,
-    /// Whether it was heard of within the silent limit.
+    /// Whether it was heard from, directly or through a peer, within the silence limit.
     pub heard: bool,
-    /// The configuration last known to be in force there.
+    /// The version of the configuration last known to be in force there.
     pub version: Version,
 }
 
 impl Peer {
-    /// Whether callers may be sent there: it is heard of, stays, and has a configuration.
+    /// Whether callers may be sent there: it was heard from recently, is not leaving, and has a configuration.
     pub fn accepts_work(&self) -> bool {
         self.heard && self.state == MemberState::Live && self.version > Version::default()
     }
 }
 
-/// The instances as this one sees them.
+/// The instances as seen by this one.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Roster {
-    /// This instance; `None` before the first look around.
+    /// This instance; `None` before the roster is first computed.
     pub local: Option<Peer>,
-    /// The others, in the order of their names.
+    /// The other instances, in the order of their names.
     pub peers: Vec<Peer>,
-    /// Upstreams that leave, by address.
+    /// Addresses of the upstreams that are leaving.
     pub leaving: BTreeSet<SocketAddr>,
     /// Whether this instance may take new work.
     pub standing: Standing,
-    /// When this was judged; each tick judges anew.
+    /// When the roster was computed; it is recomputed on each tick.
     pub evaluated_at: Time,
 }
 
 impl Roster {
-    /// Peers on which `version` is known to be in force.
+    /// Number of peers that are known to have `version` or a later one in force.
     pub fn count_with(&self, version: Version) -> usize {
         self.peers.iter().filter(|p| p.version >= version).count()
     }
 
-    /// Peers that were heard of lately and don't have `version` in force, as far as is known.
+    /// Number of peers heard from recently that, as far as is known, have only a version older than `version` in
+    /// force.
     pub fn count_without(&self, version: Version) -> usize {
         let reachable = self.peers.iter().filter(|p| p.heard);
         reachable.filter(|p| p.version < version).count()
--- a/crates/core/src/membership/standing.rs
+++ b/crates/core/src/membership/standing.rs
@@ -1,36 +1,37 @@
-//! Whether an instance knows the configuration in force well enough to take new work.
+//! Whether an instance's configuration is recent enough for it to take new work.
 //!
-//! Failure guarded against: an instance is cut off, others accept a change (an engine is drained), and callers
-//! that still reach the cut-off instance have their requests sent to the drained engine. The rule and the ways
-//! that were weighed are in `docs/design/isolation.md`.
+//! Failure guarded against: an instance is partitioned from the others, these accept a change (an engine is drained),
+//! and requests of callers that still reach the partitioned instance are sent to the drained engine. The rule and its
+//! alternatives are described in `docs/design/isolation.md`.
 
 use std::time::Duration;
 
-/// What a group that hears each other, but not the key-value service, does while an instance of the last
-/// list is silent. That instance may have crashed, or it may be accepting changes on the far side of a cut.
+/// What a group of instances does that hear each other, but not the key-value service, while an instance on the last
+/// list is silent. That instance may have crashed, or it may be accepting changes on the other side of a network
+/// partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PartitionPolicy {
-    /// Takes no new work: what was decided is in force wherever work is taken.
+    /// Take no new work, so that accepted changes are in force wherever work is taken.
     #[default]
     Stop,
-    /// Goes on: the fleet serves, perhaps by an old configuration.
+    /// Continue to serve, possibly with an outdated configuration.
     Serve,
 }
 
-/// How an instance stands towards the configuration in force.
+/// How certain an instance is to have the current configuration in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Standing {
-    /// It hears the key-value service, or a peer that does.
+    /// The key-value service is reachable, directly or for a peer that is heard from.
     #[default]
     Current,
-    /// Nobody whom it hears has the key-value service, and all of the last list are heard: nothing can have
-    /// been accepted, since every change goes through an instance.
+    /// Neither this instance nor any peer it hears from reaches the key-value service, but all instances on the last
+    /// list are heard from: no change can have been accepted, since every change goes through an instance.
     Outage,
-    /// As before, but an instance of the last list is silent and the rule is to go on.
+    /// As for `Outage`, but an instance on the last list is silent, and the policy is [`PartitionPolicy::Serve`].
     Guessing,
-    /// As before, and the rule is to stop.
+    /// As for `Guessing`, but the policy is [`PartitionPolicy::Stop`].
     Cut,
-    /// It hears neither the key-value service nor a peer.
+    /// Neither the key-value service nor any peer is heard from.
     Isolated,
 }
 
@@ -44,23 +45,24 @@
     }
 }
 
-/// What a judgement rests on.
+/// What an instance knows about its contact with the key-value service and its peers; determines its [`Standing`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reachability {
-    /// Time since this instance had an answer of the key-value service, if it ever had one.
+    /// Time since this instance last had a response from the key-value service; `None` if it never had one.
     pub own_contact: Option<Duration>,
-    /// Least time since any peer that was heard of lately had one.
+    /// Shortest time since a peer that was heard from recently had such a response.
     pub peer_contact: Option<Duration>,
-    /// Whether the list of instances was ever read.
+    /// Whether the platform's list of instances was ever read.
     pub listed: bool,
-    /// Peers heard of lately.
+    /// Number of peers heard from recently.
     pub heard: usize,
-    /// Instances of the last list, or heard of since, that are silent; not counting this one and those that left.
+    /// Number of silent instances among those on the last list or heard from since; this instance and those that are
+    /// leaving are not counted.
     pub silent: usize,
 }
 
-/// How an instance with this evidence stands. `stale` is the longest time for which what is known of the
-/// configuration may go unconfirmed.
+/// Determines the standing of an instance. `stale_after` is the maximum time since the configuration was last
+/// confirmed to be current.
 pub fn evaluate_standing(
     reachability: &Reachability,
     stale_after: Duration,
