--- a/crates/core/src/config/share.rs
+++ b/crates/core/src/config/share.rs
@@ -1,4 +1,4 @@
-//! What a product is owed of engine time.
+//! Shares of engine time that products are entitled to.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,34 +7,34 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Parts per million in a percent.
-const PERCENT: u32 = 10_000;
+/// Parts per million in one percent.
+const PPM_PER_PERCENT: u32 = 10_000;
 
-/// Decimals that a share in percent may have.
+/// Maximum number of decimals of a share written in percent.
 const DECIMALS: usize = 4;
 
 /// A share of engine time, in parts per million.
 ///
-/// Whole percents can't tell 1,500 products apart; a share is written in percent with up to four decimals.
+/// Whole percentages are too coarse for 1,500 products, so a share is written in percent with up to four decimals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Share(u32);
 
-/// A text is no share: not a number of percent from 0 to 100 with at most four decimals.
+/// The text is not a share: a percentage from 0 to 100 with at most four decimals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a share is a percentage from 0 to 100 with at most {DECIMALS} decimals")]
 pub struct ShareError;
 
 impl Share {
-    /// All of it.
-    pub const WHOLE: Share = Share(100 * PERCENT);
+    /// All engine time (100%).
+    pub const WHOLE: Share = Share(100 * PPM_PER_PERCENT);
 
-    /// The share of `percent` hundredths.
+    /// Creates a share of `percent` percent.
     pub const fn percent(percent: u32) -> Share {
-        Share(percent * PERCENT)
+        Share(percent * PPM_PER_PERCENT)
     }
 
-    /// The share as a fraction, 1.0 for all of it.
+    /// The share as a fraction; 1.0 is all engine time.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / f64::from(Share::WHOLE.0)
     }
@@ -44,7 +44,7 @@
         self.0
     }
 
-    /// Both shares together; stays at the largest number if that is too much.
+    /// Adds the shares, saturating at the largest representable value.
     pub fn saturating_add(self, other: Share) -> Share {
         Share(self.0.saturating_add(other.0))
     }
@@ -52,7 +52,7 @@
 
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (whole, part) = (self.0 / PERCENT, self.0 % PERCENT);
+        let (whole, part) = (self.0 / PPM_PER_PERCENT, self.0 % PPM_PER_PERCENT);
         match part {
             0 => write!(f, "{whole}%"),
             part => {
@@ -74,7 +74,9 @@
         }
         let whole: u32 = whole.parse().map_err(|_| ShareError)?;
         let part: u32 = format!("{part:0<DECIMALS$}").parse().map_err(|_| ShareError)?;
-        let share = whole.checked_mul(PERCENT).and_then(|w| w.checked_add(part));
+        let share = whole
+            .checked_mul(PPM_PER_PERCENT)
+            .and_then(|w| w.checked_add(part));
         let share = Share(share.ok_or(ShareError)?);
         match share <= Share::WHOLE {
             true => Ok(share),
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,31 +1,31 @@
-//! Which instances run, what they know, and whether this one may take new work.
+//! Cluster membership: which instances run, what they know, and whether this one may take new work.
 //!
-//! The platform's list of instances lags, so instances send each other heartbeats ([`Beat`]). A [`Members`]
-//! decides whom to send one, what to make of those that come in, and how this instance stands ([`Standing`]).
-//! [`rank`] orders addresses for callers.
+//! The platform's list of instances lags, so instances exchange heartbeats ([`Heartbeat`]). A [`MemberTable`]
+//! selects the recipients of heartbeats, processes those received, and determines the [`Standing`] of this instance:
+//! whether its configuration is recent enough for new work. [`rank`] orders addresses for callers.
 
-mod beat;
-mod members;
+mod heartbeat;
+mod member_table;
 mod rank;
 mod roster;
 mod standing;
 
-pub use beat::About;
-pub use beat::Beat;
-pub use beat::MemberState;
-pub use beat::Notice;
-pub use beat::Rumor;
-pub use members::Action;
-pub use members::Event;
-pub use members::Limits;
-pub use members::Listing;
-pub use members::Members;
-pub use members::Myself;
+pub use heartbeat::Heartbeat;
+pub use heartbeat::InstanceInfo;
+pub use heartbeat::LeavingNotice;
+pub use heartbeat::MemberState;
+pub use heartbeat::Rumor;
+pub use member_table::Action;
+pub use member_table::Event;
+pub use member_table::Limits;
+pub use member_table::Listing;
+pub use member_table::LocalInstance;
+pub use member_table::MemberTable;
 pub use rank::Caller;
 pub use rank::rank;
 pub use roster::Peer;
 pub use roster::Roster;
-pub use standing::CutRule;
+pub use standing::PartitionPolicy;
+pub use standing::Reachability;
 pub use standing::Standing;
-pub use standing::Witness;
-pub use standing::judge;
+pub use standing::evaluate_standing;
