--- a/crates/core/src/claims/bucket.rs
+++ b/crates/core/src/claims/bucket.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 
 use crate::claims::ClaimId;
+use crate::claims::ClaimToken;
 use crate::claims::Fingerprint;
-use crate::claims::Mark;
 use crate::time::WallTime;
 
 /// Largest answer that is kept for repeats, in bytes.
@@ -17,11 +17,11 @@
 pub const MAX_BUCKET: usize = 800 * 1024;
 
 /// Upper bound of a claim's size without its answer, in bytes.
-const RECORD: usize = 96;
+const RECORD_SIZE: usize = 96;
 
 /// An answer that is kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -30,7 +30,7 @@
     pub body: Vec<u8>,
 }
 
-impl Stored {
+impl StoredAnswer {
     /// Whether the answer is small enough to be kept.
     pub fn is_small(&self) -> bool {
         self.size() <= MAX_ANSWER
@@ -52,7 +52,7 @@
     /// The service answered.
     Finished {
         /// Its answer, if small enough.
-        answer: Option<Stored>,
+        answer: Option<StoredAnswer>,
     },
     /// It was sent and nobody knows whether it ran.
     Unknown,
@@ -62,9 +62,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The request that holds it.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub token: ClaimToken,
     /// What it asked for.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// What is known of it.
     pub state: State,
 }
@@ -73,9 +75,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// The service answered; the answer is kept if it is given.
-    Finish(Option<Stored>),
+    Finish(Option<StoredAnswer>),
     /// It was sent and nobody knows whether it ran.
-    Lose,
+    #[serde(rename = "Lose")]
+    Unknown,
     /// Its entry vouches that it was not sent, or the upstream that it did not start.
     Release,
 }
@@ -86,7 +89,8 @@
     /// The claim.
     pub id: ClaimId,
     /// The request that holds it; a claim held by another is left as it is.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub token: ClaimToken,
     /// The change.
     pub change: Change,
 }
@@ -125,11 +129,11 @@
 
     /// Makes the edit if the claim is still held by the edit's mark. A finished claim stays as it is, and one
     /// of which a send is known can't be released.
-    pub fn edit(&mut self, edit: &Edit) {
+    pub fn apply(&mut self, edit: &Edit) {
         let Some(record) = self.claims.get_mut(&edit.id) else {
             return;
         };
-        if record.mark != edit.mark {
+        if record.token != edit.token {
             return;
         }
         match (&record.state, &edit.change) {
@@ -138,7 +142,7 @@
                 let answer = answer.clone();
                 record.state = State::Finished { answer };
             }
-            (_, Change::Lose) => record.state = State::Unknown,
+            (_, Change::Unknown) => record.state = State::Unknown,
             (State::Unknown, Change::Release) => {}
             (State::Granted { .. }, Change::Release) => {
                 self.claims.remove(&edit.id);
@@ -152,21 +156,21 @@
     }
 
     /// Whether every claim of `older` stands here under the same mark, but for those that `edits` release.
-    pub fn covers(&self, older: &Bucket, edits: &[Edit]) -> bool {
-        let released = |id: &ClaimId, mark: Mark| {
-            let mut of_claim = edits.iter().filter(|e| e.id == *id && e.mark == mark);
+    pub fn preserves(&self, older: &Bucket, edits: &[Edit]) -> bool {
+        let released = |id: &ClaimId, mark: ClaimToken| {
+            let mut of_claim = edits.iter().filter(|e| e.id == *id && e.token == mark);
             of_claim.any(|e| e.change == Change::Release)
         };
         older.iter().all(|(id, record)| {
-            let kept = self.get(id).is_some_and(|r| r.mark == record.mark);
-            kept || released(id, record.mark)
+            let kept = self.get(id).is_some_and(|r| r.token == record.token);
+            kept || released(id, record.token)
         })
     }
 }
 
 fn record_size(record: &Record) -> usize {
     match &record.state {
-        State::Finished { answer: Some(answer) } => RECORD + answer.size(),
-        _ => RECORD,
+        State::Finished { answer: Some(answer) } => RECORD_SIZE + answer.size(),
+        _ => RECORD_SIZE,
     }
 }
--- a/crates/core/src/claims/entry.rs
+++ b/crates/core/src/claims/entry.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use crate::claims::Ask;
 use crate::claims::ClaimRef;
+use crate::claims::ClaimRequest;
+use crate::claims::ClaimStatus;
+use crate::claims::ClaimToken;
 use crate::claims::Clocks;
 use crate::claims::Fingerprint;
-use crate::claims::Mark;
-use crate::claims::Seen;
 use crate::claims::Verdict;
 use crate::name::Name;
 use crate::outcome::Reason;
@@ -21,10 +21,10 @@
 const MIN_RUN: Duration = Duration::from_millis(100);
 
 /// When to come back after a refusal that names no time.
-const COME_BACK: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Owners that may say that they can't reach the key-value service before they are believed.
-const MAX_OUT: u32 = 3;
+const MAX_UNAVAILABLE: u32 = 3;
 
 /// The right to send a request once, with the proof `P` that it was not sent yet.
 ///
@@ -46,11 +46,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
     /// The key-value service is out of reach.
-    Out,
+    Unavailable,
     /// Too little time is left.
-    Late,
+    TooLate,
     /// The clocks of the instances differ too much.
-    Clock,
+    ClockSkew,
     /// The bucket is full.
     Full,
     /// The key was used for another request.
@@ -63,18 +63,18 @@
     /// The asked owner answered.
     Answered(Verdict),
     /// The asked owner could not be reached, or showed no sign of life. It may still write the claim.
-    Silent,
+    NoAnswer,
 }
 
 /// What to do next.
 #[derive(Debug)]
 pub enum EntryStep<P> {
     /// Ask this owner, and give what comes of it to the machine.
-    Ask(Box<EntryClaim<P>>, Name, Ask),
+    Ask(Box<EntryClaim<P>>, Name, ClaimRequest),
     /// The request may be sent, once.
     Granted(Grant<P>),
     /// Another request holds the claim.
-    Seen(Seen),
+    Seen(ClaimStatus),
     /// The request is not sent. Come back after this time, if it makes sense.
     Refused(P, Refused, Option<Duration>),
 }
@@ -84,12 +84,12 @@
 #[derive(Debug)]
 pub struct EntryClaim<P> {
     claim: ClaimRef,
-    mark: Mark,
-    print: Fingerprint,
+    token: ClaimToken,
+    fingerprint: Fingerprint,
     owners: std::vec::IntoIter<Name>,
-    until: Time,
+    wait_until: Time,
     deadline: Time,
-    outs: u32,
+    unavailable_count: u32,
     proof: P,
 }
 
@@ -98,33 +98,33 @@
     pub fn new(
         proof: P,
         claim: ClaimRef,
-        mark: Mark,
-        print: Fingerprint,
+        token: ClaimToken,
+        fingerprint: Fingerprint,
         owners: Vec<Name>,
         now: Time,
         deadline: Time,
     ) -> EntryClaim<P> {
         EntryClaim {
             claim,
-            mark,
-            print,
+            token,
+            fingerprint,
             owners: owners.into_iter(),
-            until: (now + MAX_WAIT).min(deadline - MIN_RUN),
+            wait_until: (now + MAX_WAIT).min(deadline - MIN_RUN),
             deadline,
-            outs: 0,
+            unavailable_count: 0,
             proof,
         }
     }
 
     /// The first step.
     pub fn begin(self, now: Clocks) -> EntryStep<P> {
-        self.next(now, COME_BACK)
+        self.next(now, RETRY_AFTER)
     }
 
     /// Takes an event.
     pub fn on(self, now: Clocks, event: EntryEvent) -> EntryStep<P> {
         match event {
-            EntryEvent::Silent => self.next(now, COME_BACK),
+            EntryEvent::NoAnswer => self.next(now, RETRY_AFTER),
             EntryEvent::Answered(verdict) => self.on_verdict(now, verdict),
         }
     }
@@ -134,14 +134,14 @@
             Verdict::Granted => self.on_granted(now),
             Verdict::Seen(seen) => EntryStep::Seen(seen),
             Verdict::Mismatch => self.refuse(Refused::Mismatch, None),
-            Verdict::Clock => self.refuse(Refused::Clock, None),
-            Verdict::Full => self.refuse(Refused::Full, Some(COME_BACK)),
-            Verdict::Stopping | Verdict::Never => self.next(now, COME_BACK),
-            Verdict::Out(after) => {
-                self.outs += 1;
-                match self.outs < MAX_OUT {
+            Verdict::ClockSkew => self.refuse(Refused::ClockSkew, None),
+            Verdict::Full => self.refuse(Refused::Full, Some(RETRY_AFTER)),
+            Verdict::Stopping | Verdict::Unclaimed => self.next(now, RETRY_AFTER),
+            Verdict::Unavailable(after) => {
+                self.unavailable_count += 1;
+                match self.unavailable_count < MAX_UNAVAILABLE {
                     true => self.next(now, after),
-                    false => self.refuse(Refused::Out, Some(after)),
+                    false => self.refuse(Refused::Unavailable, Some(after)),
                 }
             }
         }
@@ -152,35 +152,35 @@
     /// within it stands for at least as long as its key is accepted.
     fn on_granted(self, now: Clocks) -> EntryStep<P> {
         if now.time + MIN_RUN > self.deadline {
-            return self.refuse(Refused::Late, None);
+            return self.refuse(Refused::TooLate, None);
         }
         EntryStep::Granted(Grant { proof: self.proof })
     }
 
     fn next(mut self, now: Clocks, after: Duration) -> EntryStep<P> {
-        if now.time >= self.until {
-            return self.refuse(Refused::Out, Some(after));
+        if now.time >= self.wait_until {
+            return self.refuse(Refused::Unavailable, Some(after));
         }
         match self.owners.next() {
             Some(owner) => {
                 let ask = self.ask(now, !self.owners.as_slice().is_empty());
                 EntryStep::Ask(Box::new(self), owner, ask)
             }
-            None => self.refuse(Refused::Out, Some(after)),
+            None => self.refuse(Refused::Unavailable, Some(after)),
         }
     }
 
     /// Failure guarded against: an owner that alone can't reach the key-value service uses up the whole wait, and
     /// orders of its shards fail while others could claim for them. So each owner gets half of what is left.
-    fn ask(&self, now: Clocks, others: bool) -> Ask {
-        let left = self.until.since(now.time);
-        Ask {
+    fn ask(&self, now: Clocks, others: bool) -> ClaimRequest {
+        let left = self.wait_until.since(now.time);
+        ClaimRequest {
             claim: self.claim,
-            mark: self.mark,
-            print: self.print,
+            token: self.token,
+            fingerprint: self.fingerprint,
             wall: now.wall,
             wait: if others { left / 2 } else { left },
-            run: self.deadline.since(self.until),
+            run: self.deadline.since(self.wait_until),
         }
     }
 
@@ -193,9 +193,9 @@
     /// The reason that the caller is told.
     pub fn reason(self) -> Reason {
         match self {
-            Refused::Out | Refused::Full => Reason::PlatformOut,
-            Refused::Late => Reason::TooLate,
-            Refused::Clock => Reason::ClockStepped,
+            Refused::Unavailable | Refused::Full => Reason::PlatformOut,
+            Refused::TooLate => Reason::TooLate,
+            Refused::ClockSkew => Reason::ClockStepped,
             Refused::Mismatch => Reason::KeyReused,
         }
     }
--- a/crates/core/src/claims/key.rs
+++ b/crates/core/src/claims/key.rs
@@ -15,7 +15,7 @@
 pub const SHARDS: u16 = 16;
 
 /// Time that one bucket covers, in milliseconds of the keys' own time.
-const SLOT: u64 = 10_000;
+const SLOT_MS: u64 = 10_000;
 
 /// A key that a caller gives to a request that may not be repeated: a UUIDv7, which embeds its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -87,7 +87,7 @@
 
 /// Names one request at one entry instance. Never drawn twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Mark(pub Uuid);
+pub struct ClaimToken(pub Uuid);
 
 /// Hash of a request's method, path and body, by which a reused key is noticed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -105,7 +105,7 @@
         ClaimRef {
             bucket: BucketId {
                 shard: u16::from_be_bytes([first, second]) % SHARDS,
-                slot: key.time().0 / SLOT,
+                slot: key.time().0 / SLOT_MS,
             },
             id: ClaimId(id),
         }
--- a/crates/core/src/claims/owner.rs
+++ b/crates/core/src/claims/owner.rs
@@ -3,7 +3,7 @@
 //! Claims that wait at the same time go into one write (group commit), and what became of earlier ones rides
 //! along. A bucket has at most one call to the key-value service under way.
 
-mod slot;
+mod owned_bucket;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,30 +14,30 @@
 use crate::claims::Bucket;
 use crate::claims::BucketId;
 use crate::claims::ClaimRef;
+use crate::claims::ClaimToken;
 use crate::claims::Clocks;
 use crate::claims::Edit;
 use crate::claims::Fingerprint;
-use crate::claims::Mark;
-use crate::claims::Stored;
-use crate::claims::owner::slot::Slot;
+use crate::claims::StoredAnswer;
+use crate::claims::owner::owned_bucket::OwnedBucket;
 use crate::claims::window;
 use crate::time::Time;
 use crate::time::WallTime;
 
 /// Buckets held in memory; a bucket that was dropped is read again when it is asked for.
-const MAX_SLOTS: usize = 256;
+const MAX_BUCKETS: usize = 256;
 
 /// How long the key-value service may fail before new claims are refused at once.
-const OUT_AFTER: Duration = Duration::from_secs(1);
+const UNAVAILABLE_AFTER: Duration = Duration::from_secs(1);
 
 /// First pause after a failed call; doubled by each further failure.
-const PAUSE: Duration = Duration::from_millis(50);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Longest pause after a failed call.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Spread of the times at which refused callers are told to come back.
-const SPREAD: u64 = 4;
+const RETRY_SPREAD_S: u64 = 4;
 
 /// Version of a key-value entry as the service counts it; 0 stands for an absent entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
@@ -45,17 +45,19 @@
 
 /// Names a question, so that its answer finds back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct QueryId(pub u64);
 
 /// Asks for a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// The claim.
     pub claim: ClaimRef,
     /// The request that wants it. The same mark may ask again, of any owner.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub token: ClaimToken,
     /// What the request is.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// Wall clock of the entry instance.
     pub wall: WallTime,
     /// How long the entry waits for the answer.
@@ -66,11 +68,11 @@
 
 /// What is known of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum ClaimStatus {
     /// It was granted, and its deadline is this far off.
     Running(Duration),
     /// It ran; the answer is there if it was small enough.
-    Finished(Option<Stored>),
+    Finished(Option<StoredAnswer>),
     /// It may have run.
     Unknown,
 }
@@ -81,15 +83,18 @@
     /// The asking mark holds the claim; its entry may send once.
     Granted,
     /// Another request holds the claim.
-    Seen(Seen),
+    Seen(ClaimStatus),
     /// Another request holds the claim, and it asked for something else.
     Mismatch,
     /// Nobody holds the claim; only as answer to a question.
-    Never,
+    #[serde(rename = "Never")]
+    Unclaimed,
     /// The key-value service is out of reach. Come back after this time.
-    Out(Duration),
+    #[serde(rename = "Out")]
+    Unavailable(Duration),
     /// The clocks of entry and owner differ too much.
-    Clock,
+    #[serde(rename = "Clock")]
+    ClockSkew,
     /// The bucket is full.
     Full,
     /// This instance is stopping; another owns the shard.
@@ -100,21 +105,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerEvent {
     /// A claim is asked for.
-    Ask(Ticket, Ask),
+    Ask(QueryId, ClaimRequest),
     /// Somebody asks what is known of a claim.
-    Look(Ticket, ClaimRef),
+    Query(QueryId, ClaimRef),
     /// What became of a claim.
     Edit(BucketId, Edit),
     /// The write of the bucket took effect.
     Written(BucketId, Revision),
     /// The bucket stands so: the answer to a read, or to a write that did not take effect.
-    Stands(BucketId, Revision, Bucket),
+    Current(BucketId, Revision, Bucket),
     /// The call for the bucket failed; `unsure` if a write may have taken effect or still may.
     Failed {
         /// The bucket.
         bucket: BucketId,
         /// Whether a write may have taken effect, or may yet.
-        unsure: bool,
+        maybe_written: bool,
     },
     /// Time has passed.
     Tick,
@@ -130,30 +135,30 @@
     /// Write the bucket if it still has this version.
     Write(BucketId, Revision, Bucket),
     /// Answer a question.
-    Answer(Ticket, Verdict),
+    Answer(QueryId, Verdict),
     /// Give [`OwnerEvent::Tick`] at this time.
     Wake(Time),
     /// An invariant broke; the action that would rest on it was dropped.
-    Broken(&'static str),
+    InvariantBroken(&'static str),
 }
 
 /// How an owner groups writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerSettings {
     /// Least time between two writes of a bucket; claims that come in between share the next one.
-    pub pace: Duration,
+    pub write_interval: Duration,
     /// How long what became of a claim waits for a write to ride along with.
-    pub linger: Duration,
+    pub edit_delay: Duration,
     /// Most claims in one write.
-    pub batch: usize,
+    pub max_batch: usize,
 }
 
 impl Default for OwnerSettings {
     fn default() -> Self {
         OwnerSettings {
-            pace: Duration::from_millis(80),
-            linger: Duration::from_secs(2),
-            batch: 1024,
+            write_interval: Duration::from_millis(80),
+            edit_delay: Duration::from_secs(2),
+            max_batch: 1024,
         }
     }
 }
@@ -162,9 +167,9 @@
     /// One write for each claim and one for each end, for comparison.
     pub fn ungrouped() -> OwnerSettings {
         OwnerSettings {
-            pace: Duration::ZERO,
-            linger: Duration::ZERO,
-            batch: 1,
+            write_interval: Duration::ZERO,
+            edit_delay: Duration::ZERO,
+            max_batch: 1,
         }
     }
 }
@@ -173,10 +178,10 @@
 #[derive(Debug)]
 pub struct Owner {
     settings: OwnerSettings,
-    slots: BTreeMap<BucketId, Slot>,
-    failing: Option<Time>,
-    probe: Time,
-    pause: Duration,
+    buckets: BTreeMap<BucketId, OwnedBucket>,
+    failing_since: Option<Time>,
+    next_try: Time,
+    backoff: Duration,
     stopping: bool,
 }
 
@@ -185,10 +190,10 @@
     pub fn new(settings: OwnerSettings) -> Owner {
         Owner {
             settings,
-            slots: BTreeMap::new(),
-            failing: None,
-            probe: Time::ZERO,
-            pause: PAUSE,
+            buckets: BTreeMap::new(),
+            failing_since: None,
+            next_try: Time::ZERO,
+            backoff: MIN_BACKOFF,
             stopping: false,
         }
     }
@@ -198,49 +203,52 @@
         let mut actions = Vec::new();
         match event {
             OwnerEvent::Ask(ticket, ask) => self.on_ask(now, ticket, ask, &mut actions),
-            OwnerEvent::Look(ticket, claim) => self.on_look(now, ticket, claim, &mut actions),
+            OwnerEvent::Query(ticket, claim) => self.on_query(now, ticket, claim, &mut actions),
             OwnerEvent::Edit(bucket, edit) => {
-                self.slot(bucket, now).edit(edit, now.time);
+                self.bucket(bucket, now).edit(edit, now.time);
                 self.advance(now, bucket, &mut actions);
             }
             OwnerEvent::Written(bucket, revision) => {
-                self.recovered();
-                self.slot(bucket, now).written(revision, now.time);
+                self.on_recovered();
+                self.bucket(bucket, now).on_written(revision, now.time);
                 self.advance(now, bucket, &mut actions);
             }
-            OwnerEvent::Stands(bucket, revision, content) => {
-                self.recovered();
-                self.slot(bucket, now).stands(revision, content, now.time);
+            OwnerEvent::Current(bucket, revision, content) => {
+                self.on_recovered();
+                self.bucket(bucket, now).on_current(revision, content, now.time);
                 self.advance(now, bucket, &mut actions);
             }
-            OwnerEvent::Failed { bucket, unsure } => self.on_failed(now, bucket, unsure, &mut actions),
+            OwnerEvent::Failed {
+                bucket,
+                maybe_written,
+            } => self.on_failed(now, bucket, maybe_written, &mut actions),
             OwnerEvent::Tick => self.advance_all(now, &mut actions),
             OwnerEvent::Stop => {
                 self.stopping = true;
                 self.advance_all(now, &mut actions);
             }
         }
-        self.trim();
+        self.evict();
         actions
     }
 
     /// Whether nothing is left to be written.
     pub fn is_idle(&self) -> bool {
-        self.slots.values().all(Slot::is_idle)
+        self.buckets.values().all(OwnedBucket::is_idle)
     }
 
     /// Buckets in memory, with their claims as last seen in the key-value service.
     pub fn buckets(&self) -> impl Iterator<Item = (BucketId, &Bucket)> {
-        self.slots
+        self.buckets
             .iter()
-            .filter_map(|(id, slot)| Some((*id, slot.known()?)))
+            .filter_map(|(id, owned)| Some((*id, owned.known()?)))
     }
 
-    fn on_ask(&mut self, now: Clocks, ticket: Ticket, ask: Ask, actions: &mut Vec<OwnerAction>) {
+    fn on_ask(&mut self, now: Clocks, ticket: QueryId, ask: ClaimRequest, actions: &mut Vec<OwnerAction>) {
         let refusal = match () {
             () if self.stopping => Some(Verdict::Stopping),
-            () if !window::agree(now.wall, ask.wall) => Some(Verdict::Clock),
-            () if self.is_out(now.time) => Some(self.refuse_out(now, &ask)),
+            () if !window::clocks_agree(now.wall, ask.wall) => Some(Verdict::ClockSkew),
+            () if self.is_unavailable(now.time) => Some(self.refuse_unavailable(now, &ask)),
             () => None,
         };
         if let Some(refusal) = refusal {
@@ -248,84 +256,88 @@
             return;
         }
         let bucket = ask.claim.bucket;
-        self.slot(bucket, now).ask(ticket, ask, now.time);
+        self.bucket(bucket, now).ask(ticket, ask, now.time);
         self.advance(now, bucket, actions);
     }
 
-    fn on_look(&mut self, now: Clocks, ticket: Ticket, claim: ClaimRef, actions: &mut Vec<OwnerAction>) {
-        if self.is_out(now.time) {
-            let slot = self.slots.get(&claim.bucket);
-            let known = slot.and_then(|slot| slot.end_of(claim.id, now.wall));
-            let after = self.probe.since(now.time).max(OUT_AFTER);
-            let verdict = known.unwrap_or(Verdict::Out(after));
+    fn on_query(&mut self, now: Clocks, ticket: QueryId, claim: ClaimRef, actions: &mut Vec<OwnerAction>) {
+        if self.is_unavailable(now.time) {
+            let owned = self.buckets.get(&claim.bucket);
+            let known = owned.and_then(|owned| owned.final_status(claim.id, now.wall));
+            let after = self.next_try.since(now.time).max(UNAVAILABLE_AFTER);
+            let verdict = known.unwrap_or(Verdict::Unavailable(after));
             actions.push(OwnerAction::Answer(ticket, verdict));
             return;
         }
-        self.slot(claim.bucket, now).look(ticket, claim.id, now.time);
+        self.bucket(claim.bucket, now).query(ticket, claim.id, now.time);
         self.advance(now, claim.bucket, actions);
     }
 
     fn on_failed(&mut self, now: Clocks, bucket: BucketId, unsure: bool, actions: &mut Vec<OwnerAction>) {
-        self.failing.get_or_insert(now.time);
-        self.probe = now.time + self.pause;
-        let until = self.probe;
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
-        self.slot(bucket, now).failed(unsure, until);
+        self.failing_since.get_or_insert(now.time);
+        self.next_try = now.time + self.backoff;
+        let until = self.next_try;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+        self.bucket(bucket, now).on_failed(unsure, until);
         self.advance(now, bucket, actions);
     }
 
-    fn recovered(&mut self) {
-        self.failing = None;
-        self.pause = PAUSE;
+    fn on_recovered(&mut self) {
+        self.failing_since = None;
+        self.backoff = MIN_BACKOFF;
     }
 
     /// Whether the key-value service has failed for so long that a new claim should not wait for it. Once the
     /// pause is over, the next claim is let through to try it.
-    fn is_out(&self, now: Time) -> bool {
-        let long = self.failing.is_some_and(|since| now.since(since) > OUT_AFTER);
-        long && now < self.probe
+    fn is_unavailable(&self, now: Time) -> bool {
+        let long = self
+            .failing_since
+            .is_some_and(|since| now.since(since) > UNAVAILABLE_AFTER);
+        long && now < self.next_try
     }
 
     /// What is said while the key-value service is out: the end of a claim if it is known, since it never changes.
-    fn refuse_out(&self, now: Clocks, ask: &Ask) -> Verdict {
-        let slot = self.slots.get(&ask.claim.bucket);
-        let known = slot.and_then(|slot| slot.ended(ask, now.wall));
-        known.unwrap_or_else(|| Verdict::Out(self.come_back(now.time, ask)))
+    fn refuse_unavailable(&self, now: Clocks, ask: &ClaimRequest) -> Verdict {
+        let owned = self.buckets.get(&ask.claim.bucket);
+        let known = owned.and_then(|owned| owned.final_verdict(ask, now.wall));
+        known.unwrap_or_else(|| Verdict::Unavailable(self.retry_after(now.time, ask)))
     }
 
     /// When a refused caller should come back: after the next try, spread so that they don't come together.
-    fn come_back(&self, now: Time, ask: &Ask) -> Duration {
-        let spread = Duration::from_secs(1 + ask.mark.0.as_u64_pair().1 % SPREAD);
-        self.probe.since(now) + spread
+    fn retry_after(&self, now: Time, ask: &ClaimRequest) -> Duration {
+        let spread = Duration::from_secs(1 + ask.token.0.as_u64_pair().1 % RETRY_SPREAD_S);
+        self.next_try.since(now) + spread
     }
 
-    fn slot(&mut self, bucket: BucketId, now: Clocks) -> &mut Slot {
-        self.slots.entry(bucket).or_insert_with(|| Slot::new(now.time))
+    fn bucket(&mut self, bucket: BucketId, now: Clocks) -> &mut OwnedBucket {
+        self.buckets
+            .entry(bucket)
+            .or_insert_with(|| OwnedBucket::new(now.time))
     }
 
     fn advance(&mut self, now: Clocks, bucket: BucketId, actions: &mut Vec<OwnerAction>) {
         let mut settings = self.settings;
         if self.stopping {
-            settings.linger = Duration::ZERO;
+            settings.edit_delay = Duration::ZERO;
         }
-        if let Some(slot) = self.slots.get_mut(&bucket) {
-            slot.advance(now, bucket, &settings, actions);
+        if let Some(owned) = self.buckets.get_mut(&bucket) {
+            owned.advance(now, bucket, &settings, actions);
         }
     }
 
     fn advance_all(&mut self, now: Clocks, actions: &mut Vec<OwnerAction>) {
-        let buckets: Vec<BucketId> = self.slots.keys().copied().collect();
+        let buckets: Vec<BucketId> = self.buckets.keys().copied().collect();
         for bucket in buckets {
             self.advance(now, bucket, actions);
         }
     }
 
-    fn trim(&mut self) {
-        while self.slots.len() > MAX_SLOTS {
-            let idle = self.slots.iter().filter(|(_, slot)| slot.is_idle());
-            let oldest = idle.min_by_key(|(_, slot)| slot.used()).map(|(id, _)| *id);
+    fn evict(&mut self) {
+        while self.buckets.len() > MAX_BUCKETS {
+            let idle = self.buckets.iter().filter(|(_, owned)| owned.is_idle());
+            let oldest = idle.min_by_key(|(_, owned)| owned.used_at()).map(|(id, _)| *id);
             let Some(oldest) = oldest else { return };
-            self.slots.remove(&oldest);
+            self.buckets.remove(&oldest);
         }
     }
 }
--- a/crates/core/src/claims/owners.rs
+++ b/crates/core/src/claims/owners.rs
@@ -12,7 +12,7 @@
 use crate::time::Time;
 
 /// How long an instance that did not answer is asked last.
-const SUSPECT: Duration = Duration::from_secs(2);
+const SUSPECT_TIME: Duration = Duration::from_secs(2);
 
 /// An instance that may own shards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// Notes that `name` did not answer.
     pub fn suspect(&mut self, name: &Name, now: Time) {
         self.suspects.retain(|_, until| now < *until);
-        self.suspects.insert(name.clone(), now + SUSPECT);
+        self.suspects.insert(name.clone(), now + SUSPECT_TIME);
     }
 
     /// Notes that `name` answered.
@@ -42,7 +42,7 @@
     }
 
     /// Instances in the order in which they are to be asked for `shard`, silent ones last.
-    pub fn of<'a, I>(&self, candidates: I, shard: u16, now: Time) -> Vec<Name>
+    pub fn ranked<'a, I>(&self, candidates: I, shard: u16, now: Time) -> Vec<Name>
     where
         I: IntoIterator<Item = Candidate<'a>>,
     {
--- a/crates/core/src/claims/watch.rs
+++ b/crates/core/src/claims/watch.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::claims::window::agree;
+use crate::claims::window::clocks_agree;
 use crate::name::Name;
 use crate::time::WallTime;
 
@@ -20,11 +20,11 @@
 impl ClockWatch {
     /// Takes the time that `peer` said, `own` being the time here.
     pub fn on_time(&mut self, peer: &Name, own: WallTime, theirs: WallTime) {
-        self.agreed.insert(peer.clone(), agree(own, theirs));
+        self.agreed.insert(peer.clone(), clocks_agree(own, theirs));
     }
 
     /// Forgets instances that are gone.
-    pub fn keep<F>(&mut self, known: F)
+    pub fn retain<F>(&mut self, known: F)
     where
         F: Fn(&Name) -> bool,
     {
@@ -38,7 +38,7 @@
         unasked.or(later).or(peers.first())
     }
 
-    /// Whether no more instances disagree than agree.
+    /// Whether no more instances disagree than clocks_agree.
     pub fn is_trusted(&self) -> bool {
         let agreed = self.agreed.values().filter(|agreed| **agreed).count();
         agreed * 2 >= self.agreed.len()
--- a/crates/core/src/claims/window.rs
+++ b/crates/core/src/claims/window.rs
@@ -23,13 +23,13 @@
 pub const RETENTION: Duration = Duration::from_secs(60 * 60);
 
 /// How far ahead of this instance's clock a key may be.
-pub const FUTURE: Duration = Duration::from_secs(60);
+pub const MAX_FUTURE: Duration = Duration::from_secs(60);
 
 /// Longest deadline of a non-idempotent request.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(120);
 
 /// How long a bucket is kept after its last write.
-pub const KEEP: Duration = Duration::from_secs(2 * 60 * 60);
+pub const BUCKET_TTL: Duration = Duration::from_secs(2 * 60 * 60);
 
 /// Largest step or difference of wall clocks that is put up with.
 pub const MAX_SKEW: Duration = Duration::from_secs(5 * 60);
@@ -45,14 +45,14 @@
 
 /// Judges the age of keys, and notices that the wall clock stepped.
 #[derive(Debug, Clone, Copy)]
-pub struct KeyClock {
+pub struct KeyAgeCheck {
     first: Clocks,
 }
 
-impl KeyClock {
+impl KeyAgeCheck {
     /// Takes a reading that later ones are held against.
-    pub fn new(first: Clocks) -> KeyClock {
-        KeyClock { first }
+    pub fn new(first: Clocks) -> KeyAgeCheck {
+        KeyAgeCheck { first }
     }
 
     /// Whether the wall clock has moved with the monotonic one.
@@ -70,11 +70,11 @@
         if !self.is_steady(now) {
             return Err(KeyError::Clock);
         }
-        let made = key.time().0;
-        if made > now.wall.0 + millis(FUTURE) {
+        let key_time = key.time().0;
+        if key_time > now.wall.0 + millis(MAX_FUTURE) {
             return Err(KeyError::Future);
         }
-        if made + millis(RETENTION) < now.wall.0 {
+        if key_time + millis(RETENTION) < now.wall.0 {
             return Err(KeyError::Old);
         }
         Ok(())
@@ -82,7 +82,7 @@
 }
 
 /// Whether two wall clocks are close enough.
-pub(super) fn agree(one: WallTime, other: WallTime) -> bool {
+pub(super) fn clocks_agree(one: WallTime, other: WallTime) -> bool {
     one.0.abs_diff(other.0) <= millis(MAX_SKEW)
 }
 
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -4,9 +4,9 @@
 
 use sequoiastream_core::authority::Incarnation;
 use sequoiastream_core::authority::Settlement;
-use sequoiastream_core::claims::Ask as ClaimAsk;
 use sequoiastream_core::claims::BucketId;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimRequest as ClaimAsk;
 use sequoiastream_core::claims::Edit;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::config::Update;
--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -12,18 +12,18 @@
 use actix::Message;
 use actix::ResponseFuture;
 use actix::WrapFuture;
-use sequoiastream_core::claims::Ask;
+use sequoiastream_core::claims::BUCKET_TTL;
 use sequoiastream_core::claims::Bucket;
 use sequoiastream_core::claims::BucketId;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimRequest;
 use sequoiastream_core::claims::Edit;
-use sequoiastream_core::claims::KEEP;
 use sequoiastream_core::claims::Owner;
 use sequoiastream_core::claims::OwnerAction;
 use sequoiastream_core::claims::OwnerEvent;
+use sequoiastream_core::claims::QueryId;
 use sequoiastream_core::claims::Revision;
 use sequoiastream_core::claims::State;
-use sequoiastream_core::claims::Ticket;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::log_event;
 use sequoiastream_core::name::Name;
@@ -60,7 +60,7 @@
 
 /// Asks for a claim.
 #[derive(Debug)]
-pub struct Claim(pub Ask);
+pub struct Claim(pub ClaimRequest);
 
 impl Message for Claim {
     type Result = Verdict;
@@ -106,7 +106,7 @@
     shared: Arc<Shared>,
     kv: KvClient,
     owner: Owner,
-    asked: BTreeMap<Ticket, oneshot::Sender<Verdict>>,
+    asked: BTreeMap<QueryId, oneshot::Sender<Verdict>>,
     stopped: Vec<oneshot::Sender<()>>,
     tickets: u64,
     wake: Option<Time>,
@@ -141,7 +141,7 @@
         let peers: Vec<Name> = roster.peers.iter().map(|p| p.name.clone()).collect();
         let next = {
             let mut watch = self.shared.clocks();
-            watch.keep(|name| peers.contains(name));
+            watch.retain(|name| peers.contains(name));
             watch.next(&peers, self.compared.as_ref()).cloned()
         };
         let address = |name: &Name| roster.peers.iter().find(|p| p.name == *name).map(|p| p.peer);
@@ -158,9 +158,9 @@
         context.run_later(COMPARE_EVERY, |actor, context| actor.compare(context));
     }
 
-    fn ticket(&mut self) -> (Ticket, ResponseFuture<Verdict>) {
+    fn ticket(&mut self) -> (QueryId, ResponseFuture<Verdict>) {
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        let ticket = QueryId(self.tickets);
         let (sender, answer) = oneshot::channel();
         self.asked.insert(ticket, sender);
         let answer = Box::pin(async move { answer.await.unwrap_or(Verdict::Stopping) });
@@ -176,7 +176,7 @@
                 }
                 OwnerAction::Answer(ticket, verdict) => self.answer(ticket, verdict),
                 OwnerAction::Wake(at) => self.wake(at, context),
-                OwnerAction::Broken(rule) => log_event!(error, log_event::INVARIANT_BROKEN, rule),
+                OwnerAction::InvariantBroken(rule) => log_event!(error, log_event::INVARIANT_BROKEN, rule),
             }
         }
         if self.owner.is_idle() {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, verdict: Verdict) {
+    fn answer(&mut self, ticket: QueryId, verdict: Verdict) {
         self.shared.metrics.claims.count(&verdict);
         if let Some(sender) = self.asked.remove(&ticket) {
             // The entry may have given up; then it never sends.
@@ -254,13 +254,16 @@
     fn stands(&mut self, bucket: BucketId, entry: &Entry) -> OwnerEvent {
         self.working();
         let Some(value) = &entry.value else {
-            return OwnerEvent::Stands(bucket, Revision::default(), Bucket::default());
+            return OwnerEvent::Current(bucket, Revision::default(), Bucket::default());
         };
         match postcard::from_bytes(value) {
-            Ok(content) => OwnerEvent::Stands(bucket, Revision(entry.version.0), content),
+            Ok(content) => OwnerEvent::Current(bucket, Revision(entry.version.0), content),
             Err(error) => {
                 log_event!(error, log_event::CLAIMS_UNREADABLE, %error, bucket = bucket.path());
-                OwnerEvent::Failed { bucket, unsure: true }
+                OwnerEvent::Failed {
+                    bucket,
+                    maybe_written: true,
+                }
             }
         }
     }
@@ -277,7 +280,10 @@
             log_event!(warn, log_event::CLAIMS_OUT, %error, bucket = bucket.path());
         }
         self.failing = true;
-        OwnerEvent::Failed { bucket, unsure }
+        OwnerEvent::Failed {
+            bucket,
+            maybe_written: unsure,
+        }
     }
 }
 
@@ -305,7 +311,7 @@
     let now = clock::now();
     let keep = match keep {
         Some(keep) if now.since(keep.asked) < LEASE_FOR => keep,
-        _ => match kv.grant(KEEP + LEASE_FOR).await {
+        _ => match kv.grant(BUCKET_TTL + LEASE_FOR).await {
             Ok(lease) => Keep { lease, asked: now },
             // No write was begun, whatever became of the lease.
             Err(error) => {
@@ -350,7 +356,7 @@
 
     fn handle(&mut self, Look(claim): Look, context: &mut Context<Self>) -> Self::Result {
         let (ticket, answer) = self.ticket();
-        self.on(OwnerEvent::Look(ticket, claim), context);
+        self.on(OwnerEvent::Query(ticket, claim), context);
         answer
     }
 }
@@ -393,7 +399,7 @@
                 rows.push(vec![
                     bucket.shard.to_string(),
                     bucket.slot.to_string(),
-                    record.mark.0.to_string(),
+                    record.token.0.to_string(),
                     state.to_string(),
                 ]);
             }
--- a/src/ops/dispatch/once.rs
+++ b/src/ops/dispatch/once.rs
@@ -12,6 +12,8 @@
 use sequoiastream_caller::Unsent;
 use sequoiastream_core::claims::Change;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimStatus;
+use sequoiastream_core::claims::ClaimToken;
 use sequoiastream_core::claims::Edit;
 use sequoiastream_core::claims::EntryClaim;
 use sequoiastream_core::claims::EntryEvent;
@@ -20,10 +22,8 @@
 use sequoiastream_core::claims::Grant;
 use sequoiastream_core::claims::IdempotencyKey;
 use sequoiastream_core::claims::KeyError;
-use sequoiastream_core::claims::Mark;
 use sequoiastream_core::claims::Refused;
-use sequoiastream_core::claims::Seen;
-use sequoiastream_core::claims::Stored;
+use sequoiastream_core::claims::StoredAnswer;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::config::ServiceKind;
 use sequoiastream_core::log_event;
@@ -59,7 +59,7 @@
 struct Once {
     dispatch: Dispatch,
     claim: ClaimRef,
-    mark: Mark,
+    mark: ClaimToken,
     deadline: Time,
 }
 
@@ -128,7 +128,7 @@
     let once = Once {
         dispatch: dispatch.clone(),
         claim: ClaimRef::new(&call.product, service, &key),
-        mark: Mark(Uuid::new_v4()),
+        mark: ClaimToken(Uuid::new_v4()),
         deadline,
     };
     let print = Fingerprint::new(&call.method, &call.path, &call.body);
@@ -156,7 +156,7 @@
         let mut step = machine.begin(clock::both());
         while let EntryStep::Ask(machine, owner, ask) = step {
             let event = self.dispatch.ask(&owner, ask).await;
-            if matches!(event, EntryEvent::Silent) {
+            if matches!(event, EntryEvent::NoAnswer) {
                 log_event!(warn, log_event::OWNER_SILENT, %owner, shard = self.claim.bucket.shard);
             }
             step = machine.on(clock::both(), event);
@@ -215,7 +215,7 @@
             }
             Err(error) => {
                 self.warn(target.address, &error);
-                self.tell(Change::Lose).await;
+                self.tell(Change::Unknown).await;
                 let _ran = sent.lost();
                 Err(Refusal::unknown(error.to_string()))
             }
@@ -245,7 +245,7 @@
         let bucket = self.claim.bucket;
         let edit = Edit {
             id: self.claim.id,
-            mark: self.mark,
+            token: self.mark,
             change,
         };
         // A shutdown waits until the owner knows.
@@ -257,8 +257,8 @@
     }
 }
 
-fn kept(reply: &PlainReply) -> Option<Stored> {
-    let stored = Stored {
+fn kept(reply: &PlainReply) -> Option<StoredAnswer> {
+    let stored = StoredAnswer {
         status: reply.status,
         content: reply.content.clone(),
         body: reply.body.to_vec(),
@@ -266,18 +266,18 @@
     stored.is_small().then_some(stored)
 }
 
-fn seen_reply(seen: Seen) -> Result<ForwardReply, Refusal> {
+fn seen_reply(seen: ClaimStatus) -> Result<ForwardReply, Refusal> {
     match seen {
-        Seen::Finished(Some(stored)) => Ok(ForwardReply {
+        ClaimStatus::Finished(Some(stored)) => Ok(ForwardReply {
             status: stored.status,
             content: stored.content,
             body: stored.body.into(),
         }),
-        Seen::Finished(None) => Err(Refusal::unknown(
+        ClaimStatus::Finished(None) => Err(Refusal::unknown(
             "the request with this key has run; its answer was too large to be kept",
         )),
-        Seen::Running(left) => Err(Refusal::running(left.clamp(SOON, COME_BACK))),
-        Seen::Unknown => Err(Refusal::unknown(
+        ClaimStatus::Running(left) => Err(Refusal::running(left.clamp(SOON, COME_BACK))),
+        ClaimStatus::Unknown => Err(Refusal::unknown(
             "a request with this key was sent on, and it is not known whether it ran",
         )),
     }
@@ -285,12 +285,12 @@
 
 fn refusal(proof: NotRun, refused: Refused) -> Refusal {
     let message = match refused {
-        Refused::Out => {
+        Refused::Unavailable => {
             "the key-value service is out of reach, so this request can't be claimed and was not sent; \
              an earlier one with the same key may have been"
         }
-        Refused::Late => "too little time is left for the request",
-        Refused::Clock => "the clocks of the instances differ too much to judge the key's age",
+        Refused::TooLate => "too little time is left for the request",
+        Refused::ClockSkew => "the clocks of the instances differ too much to judge the key's age",
         Refused::Full => "too many requests carry keys of the same time",
         Refused::Mismatch => "the idempotency key was used for another request",
     };
@@ -311,10 +311,10 @@
     for name in plain_services(dispatch, service) {
         let verdict = dispatch.look(ClaimRef::new(product, &name, &key)).await;
         match verdict {
-            Verdict::Never => {}
-            Verdict::Seen(Seen::Running(_)) => return Ok(RequestState::Running),
-            Verdict::Seen(Seen::Unknown) => return Ok(RequestState::Unknown),
-            Verdict::Seen(Seen::Finished(stored)) => {
+            Verdict::Unclaimed => {}
+            Verdict::Seen(ClaimStatus::Running(_)) => return Ok(RequestState::Running),
+            Verdict::Seen(ClaimStatus::Unknown) => return Ok(RequestState::Unknown),
+            Verdict::Seen(ClaimStatus::Finished(stored)) => {
                 return Ok(RequestState::Finished(stored.map(|s| ForwardReply {
                     status: s.status,
                     content: s.content,
--- a/src/ops/dispatch/owners.rs
+++ b/src/ops/dispatch/owners.rs
@@ -6,10 +6,10 @@
 
 use futures_util::future::Either;
 use futures_util::future::select;
-use sequoiastream_core::claims::Ask;
 use sequoiastream_core::claims::BucketId;
 use sequoiastream_core::claims::Candidate;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimRequest;
 use sequoiastream_core::claims::Edit;
 use sequoiastream_core::claims::EntryEvent;
 use sequoiastream_core::claims::Verdict;
@@ -50,7 +50,7 @@
             heard: !self.shared.is_leaving(),
         };
         let candidates = others.chain(once(own));
-        self.shared.owners().of(candidates, shard, clock::now())
+        self.shared.owners().ranked(candidates, shard, clock::now())
     }
 
     fn peer(&self, name: &Name) -> Option<SocketAddr> {
@@ -59,24 +59,24 @@
     }
 
     /// Asks `owner` for a claim.
-    pub(super) async fn ask(&self, owner: &Name, ask: Ask) -> EntryEvent {
+    pub(super) async fn ask(&self, owner: &Name, ask: ClaimRequest) -> EntryEvent {
         let limit = ask.wait + TRAVEL;
         if *owner == self.shared.settings.name {
             let answer = tokio::time::timeout(limit, self.control.claims.send(Claim(ask))).await;
             return match answer {
                 Ok(Ok(verdict)) => EntryEvent::Answered(verdict),
-                _ => EntryEvent::Silent,
+                _ => EntryEvent::NoAnswer,
             };
         }
         match self.question(owner, Request::Claim(ask), limit).await {
             Some(Response::Verdict(verdict)) => {
-                if let Verdict::Out(_) = verdict {
+                if let Verdict::Unavailable(_) = verdict {
                     // Others may reach the key-value service; for a while they are asked first.
                     self.shared.owners().suspect(owner, clock::now());
                 }
                 EntryEvent::Answered(verdict)
             }
-            _ => EntryEvent::Silent,
+            _ => EntryEvent::NoAnswer,
         }
     }
 
@@ -94,7 +94,7 @@
                 return verdict;
             }
         }
-        Verdict::Out(SHORT)
+        Verdict::Unavailable(SHORT)
     }
 
     /// Tells the owner what became of a claim; if nobody takes it, the claim stays granted and is told as
--- a/src/ops/shared.rs
+++ b/src/ops/shared.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwap;
 use sequoiastream_core::claims::ClockWatch;
-use sequoiastream_core::claims::KeyClock;
+use sequoiastream_core::claims::KeyAgeCheck;
 use sequoiastream_core::claims::Owners;
 use sequoiastream_core::membership::Roster;
 use sequoiastream_core::name::Name;
@@ -41,7 +41,7 @@
     /// The budget of calls to the platform, and what was spent.
     pub calls: Arc<CallMeter>,
     /// Judges the age of idempotency keys.
-    pub keys: KeyClock,
+    pub keys: KeyAgeCheck,
     /// Limits, retry budgets and demand.
     pub policy: PolicyState,
     /// Attempts that can be stopped.
@@ -79,7 +79,7 @@
             snapshot: ArcSwap::default(),
             metrics: Metrics::new(calls.clone()),
             calls,
-            keys: KeyClock::new(clock::both()),
+            keys: KeyAgeCheck::new(clock::both()),
             owners: Mutex::default(),
             watch: Mutex::default(),
             policy,
--- a/src/settings/traffic.rs
+++ b/src/settings/traffic.rs
@@ -40,7 +40,7 @@
     match matches.get_one::<u64>("claim-pace-ms").copied() {
         Some(0) => OwnerSettings::ungrouped(),
         Some(millis) => OwnerSettings {
-            pace: Duration::from_millis(millis),
+            write_interval: Duration::from_millis(millis),
             ..OwnerSettings::default()
         },
         None => OwnerSettings::default(),
--- a/src/util/metrics/claims.rs
+++ b/src/util/metrics/claims.rs
@@ -48,9 +48,9 @@
             Verdict::Granted => "granted",
             Verdict::Seen(_) => "seen",
             Verdict::Mismatch => "mismatch",
-            Verdict::Never => "never",
-            Verdict::Out(_) => "out",
-            Verdict::Clock => "clock",
+            Verdict::Unclaimed => "never",
+            Verdict::Unavailable(_) => "out",
+            Verdict::ClockSkew => "clock",
             Verdict::Full => "full",
             Verdict::Stopping => "stopping",
         };
--- a/tests/testsuite/claims/entry.rs
+++ b/tests/testsuite/claims/entry.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::claims::Ask;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimRequest;
+use sequoiastream_core::claims::ClaimStatus;
+use sequoiastream_core::claims::ClaimToken;
 use sequoiastream_core::claims::Clocks;
 use sequoiastream_core::claims::EntryClaim;
 use sequoiastream_core::claims::EntryEvent;
 use sequoiastream_core::claims::EntryStep;
 use sequoiastream_core::claims::Fingerprint;
-use sequoiastream_core::claims::Mark;
 use sequoiastream_core::claims::Refused;
-use sequoiastream_core::claims::Seen;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
@@ -39,12 +39,12 @@
     let claim = ClaimRef::new(&name("dispatch"), &name("ordini"), &key);
     let owners = ["a", "b", "c", "d"].map(name).to_vec();
     let print = Fingerprint::new("POST", "/orders", b"");
-    let mark = Mark(Uuid::from_u128(1));
+    let mark = ClaimToken(Uuid::from_u128(1));
     EntryClaim::new(Proof, claim, mark, print, owners, at(0).time, at(6_000).time).begin(at(0))
 }
 
 /// What is asked and of whom; the machine for the next event.
-fn asked(step: EntryStep<Proof>) -> (EntryClaim<Proof>, String, Ask) {
+fn asked(step: EntryStep<Proof>) -> (EntryClaim<Proof>, String, ClaimRequest) {
     match step {
         EntryStep::Ask(machine, owner, ask) => (*machine, owner.to_string(), ask),
         other => panic!("{other:?}"),
@@ -68,10 +68,10 @@
 #[test]
 fn silent_next_owner_same_mark() {
     let (machine, _, first) = asked(begin());
-    let (machine, owner, second) = asked(machine.on(at(500), EntryEvent::Silent));
-    assert_eq!((owner.as_str(), second.mark), ("b", first.mark));
+    let (machine, owner, second) = asked(machine.on(at(500), EntryEvent::NoAnswer));
+    assert_eq!((owner.as_str(), second.token), ("b", first.token));
     let (_, owner, third) = asked(machine.on(at(600), answered(Verdict::Stopping)));
-    assert_eq!((owner.as_str(), third.mark), ("c", first.mark));
+    assert_eq!((owner.as_str(), third.token), ("c", first.token));
 }
 
 #[test]
@@ -88,19 +88,19 @@
     let (machine, ..) = asked(begin());
     let step = machine.on(at(3_600_000), answered(Verdict::Granted));
     assert!(
-        matches!(step, EntryStep::Refused(Proof, Refused::Late, None)),
+        matches!(step, EntryStep::Refused(Proof, Refused::TooLate, None)),
         "{step:?}"
     );
 }
 
 #[test]
 fn out_thrice_refused() {
-    let out = || answered(Verdict::Out(Duration::from_secs(3)));
+    let out = || answered(Verdict::Unavailable(Duration::from_secs(3)));
     let (machine, ..) = asked(begin());
     let (machine, ..) = asked(machine.on(at(1), out()));
     let (machine, ..) = asked(machine.on(at(2), out()));
     let step = machine.on(at(3), out());
-    let EntryStep::Refused(Proof, Refused::Out, after) = step else {
+    let EntryStep::Refused(Proof, Refused::Unavailable, after) = step else {
         panic!("{step:?}");
     };
     assert_eq!(after, Some(Duration::from_secs(3)));
@@ -111,10 +111,10 @@
     let mut step = begin();
     for _ in 0..4 {
         let (machine, ..) = asked(step);
-        step = machine.on(at(10), EntryEvent::Silent);
+        step = machine.on(at(10), EntryEvent::NoAnswer);
     }
     assert!(
-        matches!(step, EntryStep::Refused(Proof, Refused::Out, Some(_))),
+        matches!(step, EntryStep::Refused(Proof, Refused::Unavailable, Some(_))),
         "{step:?}"
     );
 }
@@ -122,9 +122,9 @@
 #[test]
 fn silent_too_long_refused() {
     let (machine, ..) = asked(begin());
-    let step = machine.on(at(4_000), EntryEvent::Silent);
+    let step = machine.on(at(4_000), EntryEvent::NoAnswer);
     assert!(
-        matches!(step, EntryStep::Refused(Proof, Refused::Out, Some(_))),
+        matches!(step, EntryStep::Refused(Proof, Refused::Unavailable, Some(_))),
         "{step:?}"
     );
 }
@@ -133,7 +133,7 @@
 fn verdict_final_table() {
     let cases = [
         (Verdict::Mismatch, Refused::Mismatch),
-        (Verdict::Clock, Refused::Clock),
+        (Verdict::ClockSkew, Refused::ClockSkew),
         (Verdict::Full, Refused::Full),
     ];
     for (verdict, expected) in cases {
@@ -145,6 +145,6 @@
         assert_eq!(refused, expected);
     }
     let (machine, ..) = asked(begin());
-    let step = machine.on(at(1), answered(Verdict::Seen(Seen::Unknown)));
-    assert!(matches!(step, EntryStep::Seen(Seen::Unknown)), "{step:?}");
+    let step = machine.on(at(1), answered(Verdict::Seen(ClaimStatus::Unknown)));
+    assert!(matches!(step, EntryStep::Seen(ClaimStatus::Unknown)), "{step:?}");
 }
--- a/tests/testsuite/claims/machines.rs
+++ b/tests/testsuite/claims/machines.rs
@@ -7,11 +7,13 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use sequoiastream_core::claims::Ask;
 use sequoiastream_core::claims::Bucket;
 use sequoiastream_core::claims::BucketId;
 use sequoiastream_core::claims::Change;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimRequest;
+use sequoiastream_core::claims::ClaimStatus;
+use sequoiastream_core::claims::ClaimToken;
 use sequoiastream_core::claims::Clocks;
 use sequoiastream_core::claims::Edit;
 use sequoiastream_core::claims::EntryClaim;
@@ -19,15 +21,13 @@
 use sequoiastream_core::claims::EntryStep;
 use sequoiastream_core::claims::Fingerprint;
 use sequoiastream_core::claims::IdempotencyKey;
-use sequoiastream_core::claims::Mark;
 use sequoiastream_core::claims::Owner;
 use sequoiastream_core::claims::OwnerAction;
 use sequoiastream_core::claims::OwnerEvent;
 use sequoiastream_core::claims::OwnerSettings;
+use sequoiastream_core::claims::QueryId;
 use sequoiastream_core::claims::Revision;
-use sequoiastream_core::claims::Seen;
-use sequoiastream_core::claims::Stored;
-use sequoiastream_core::claims::Ticket;
+use sequoiastream_core::claims::StoredAnswer;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
@@ -48,7 +48,7 @@
 /// What is delivered, and to which process; a process that was killed since gets nothing.
 enum Event {
     Owner(usize, OwnerEvent),
-    Ask(usize, usize, Ask),
+    Ask(usize, usize, ClaimRequest),
     Entry(usize, EntryEvent),
     Kv(Process, BucketId, Option<(Revision, Bucket)>, bool),
     Start,
@@ -72,7 +72,7 @@
     key: usize,
     at: usize,
     life: u32,
-    mark: Mark,
+    mark: ClaimToken,
     machine: Option<EntryClaim<Proof>>,
     /// Counts the questions, so that the answer to a former one is dropped.
     asked: u64,
@@ -207,7 +207,7 @@
                 self.pushed = ticket;
                 self.tickets
                     .insert(ticket, (request, self.requests[request].asked));
-                self.owner(index, OwnerEvent::Ask(Ticket(ticket), ask));
+                self.owner(index, OwnerEvent::Ask(QueryId(ticket), ask));
             }
             Event::Entry(request, event) => self.entry(request, event),
             Event::Kv(from, bucket, write, answered) => self.call(from, bucket, write, answered),
@@ -217,7 +217,7 @@
     fn start(&mut self) {
         let key = self.rng.random_range(0..KEYS);
         let at = self.rng.random_range(0..INSTANCES);
-        let mark = Mark(Uuid::from_u128(u128::from(self.rng.next_u64())));
+        let mark = ClaimToken(Uuid::from_u128(u128::from(self.rng.next_u64())));
         // Lists lag, so entries differ about who owns the shard.
         let first = self.rng.random_range(0..INSTANCES);
         let owners = (0..INSTANCES).map(|i| (first + i) % INSTANCES);
@@ -265,13 +265,13 @@
                 2 | 3 => {
                     let Proof = grant.into_proof();
                     self.ran(index);
-                    self.edit(index, Change::Lose);
+                    self.edit(index, Change::Unknown);
                 }
                 _ => {
                     let Proof = grant.into_proof();
                     self.ran(index);
                     let body = vec![self.requests[index].key as u8];
-                    let stored = Stored {
+                    let stored = StoredAnswer {
                         status: 200,
                         content: None,
                         body,
@@ -280,7 +280,7 @@
                 }
             },
             EntryStep::Seen(seen) => {
-                if let Seen::Finished(answer) = &seen {
+                if let ClaimStatus::Finished(answer) = &seen {
                     let key = self.requests[index].key;
                     assert_eq!(answer.as_ref().map(|a| a.body.clone()), Some(vec![key as u8]));
                     assert_eq!(self.runs.get(&key), Some(&1), "told finished, but never ran");
@@ -306,7 +306,7 @@
         assert!(*runs <= 1, "key {key} ran {runs} times");
     }
 
-    fn ask(&mut self, index: usize, machine: EntryClaim<Proof>, owner: &Name, ask: Ask) {
+    fn ask(&mut self, index: usize, machine: EntryClaim<Proof>, owner: &Name, ask: ClaimRequest) {
         let request = &mut self.requests[index];
         request.machine = Some(machine);
         request.asked += 1;
@@ -331,7 +331,7 @@
         self.pushed += 1;
         let ticket = self.pushed;
         self.tickets.insert(ticket, (index, asked));
-        let verdict = OwnerAction::Answer(Ticket(ticket), Verdict::Stopping);
+        let verdict = OwnerAction::Answer(QueryId(ticket), Verdict::Stopping);
         self.answer(after, verdict);
     }
 
@@ -358,7 +358,7 @@
         let claim = claim(request.key);
         let edit = Edit {
             id: claim.id,
-            mark: request.mark,
+            token: request.mark,
             change,
         };
         let owner = self.rng.random_range(0..INSTANCES);
@@ -389,7 +389,7 @@
                     let after = at.since(self.now);
                     self.push(after, Some(index), Event::Owner(index, OwnerEvent::Tick));
                 }
-                OwnerAction::Broken(rule) => panic!("{rule}"),
+                OwnerAction::InvariantBroken(rule) => panic!("{rule}"),
             }
         }
     }
@@ -406,7 +406,10 @@
             life: self.lives[index],
         };
         if lost || travel > TIMEOUT {
-            let failed = OwnerEvent::Failed { bucket, unsure };
+            let failed = OwnerEvent::Failed {
+                bucket,
+                maybe_written: unsure,
+            };
             self.push(TIMEOUT, Some(index), Event::Owner(index, failed));
             self.push(travel, None, Event::Kv(from, bucket, write, false));
             return;
@@ -428,14 +431,14 @@
         let event = match write {
             _ if down => OwnerEvent::Failed {
                 bucket,
-                unsure: false,
+                maybe_written: false,
             },
             Some((expected, content)) if expected == stands.0 => {
                 self.revision += 1;
                 self.kv.insert(bucket, (Revision(self.revision), content));
                 OwnerEvent::Written(bucket, Revision(self.revision))
             }
-            _ => OwnerEvent::Stands(bucket, stands.0, stands.1),
+            _ => OwnerEvent::Current(bucket, stands.0, stands.1),
         };
         // The connection of a process ends with it: no later life gets its answers.
         if answered && self.lives[from.index] == from.life {
--- a/tests/testsuite/claims/orders.rs
+++ b/tests/testsuite/claims/orders.rs
@@ -3,22 +3,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sequoiastream_core::claims::Ask;
 use sequoiastream_core::claims::Bucket;
 use sequoiastream_core::claims::Change;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimRequest;
+use sequoiastream_core::claims::ClaimToken;
 use sequoiastream_core::claims::Clocks;
 use sequoiastream_core::claims::Edit;
 use sequoiastream_core::claims::Fingerprint;
-use sequoiastream_core::claims::Mark;
 use sequoiastream_core::claims::Owner;
 use sequoiastream_core::claims::OwnerAction;
 use sequoiastream_core::claims::OwnerEvent;
 use sequoiastream_core::claims::OwnerSettings;
+use sequoiastream_core::claims::QueryId;
 use sequoiastream_core::claims::Record;
 use sequoiastream_core::claims::Revision;
 use sequoiastream_core::claims::State;
-use sequoiastream_core::claims::Ticket;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
@@ -45,9 +45,9 @@
     late: Vec<(Revision, Bucket)>,
     marks: u64,
     /// Key and mark of each question.
-    asked: BTreeMap<Ticket, (usize, Mark)>,
+    asked: BTreeMap<QueryId, (usize, ClaimToken)>,
     /// Marks that were granted and not given back, by key.
-    granted: BTreeMap<usize, Mark>,
+    granted: BTreeMap<usize, ClaimToken>,
 }
 
 /// Claims that fall into one bucket.
@@ -75,9 +75,9 @@
         }
     }
 
-    fn mark(&mut self) -> Mark {
+    fn mark(&mut self) -> ClaimToken {
         self.marks += 1;
-        Mark(Uuid::from_u128(u128::from(self.marks)))
+        ClaimToken(Uuid::from_u128(u128::from(self.marks)))
     }
 
     fn step(&mut self, byte: u8) {
@@ -99,12 +99,12 @@
 
     fn ask(&mut self, key: usize) {
         let mark = self.mark();
-        let ticket = Ticket(self.marks);
+        let ticket = QueryId(self.marks);
         self.asked.insert(ticket, (key, mark));
-        let ask = Ask {
+        let ask = ClaimRequest {
             claim: self.claims[key],
-            mark,
-            print: Fingerprint::new("POST", "/orders", b""),
+            token: mark,
+            fingerprint: Fingerprint::new("POST", "/orders", b""),
             wall: WallTime(WALL + self.now),
             wait: Duration::from_secs(2),
             run: Duration::from_secs(2),
@@ -119,7 +119,7 @@
         };
         let change = match byte >> 6 {
             0 => Change::Finish(None),
-            1 => Change::Lose,
+            1 => Change::Unknown,
             _ => Change::Release,
         };
         if change == Change::Release {
@@ -129,7 +129,7 @@
         let claim = self.claims[key];
         let edit = Edit {
             id: claim.id,
-            mark,
+            token: mark,
             change,
         };
         self.event(OwnerEvent::Edit(claim.bucket, edit));
@@ -153,7 +153,7 @@
         let (revision, content) = self.stands.clone();
         self.event(match written {
             true => OwnerEvent::Written(bucket, revision),
-            false => OwnerEvent::Stands(bucket, revision, content),
+            false => OwnerEvent::Current(bucket, revision, content),
         });
     }
 
@@ -167,7 +167,10 @@
             Some(Call::Write(expected, content)) if unsure => self.late.push((expected, content)),
             Some(_) => {}
         }
-        self.event(OwnerEvent::Failed { bucket, unsure });
+        self.event(OwnerEvent::Failed {
+            bucket,
+            maybe_written: unsure,
+        });
     }
 
     /// A write of ours lands late, or another owner claims a key.
@@ -183,8 +186,8 @@
         let id = self.claims[key].id;
         if content.get(&id).is_none() {
             let record = Record {
-                mark,
-                print: Fingerprint::new("POST", "/orders", b""),
+                token: mark,
+                fingerprint: Fingerprint::new("POST", "/orders", b""),
                 state: State::Unknown,
             };
             content.add(id, record);
@@ -193,7 +196,7 @@
         }
     }
 
-    fn grant(&mut self, key: usize, mark: Mark) {
+    fn grant(&mut self, key: usize, mark: ClaimToken) {
         let before = self.granted.insert(key, mark);
         assert!(
             before.is_none_or(|m| m == mark),
@@ -215,7 +218,7 @@
                     self.grant(key, mark);
                 }
                 OwnerAction::Answer(..) | OwnerAction::Wake(_) => {}
-                OwnerAction::Broken(rule) => panic!("{rule}"),
+                OwnerAction::InvariantBroken(rule) => panic!("{rule}"),
             }
         }
     }
--- a/tests/testsuite/claims/owner.rs
+++ b/tests/testsuite/claims/owner.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::claims::Ask;
 use sequoiastream_core::claims::Bucket;
 use sequoiastream_core::claims::Change;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimRequest;
+use sequoiastream_core::claims::ClaimStatus;
+use sequoiastream_core::claims::ClaimToken;
 use sequoiastream_core::claims::Clocks;
 use sequoiastream_core::claims::Edit;
 use sequoiastream_core::claims::Fingerprint;
 use sequoiastream_core::claims::MAX_ANSWER;
 use sequoiastream_core::claims::MAX_BUCKET;
-use sequoiastream_core::claims::Mark;
 use sequoiastream_core::claims::Owner;
 use sequoiastream_core::claims::OwnerAction;
 use sequoiastream_core::claims::OwnerEvent;
 use sequoiastream_core::claims::OwnerSettings;
+use sequoiastream_core::claims::QueryId;
 use sequoiastream_core::claims::Record;
 use sequoiastream_core::claims::Revision;
-use sequoiastream_core::claims::Seen;
 use sequoiastream_core::claims::State;
-use sequoiastream_core::claims::Stored;
-use sequoiastream_core::claims::Ticket;
+use sequoiastream_core::claims::StoredAnswer;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
@@ -55,11 +55,11 @@
     key.expect("some key falls into the shard")
 }
 
-fn ask(index: u64, mark: u128) -> Ask {
-    Ask {
+fn ask(index: u64, mark: u128) -> ClaimRequest {
+    ClaimRequest {
         claim: claim(index),
-        mark: Mark(Uuid::from_u128(mark)),
-        print: Fingerprint::new("POST", "/orders", b""),
+        token: ClaimToken(Uuid::from_u128(mark)),
+        fingerprint: Fingerprint::new("POST", "/orders", b""),
         wall: WallTime(WALL),
         wait: Duration::from_secs(4),
         run: Duration::from_secs(10),
@@ -67,7 +67,7 @@
 }
 
 fn asked(ticket: u64, index: u64, mark: u128) -> OwnerEvent {
-    OwnerEvent::Ask(Ticket(ticket), ask(index, mark))
+    OwnerEvent::Ask(QueryId(ticket), ask(index, mark))
 }
 
 fn writes(actions: &[OwnerAction]) -> Vec<(Revision, Bucket)> {
@@ -127,14 +127,17 @@
     owner.on(at(3), written(7));
     let edit = Edit {
         id: claim(0).id,
-        mark: Mark(Uuid::from_u128(1)),
+        token: ClaimToken(Uuid::from_u128(1)),
         change: Change::Finish(None),
     };
     let actions = owner.on(at(10), OwnerEvent::Edit(claim(0).bucket, edit));
     assert!(writes(&actions).is_empty(), "the end has a write of its own");
     // Before it is written, a repeat is told it from memory.
     let actions = owner.on(at(20), asked(2, 0, 2));
-    assert_eq!(answers(&actions), vec![(2, Verdict::Seen(Seen::Finished(None)))]);
+    assert_eq!(
+        answers(&actions),
+        vec![(2, Verdict::Seen(ClaimStatus::Finished(None)))]
+    );
     let actions = owner.on(at(200), asked(3, 1, 3));
     let all = writes(&actions);
     let record = all[0].1.get(&claim(0).id).expect("it stands");
@@ -153,7 +156,7 @@
     let mut now = 5;
     let failed = || OwnerEvent::Failed {
         bucket: claim(0).bucket,
-        unsure: false,
+        maybe_written: false,
     };
     while now < 2_000 {
         owner.on(at(now), failed());
@@ -165,7 +168,7 @@
     let actions = owner.on(at(now + 1), asked(2, 1, 2));
     let all = answers(&actions);
     assert!(
-        matches!(all.as_slice(), [(2, Verdict::Out(after))] if *after >= Duration::from_secs(1)),
+        matches!(all.as_slice(), [(2, Verdict::Unavailable(after))] if *after >= Duration::from_secs(1)),
         "{all:?}"
     );
     assert!(
@@ -182,7 +185,7 @@
     owner.on(at(3), written(7));
     let edit = Edit {
         id: claim(0).id,
-        mark: Mark(Uuid::from_u128(1)),
+        token: ClaimToken(Uuid::from_u128(1)),
         change: Change::Finish(None),
     };
     owner.on(at(10), OwnerEvent::Edit(claim(0).bucket, edit));
@@ -190,7 +193,7 @@
         owner.on(at(now), asked(2, 1, 2));
         let failed = OwnerEvent::Failed {
             bucket: claim(0).bucket,
-            unsure: false,
+            maybe_written: false,
         };
         owner.on(at(now + 5), failed);
     }
@@ -202,16 +205,16 @@
 #[test]
 fn ask_when_out_end_known() {
     let mut owner = owner_out();
-    let finished = Verdict::Seen(Seen::Finished(None));
+    let finished = Verdict::Seen(ClaimStatus::Finished(None));
     let actions = owner.on(at(2_110), asked(3, 0, 3));
-    assert_eq!(actions, vec![OwnerAction::Answer(Ticket(3), finished.clone())]);
-    let actions = owner.on(at(2_110), OwnerEvent::Look(Ticket(4), claim(0)));
-    assert_eq!(actions, vec![OwnerAction::Answer(Ticket(4), finished)]);
-    let actions = owner.on(at(2_110), OwnerEvent::Look(Ticket(5), claim(1)));
+    assert_eq!(actions, vec![OwnerAction::Answer(QueryId(3), finished.clone())]);
+    let actions = owner.on(at(2_110), OwnerEvent::Query(QueryId(4), claim(0)));
+    assert_eq!(actions, vec![OwnerAction::Answer(QueryId(4), finished)]);
+    let actions = owner.on(at(2_110), OwnerEvent::Query(QueryId(5), claim(1)));
     assert!(
         matches!(
             actions.as_slice(),
-            [OwnerAction::Answer(Ticket(5), Verdict::Out(_))]
+            [OwnerAction::Answer(QueryId(5), Verdict::Unavailable(_))]
         ),
         "{actions:?}"
     );
@@ -226,16 +229,19 @@
     let id = claim(0).bucket;
     let failed = OwnerEvent::Failed {
         bucket: id,
-        unsure: true,
+        maybe_written: true,
     };
     assert!(answers(&owner.on(at(1_000), failed)).is_empty());
     owner.on(at(1_000), asked(2, 0, 2));
     let actions = owner.on(at(1_050), OwnerEvent::Tick);
     assert!(actions.contains(&OwnerAction::Read(id)), "{actions:?}");
-    let actions = owner.on(at(1_053), OwnerEvent::Stands(id, Revision(7), bucket));
+    let actions = owner.on(at(1_053), OwnerEvent::Current(id, Revision(7), bucket));
     let all = answers(&actions);
     assert_eq!(all[0], (1, Verdict::Granted));
-    assert!(matches!(all[1], (2, Verdict::Seen(Seen::Running(_)))), "{all:?}");
+    assert!(
+        matches!(all[1], (2, Verdict::Seen(ClaimStatus::Running(_)))),
+        "{all:?}"
+    );
 }
 
 /// A stale owner wakes with a claim that it wanted to write; its successor has written the key meanwhile.
@@ -245,13 +251,13 @@
     owner.on(at(0), asked(1, 0, 1));
     let mut theirs = Bucket::default();
     let record = Record {
-        mark: Mark(Uuid::from_u128(9)),
-        print: ask(0, 9).print,
+        token: ClaimToken(Uuid::from_u128(9)),
+        fingerprint: ask(0, 9).fingerprint,
         state: State::Unknown,
     };
     theirs.add(claim(0).id, record);
-    let actions = owner.on(at(3), OwnerEvent::Stands(claim(0).bucket, Revision(8), theirs));
-    assert_eq!(answers(&actions), vec![(1, Verdict::Seen(Seen::Unknown))]);
+    let actions = owner.on(at(3), OwnerEvent::Current(claim(0).bucket, Revision(8), theirs));
+    assert_eq!(answers(&actions), vec![(1, Verdict::Seen(ClaimStatus::Unknown))]);
     assert!(writes(&actions).is_empty());
 }
 
@@ -265,18 +271,18 @@
     let id = claim(0).bucket;
     let release = Edit {
         id: claim(0).id,
-        mark: Mark(Uuid::from_u128(1)),
+        token: ClaimToken(Uuid::from_u128(1)),
         change: Change::Release,
     };
     owner.on(at(0), OwnerEvent::Edit(id, release));
     let actions = owner.on(at(2_000), OwnerEvent::Tick);
     assert_eq!(actions[0], OwnerAction::Read(id));
-    owner.on(at(2_005), OwnerEvent::Stands(id, Revision(3), Bucket::default()));
+    owner.on(at(2_005), OwnerEvent::Current(id, Revision(3), Bucket::default()));
     // The other owner's write takes effect now.
     let mut late = Bucket::default();
     let granted = Record {
-        mark: Mark(Uuid::from_u128(1)),
-        print: Fingerprint::new("POST", "/orders", b""),
+        token: ClaimToken(Uuid::from_u128(1)),
+        fingerprint: Fingerprint::new("POST", "/orders", b""),
         state: State::Granted {
             until: WallTime(WALL + 30_000),
         },
@@ -284,14 +290,14 @@
     late.add(claim(0).id, granted);
     let actions = owner.on(at(2_500), asked(2, 0, 2));
     assert_eq!(writes(&actions).len(), 1, "nothing is known there");
-    let actions = owner.on(at(2_505), OwnerEvent::Stands(id, Revision(4), late));
+    let actions = owner.on(at(2_505), OwnerEvent::Current(id, Revision(4), late));
     assert_eq!(answers(&actions), Vec::new(), "not running: it was released");
     let all = writes(&actions);
-    let marks: Vec<Option<Mark>> = all
+    let marks: Vec<Option<ClaimToken>> = all
         .iter()
-        .map(|(_, b)| b.get(&claim(0).id).map(|r| r.mark))
+        .map(|(_, b)| b.get(&claim(0).id).map(|r| r.token))
         .collect();
-    assert_eq!(marks, [Some(Mark(Uuid::from_u128(2)))]);
+    assert_eq!(marks, [Some(ClaimToken(Uuid::from_u128(2)))]);
     let actions = owner.on(at(2_510), OwnerEvent::Written(id, Revision(5)));
     assert_eq!(answers(&actions), vec![(2, Verdict::Granted)]);
 }
@@ -299,12 +305,12 @@
 #[test]
 fn ask_clock_differs() {
     let mut owner = Owner::new(OwnerSettings::default());
-    let wrong = Ask {
+    let wrong = ClaimRequest {
         wall: WallTime(WALL - 6 * 60_000),
         ..ask(0, 1)
     };
-    let actions = owner.on(at(0), OwnerEvent::Ask(Ticket(1), wrong));
-    assert_eq!(actions, vec![OwnerAction::Answer(Ticket(1), Verdict::Clock)]);
+    let actions = owner.on(at(0), OwnerEvent::Ask(QueryId(1), wrong));
+    assert_eq!(actions, vec![OwnerAction::Answer(QueryId(1), Verdict::ClockSkew)]);
 }
 
 #[test]
@@ -312,14 +318,14 @@
     let mut owner = Owner::new(OwnerSettings::default());
     let mut full = Bucket::default();
     for index in 1.. {
-        let answer = Stored {
+        let answer = StoredAnswer {
             status: 200,
             content: None,
             body: vec![0; MAX_ANSWER],
         };
         let record = Record {
-            mark: Mark(Uuid::from_u128(u128::from(index))),
-            print: ask(0, 1).print,
+            token: ClaimToken(Uuid::from_u128(u128::from(index))),
+            fingerprint: ask(0, 1).fingerprint,
             state: State::Finished { answer: Some(answer) },
         };
         full.add(claim(index).id, record);
@@ -328,7 +334,7 @@
         }
     }
     owner.on(at(0), asked(1, 0, 1));
-    let actions = owner.on(at(3), OwnerEvent::Stands(claim(0).bucket, Revision(8), full));
+    let actions = owner.on(at(3), OwnerEvent::Current(claim(0).bucket, Revision(8), full));
     assert_eq!(answers(&actions), vec![(1, Verdict::Full)]);
     assert!(writes(&actions).is_empty());
 }
@@ -338,5 +344,5 @@
     let mut owner = Owner::new(OwnerSettings::default());
     owner.on(at(0), OwnerEvent::Stop);
     let actions = owner.on(at(1), asked(1, 0, 1));
-    assert_eq!(actions, vec![OwnerAction::Answer(Ticket(1), Verdict::Stopping)]);
+    assert_eq!(actions, vec![OwnerAction::Answer(QueryId(1), Verdict::Stopping)]);
 }
--- a/tests/testsuite/claims/rules.rs
+++ b/tests/testsuite/claims/rules.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
+use sequoiastream_core::claims::BUCKET_TTL;
 use sequoiastream_core::claims::Candidate;
 use sequoiastream_core::claims::ClockWatch;
 use sequoiastream_core::claims::Clocks;
-use sequoiastream_core::claims::FUTURE;
 use sequoiastream_core::claims::IdempotencyKey;
-use sequoiastream_core::claims::KEEP;
-use sequoiastream_core::claims::KeyClock;
+use sequoiastream_core::claims::KeyAgeCheck;
 use sequoiastream_core::claims::KeyError;
 use sequoiastream_core::claims::MAX_DEADLINE;
+use sequoiastream_core::claims::MAX_FUTURE;
 use sequoiastream_core::claims::MAX_SKEW;
 use sequoiastream_core::claims::Owners;
 use sequoiastream_core::claims::RETENTION;
@@ -40,7 +40,7 @@
 
 #[test]
 fn check_window_table() {
-    let clock = KeyClock::new(clocks(0, 0));
+    let clock = KeyAgeCheck::new(clocks(0, 0));
     let keep = RETENTION.as_secs() as i64;
     let cases = [
         ("now", key_at(0), clocks(0, 0), Ok(())),
@@ -75,8 +75,11 @@
     // Created as early and asked for as late as clocks that are off by the most that is put up with allow: each
     // may be off by MAX_SKEW at its start, and step by as much later.
     let worst = MAX_SKEW * 2;
-    let needed = FUTURE + worst + slot + RETENTION + worst + MAX_DEADLINE;
-    assert!(needed < KEEP, "{needed:?} is needed, {KEEP:?} are kept");
+    let needed = MAX_FUTURE + worst + slot + RETENTION + worst + MAX_DEADLINE;
+    assert!(
+        needed < BUCKET_TTL,
+        "{needed:?} is needed, {BUCKET_TTL:?} are kept"
+    );
 }
 
 #[test]
@@ -126,8 +129,8 @@
     let (all, fewer) = (instances(8), instances(7));
     let now = Time::from_millis(1);
     for shard in 0..512 {
-        let before = owners.of(heard(&all), shard, now);
-        let after = owners.of(heard(&fewer), shard, now);
+        let before = owners.ranked(heard(&all), shard, now);
+        let after = owners.ranked(heard(&fewer), shard, now);
         let kept: Vec<_> = before.iter().filter(|n| **n != all[7]).cloned().collect();
         assert_eq!(kept, after, "shard {shard}");
     }
@@ -138,17 +141,17 @@
     let mut owners = Owners::default();
     let names = instances(3);
     let now = Time::from_millis(1);
-    let order = owners.of(heard(&names), 5, now);
+    let order = owners.ranked(heard(&names), 5, now);
     let turned = vec![order[1].clone(), order[2].clone(), order[0].clone()];
     let unheard = names.iter().map(|name| Candidate {
         name,
         heard: *name != order[0],
     });
-    assert_eq!(owners.of(unheard, 5, now), turned);
+    assert_eq!(owners.ranked(unheard, 5, now), turned);
     owners.suspect(&order[0], now);
-    assert_eq!(owners.of(heard(&names), 5, now), turned);
+    assert_eq!(owners.ranked(heard(&names), 5, now), turned);
     let later = now + Duration::from_secs(3);
-    assert_eq!(owners.of(heard(&names), 5, later), order);
+    assert_eq!(owners.ranked(heard(&names), 5, later), order);
 }
 
 /// A clock that is wrong from the start runs as steadily as a right one; only others can tell.
--- a/tests/testsuite/whole/kv.rs
+++ b/tests/testsuite/whole/kv.rs
@@ -76,11 +76,11 @@
             Call::Remove(_) => return None,
             Call::ReadBucket(bucket) => Message::Owner(OwnerEvent::Failed {
                 bucket: *bucket,
-                unsure: false,
+                maybe_written: false,
             }),
             Call::WriteBucket(bucket, ..) => Message::Owner(OwnerEvent::Failed {
                 bucket: *bucket,
-                unsure,
+                maybe_written: unsure,
             }),
         };
         Some(message)
@@ -157,7 +157,7 @@
             }
             Call::ReadBucket(bucket) => {
                 let (revision, content) = self.buckets.get(&bucket).cloned().unwrap_or_default();
-                Some(Message::Owner(OwnerEvent::Stands(bucket, revision, content)))
+                Some(Message::Owner(OwnerEvent::Current(bucket, revision, content)))
             }
             Call::WriteBucket(bucket, expect, content) => Some(self.write_bucket(bucket, expect, content)),
         }
@@ -195,7 +195,7 @@
     fn write_bucket(&mut self, bucket: BucketId, expect: claims::Revision, content: Bucket) -> Message {
         let (revision, stands) = self.buckets.get(&bucket).cloned().unwrap_or_default();
         if revision != expect {
-            return Message::Owner(OwnerEvent::Stands(bucket, revision, stands));
+            return Message::Owner(OwnerEvent::Current(bucket, revision, stands));
         }
         self.revision += 1;
         let revision = claims::Revision(self.revision);
--- a/tests/testsuite/whole/requests.rs
+++ b/tests/testsuite/whole/requests.rs
@@ -4,20 +4,20 @@
 
 use rand::Rng;
 use rand::RngExt;
-use sequoiastream_core::claims::Ask;
 use sequoiastream_core::claims::Change;
 use sequoiastream_core::claims::ClaimRef;
+use sequoiastream_core::claims::ClaimRequest;
+use sequoiastream_core::claims::ClaimStatus;
+use sequoiastream_core::claims::ClaimToken;
 use sequoiastream_core::claims::Edit;
 use sequoiastream_core::claims::EntryClaim;
 use sequoiastream_core::claims::EntryEvent;
 use sequoiastream_core::claims::EntryStep;
 use sequoiastream_core::claims::Fingerprint;
-use sequoiastream_core::claims::Mark;
 use sequoiastream_core::claims::OwnerAction;
 use sequoiastream_core::claims::OwnerEvent;
-use sequoiastream_core::claims::Seen;
-use sequoiastream_core::claims::Stored;
-use sequoiastream_core::claims::Ticket;
+use sequoiastream_core::claims::QueryId;
+use sequoiastream_core::claims::StoredAnswer;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::config::EngineState;
 use sequoiastream_core::name::Name;
@@ -41,7 +41,7 @@
 pub struct Request {
     key: usize,
     at: Process,
-    mark: Mark,
+    mark: ClaimToken,
     machine: Option<EntryClaim<Proof>>,
     /// Counts the questions, so that the answer to a former one is dropped.
     asked: u64,
@@ -65,7 +65,7 @@
         // Lists lag, so entries differ about who owns the shard.
         let first = self.rng.random_range(0..INSTANCES);
         let owners = (0..INSTANCES).map(|i| name(&format!("i{}", (first + i) % INSTANCES)));
-        let mark = Mark(Uuid::from_u128(u128::from(self.rng.next_u64())));
+        let mark = ClaimToken(Uuid::from_u128(u128::from(self.rng.next_u64())));
         let print = Fingerprint::new("POST", "/orders", &[index as u8]);
         let deadline = self.now + Duration::from_secs(6);
         let machine = EntryClaim::new(
@@ -108,7 +108,7 @@
                 let Proof = grant.into_proof();
                 self.granted(request);
             }
-            EntryStep::Seen(Seen::Finished(answer)) => {
+            EntryStep::Seen(ClaimStatus::Finished(answer)) => {
                 let key = self.requests[request].key;
                 assert_eq!(answer.as_ref().map(|a| a.body.clone()), Some(vec![key as u8]));
                 assert_eq!(self.runs.get(&key), Some(&1), "told finished, but never ran");
@@ -172,7 +172,7 @@
             return;
         }
         let body = vec![self.requests[request].key as u8];
-        let stored = Stored {
+        let stored = StoredAnswer {
             status: 200,
             content: None,
             body,
@@ -181,7 +181,7 @@
             request,
             match answered {
                 true => Change::Finish(Some(stored)),
-                false => Change::Lose,
+                false => Change::Unknown,
             },
         );
     }
@@ -198,7 +198,7 @@
         let claim = claim(self.requests[request].key);
         let edit = Edit {
             id: claim.id,
-            mark: self.requests[request].mark,
+            token: self.requests[request].mark,
             change,
         };
         let owner = self.rng.random_range(0..INSTANCES);
@@ -213,7 +213,7 @@
         }
     }
 
-    fn ask_owner(&mut self, request: usize, machine: EntryClaim<Proof>, owner: &Name, ask: Ask) {
+    fn ask_owner(&mut self, request: usize, machine: EntryClaim<Proof>, owner: &Name, ask: ClaimRequest) {
         let entry = &mut self.requests[request];
         entry.machine = Some(machine);
         entry.asked += 1;
@@ -239,12 +239,12 @@
     }
 
     /// A question reaches its owner.
-    pub fn asked(&mut self, index: usize, request: usize, ask: Ask) {
+    pub fn asked(&mut self, index: usize, request: usize, ask: ClaimRequest) {
         self.count += 1;
         let ticket = self.count;
         self.tickets
             .insert(ticket, (request, self.requests[request].asked));
-        self.tell_owner(index, OwnerEvent::Ask(Ticket(ticket), ask));
+        self.tell_owner(index, OwnerEvent::Ask(QueryId(ticket), ask));
     }
 
     pub fn owner_acts(&mut self, index: usize, action: OwnerAction) {
@@ -270,7 +270,7 @@
                 let to = self.process(index);
                 self.post(at.since(self.now), Some(to), Message::Owner(OwnerEvent::Tick));
             }
-            OwnerAction::Broken(rule) => panic!("{rule}"),
+            OwnerAction::InvariantBroken(rule) => panic!("{rule}"),
         }
     }
 }
--- a/tests/testsuite/whole/world.rs
+++ b/tests/testsuite/whole/world.rs
@@ -14,7 +14,7 @@
 use sequoiastream_core::authority::Order;
 use sequoiastream_core::authority::Settings;
 use sequoiastream_core::authority::Timing;
-use sequoiastream_core::claims::Ask;
+use sequoiastream_core::claims::ClaimRequest;
 use sequoiastream_core::claims::Clocks;
 use sequoiastream_core::claims::Owner;
 use sequoiastream_core::claims::OwnerEvent;
@@ -69,7 +69,7 @@
     Keeper(config::Event),
     Authority(authority::Event),
     Owner(OwnerEvent),
-    Ask(usize, Ask),
+    Ask(usize, ClaimRequest),
     Entry(usize, u64, Verdict),
     Ended(usize, bool),
     Kv(Process, Call, bool),
