--- a/crates/core/benches/policy.rs
+++ b/crates/core/benches/policy.rs
@@ -19,16 +19,16 @@
 use sequoiastream_core::config::Version;
 use sequoiastream_core::engine::Speed;
 use sequoiastream_core::limit::Limiter;
-use sequoiastream_core::limit::Need;
-use sequoiastream_core::limit::Owed;
+use sequoiastream_core::limit::RequestCost;
+use sequoiastream_core::limit::ServiceShare;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::policy::Policy;
 use sequoiastream_core::roles::Demand;
 use sequoiastream_core::roles::EngineSeen;
 use sequoiastream_core::roles::Evidence;
 use sequoiastream_core::roles::Planner;
-use sequoiastream_core::route::Ask;
-use sequoiastream_core::route::Report;
+use sequoiastream_core::route::LoadReport;
+use sequoiastream_core::route::RouteRequest;
 use sequoiastream_core::route::Router;
 use sequoiastream_core::snapshot::Snapshot;
 use sequoiastream_core::time::Time;
@@ -69,8 +69,8 @@
     Snapshot::new(Version(1), &config)
 }
 
-fn report(at: Time, index: u32) -> Report {
-    Report {
+fn report(at: Time, index: u32) -> LoadReport {
+    LoadReport {
         at,
         role: if index.is_multiple_of(3) {
             Role::Prefill
@@ -85,10 +85,10 @@
     }
 }
 
-fn ask(snapshot: &Snapshot, blocks: u64, own: u64) -> Ask {
+fn ask(snapshot: &Snapshot, blocks: u64, own: u64) -> RouteRequest {
     let shared = blocks / 2;
     let digests = (0..blocks).map(|i| if i < shared { i } else { own * 10_000 + i });
-    Ask {
+    RouteRequest {
         service: snapshot.service_of("m").expect("the service"),
         prompt: blocks as u32 * 32,
         output: 100,
@@ -99,7 +99,7 @@
 
 fn loaded(snapshot: &Snapshot, now: Time) -> Router {
     let mut router = Router::new().zone(name("zone", 0)).seed(1);
-    router.follow(snapshot);
+    router.sync_engines(snapshot);
     for (index, (_, engine)) in snapshot.engines.iter().enumerate() {
         router.report(&engine.name, report(now, index as u32));
     }
@@ -122,7 +122,7 @@
                     let choice = router
                         .choose(now, &snapshot, black_box(&ask), &[])
                         .expect("an engine");
-                    router.end(&choice.ticket);
+                    router.end(&choice.handle);
                 });
             });
         }
@@ -135,11 +135,11 @@
     for products in PRODUCTS {
         let mut limiter = Limiter::new(1);
         let names: Vec<Name> = (0..products).map(|i| name("p", i)).collect();
-        let owed = Owed {
+        let owed = ServiceShare {
             share: Share::percent(1),
             engines: 600,
         };
-        let need = Need {
+        let need = RequestCost {
             cost: 0.01,
             total: 1.0,
             left: 5.0,
--- a/crates/core/src/route/affinity.rs
+++ b/crates/core/src/route/affinity.rs
@@ -1,6 +1,6 @@
 //! Which engines hold the KV cache of which prompt prefix, as far as is known.
 //!
-//! Engines publish what they store and evict late and with gaps, so an entry is a belief with an expiry. Memory
+//! Engines publish what they store and evict late and with gaps, so an entry is a entry with an expiry. Memory
 //! is bounded: the oldest entries go first.
 
 use std::collections::BTreeMap;
@@ -17,8 +17,8 @@
 /// Blocks remembered for each engine of the fleet.
 const BLOCKS_PER_ENGINE: usize = 1024;
 
-/// How long a belief lasts that nothing confirms.
-const BELIEF: Duration = Duration::from_secs(120);
+/// How long a entry lasts that nothing confirms.
+const ENTRY_TTL: Duration = Duration::from_secs(120);
 
 /// An engine that is believed to hold a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,15 +30,15 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Belief {
+struct Entry {
     engine: EngineKey,
-    until: Time,
+    expires: Time,
 }
 
-/// The beliefs about all engines.
+/// The entries about all engines.
 #[derive(Debug, Clone, Default)]
 pub struct Affinity {
-    blocks: BTreeMap<u64, Vec<Belief>>,
+    blocks: BTreeMap<u64, Vec<Entry>>,
     order: VecDeque<u64>,
     capacity: usize,
 }
@@ -64,37 +64,37 @@
 
     /// Notes that `engine` holds `block`.
     pub fn store(&mut self, now: Time, engine: EngineKey, block: u64) {
-        let until = now + BELIEF;
-        let beliefs = self.blocks.entry(block).or_insert_with(|| {
+        let expires = now + ENTRY_TTL;
+        let entries = self.blocks.entry(block).or_insert_with(|| {
             self.order.push_back(block);
             Vec::with_capacity(1)
         });
-        match beliefs.iter_mut().find(|b| b.engine == engine) {
-            Some(belief) => belief.until = until,
+        match entries.iter_mut().find(|b| b.engine == engine) {
+            Some(entry) => entry.expires = expires,
             None => {
-                if beliefs.len() == MAX_HOLDERS {
-                    beliefs.remove(0);
+                if entries.len() == MAX_HOLDERS {
+                    entries.remove(0);
                 }
-                beliefs.push(Belief { engine, until });
+                entries.push(Entry { engine, expires });
             }
         }
-        self.shrink();
+        self.evict_oldest();
     }
 
     /// Notes that `engine` no longer holds `block`.
     pub fn evict(&mut self, engine: EngineKey, block: u64) {
-        if let Some(beliefs) = self.blocks.get_mut(&block) {
-            beliefs.retain(|b| b.engine != engine);
+        if let Some(entries) = self.blocks.get_mut(&block) {
+            entries.retain(|b| b.engine != engine);
         }
     }
 
     /// Forgets everything about `engine`, as after a role change, or after a gap in its events.
     ///
     /// Failure guarded against: an eviction that fell into the gap would be believed for as long as
-    /// [`BELIEF`]; requests with that prefix would crowd on an engine that processes it anew each time.
+    /// [`ENTRY_TTL`]; requests with that prefix would crowd on an engine that processes it anew each time.
     pub fn forget(&mut self, engine: EngineKey) {
-        for beliefs in self.blocks.values_mut() {
-            beliefs.retain(|b| b.engine != engine);
+        for entries in self.blocks.values_mut() {
+            entries.retain(|b| b.engine != engine);
         }
     }
 
@@ -105,12 +105,12 @@
         let (mut low, mut high) = (0, digests.len());
         while low < high {
             let middle = low + (high - low) / 2;
-            let beliefs = self.blocks.get(&digests[middle]);
-            let live = beliefs.into_iter().flatten().filter(|b| b.until > now);
+            let entries = self.blocks.get(&digests[middle]);
+            let live = entries.into_iter().flatten().filter(|b| b.expires > now);
             let before = found.len();
-            for belief in live {
+            for entry in live {
                 let cached = (middle as u32 + 1) * BLOCK_TOKENS;
-                note(&mut found, belief.engine, cached);
+                record_holder(&mut found, entry.engine, cached);
             }
             match found.len() > before
                 || found
@@ -125,7 +125,7 @@
         found
     }
 
-    fn shrink(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.blocks.len() > self.capacity {
             let Some(oldest) = self.order.pop_front() else {
                 break;
@@ -135,7 +135,7 @@
     }
 }
 
-fn note(found: &mut Vec<Holder>, engine: EngineKey, cached: u32) {
+fn record_holder(found: &mut Vec<Holder>, engine: EngineKey, cached: u32) {
     match found.iter_mut().find(|h| h.engine == engine) {
         Some(holder) => holder.cached = holder.cached.max(cached),
         None => found.push(Holder { engine, cached }),
--- a/crates/core/src/route/book.rs
+++ b/crates/core/src/route/engine_load.rs
@@ -9,17 +9,17 @@
 use crate::time::Time;
 
 /// Time constant of the mean of prompt tokens given to an engine, in seconds.
-const PROMPT_MEAN: f64 = 5.0;
+const PROMPT_MEAN_S: f64 = 5.0;
 
 /// Highest part of an engine's time that is taken to go into prompts of others.
 const MAX_PRESSURE: f64 = 0.9;
 
 /// Load reports older than this say nothing.
-pub const STALE: Duration = Duration::from_secs(15);
+pub const MAX_REPORT_AGE: Duration = Duration::from_secs(15);
 
 /// What an engine said of itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// The moment that the report describes: receipt less its age.
     pub at: Time,
     /// The role it had.
@@ -47,17 +47,17 @@
 
 /// What is known of one engine.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
-    report: Option<Report>,
+pub struct EngineLoad {
+    report: Option<LoadReport>,
     sent: Vec<Sent>,
-    prompts: f64,
-    touched: Time,
-    suspect: Option<Time>,
+    prompt_rate: f64,
+    decayed_at: Time,
+    suspect_until: Option<Time>,
 }
 
 /// The engine's state as far as it can be told now.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct View {
+pub struct LoadView {
     /// Its role.
     pub role: Role,
     /// Prompt tokens waiting.
@@ -80,7 +80,7 @@
     /// For its output.
     pub decode: f64,
     /// By which it delays the requests that run there, all together.
-    pub harm: f64,
+    pub added_delay: f64,
 }
 
 impl Estimate {
@@ -90,9 +90,9 @@
     }
 }
 
-impl Book {
+impl EngineLoad {
     /// Takes a report unless a newer one is known. Returns whether the engine's role changed.
-    pub fn report(&mut self, report: Report) -> bool {
+    pub fn report(&mut self, report: LoadReport) -> bool {
         let known = self.report.map(|r| (r.at, r.role));
         if known.is_some_and(|(at, _)| at > report.at) {
             return false;
@@ -102,19 +102,19 @@
     }
 
     /// The last report.
-    pub fn last(&self) -> Option<&Report> {
+    pub fn last(&self) -> Option<&LoadReport> {
         self.report.as_ref()
     }
 
     /// Requests of this instance there.
-    pub fn own(&self) -> usize {
+    pub fn own_requests(&self) -> usize {
         self.sent.len()
     }
 
     /// Notes a request that is sent now.
     pub fn send(&mut self, now: Time, id: u64, prefill: u32) {
         self.decay(now);
-        self.prompts += f64::from(prefill) / PROMPT_MEAN;
+        self.prompt_rate += f64::from(prefill) / PROMPT_MEAN_S;
         self.sent.push(Sent {
             id,
             at: now,
@@ -137,23 +137,25 @@
 
     /// Gives the engine no work until `until`: an attempt there failed before it began.
     pub fn suspect(&mut self, until: Time) {
-        self.suspect = Some(until);
+        self.suspect_until = Some(until);
     }
 
     /// Whether the engine is here: not away for an order.
-    pub fn is_here(&self, now: Time) -> bool {
-        !self.report.is_some_and(|r| r.away && now.since(r.at) < STALE)
+    pub fn is_present(&self, now: Time) -> bool {
+        !self
+            .report
+            .is_some_and(|r| r.away && now.since(r.at) < MAX_REPORT_AGE)
     }
 
     /// Whether an attempt there failed a moment ago.
     pub fn is_suspect(&self, now: Time) -> bool {
-        self.suspect.is_some_and(|until| until > now)
+        self.suspect_until.is_some_and(|until| until > now)
     }
 
     /// The state now. `scale` is the number of instances that send work there as this one does: a report is
     /// the same for all, so what each added since is taken to be what this one added.
-    pub fn view(&self, now: Time, role: Option<Role>, scale: f64) -> View {
-        let report = self.report.filter(|r| now.since(r.at) < STALE);
+    pub fn view(&self, now: Time, role: Option<Role>, scale: f64) -> LoadView {
+        let report = self.report.filter(|r| now.since(r.at) < MAX_REPORT_AGE);
         let at = report.map_or(Time::ZERO, |r| r.at);
         let (mut newer, mut prompts, mut waiting) = (0.0, 0.0, 0.0);
         for sent in &self.sent {
@@ -175,8 +177,8 @@
             None => 0.0,
         };
         let counted = report.map_or(0.0, |r| f64::from(r.running + r.queued)) + newer * scale;
-        let decayed = self.prompts * (-now.since(self.touched).as_secs_f64() / PROMPT_MEAN).exp();
-        View {
+        let decayed = self.prompt_rate * (-now.since(self.decayed_at).as_secs_f64() / PROMPT_MEAN_S).exp();
+        LoadView {
             role,
             backlog: aged.max(waiting),
             requests: counted.max(self.sent.len() as f64),
@@ -186,12 +188,12 @@
     }
 
     fn decay(&mut self, now: Time) {
-        self.prompts *= (-now.since(self.touched).as_secs_f64() / PROMPT_MEAN).exp();
-        self.touched = now;
+        self.prompt_rate *= (-now.since(self.decayed_at).as_secs_f64() / PROMPT_MEAN_S).exp();
+        self.decayed_at = now;
     }
 }
 
-impl View {
+impl LoadView {
     /// What a request of `prefill` uncached prompt tokens and `output` tokens would meet.
     pub fn estimate(&self, prefill: u32, output: u32) -> Estimate {
         let profile = RoleProfile::of(self.role, self.speed.slots);
@@ -207,7 +209,7 @@
             wait: self.backlog / rate + ahead * answer / slots,
             prefill: own / rate,
             decode: answer,
-            harm: own / self.speed.prefill * running,
+            added_delay: own / self.speed.prefill * running,
         }
     }
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,12 +1,12 @@
 //! Which engine gets a request.
 //!
 //! The estimate of an engine is its last load report, aged by its lag, plus the work that this instance gave it
-//! since (see [`book`]), less the prompt prefix that it is believed to hold (see [`affinity`]). A few candidates
+//! since (see [`engine_load`]), less the prompt prefix that it is believed to hold (see [`affinity`]). A few candidates
 //! are compared and the best is taken; the candidates are drawn at random, so that instances that see the same
 //! stale reports don't all choose the same engine.
 
 mod affinity;
-mod book;
+mod engine_load;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,11 +18,11 @@
 
 pub use affinity::Affinity;
 pub use affinity::Holder;
-pub use book::Book;
-pub use book::Estimate;
-pub use book::Report;
-pub use book::STALE;
-pub use book::View;
+pub use engine_load::EngineLoad;
+pub use engine_load::Estimate;
+pub use engine_load::LoadReport;
+pub use engine_load::LoadView;
+pub use engine_load::MAX_REPORT_AGE;
 
 use crate::config::EngineState;
 use crate::config::Version;
@@ -43,16 +43,16 @@
 const JITTER: f64 = 0.02;
 
 /// Seconds that another availability zone adds to an estimate.
-const OTHER_ZONE: f64 = 0.005;
+const OTHER_ZONE_S: f64 = 0.005;
 
 /// Weight of the delay that a request means for the requests of others.
-const HARM: f64 = 0.25;
+const DELAY_WEIGHT: f64 = 0.25;
 
 /// How long an engine that refused or broke an attempt before it began gets no work.
-const SUSPECT: Duration = Duration::from_millis(500);
+const SUSPECT_TIME: Duration = Duration::from_millis(500);
 
 /// Deadlines left, in milliseconds, up to which a request has priority 0, 1, 2; above, 3.
-const URGENT: [u128; 3] = [2_000, 8_000, 30_000];
+const PRIORITY_LIMITS_MS: [u128; 3] = [2_000, 8_000, 30_000];
 
 /// How engines are chosen. All but [`Routing::Estimate`] are baselines for measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -68,7 +68,7 @@
 
 /// A request to be placed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct RouteRequest {
     /// The service.
     pub service: ServiceKey,
     /// Tokens of its prompt.
@@ -83,7 +83,7 @@
 
 /// Names a request at an engine until [`Router::end`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ticket {
+pub struct RequestHandle {
     engine: Name,
     id: u64,
 }
@@ -98,7 +98,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// To be given back when the attempt ends.
-    pub ticket: Ticket,
+    pub handle: RequestHandle,
     /// What the request is expected to meet.
     pub estimate: Estimate,
     /// Priority at the engine; 0 is the most urgent.
@@ -107,7 +107,7 @@
 
 /// What a request would meet at the best engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Foreseen {
+pub struct Forecast {
     /// What it is expected to meet.
     pub estimate: Estimate,
     /// Prompt tokens that are not cached there.
@@ -117,7 +117,7 @@
 }
 
 /// Engines that are left out of a choice.
-struct Leave<'a> {
+struct Exclusions<'a> {
     names: &'a [Name],
     suspects: bool,
 }
@@ -131,7 +131,7 @@
     scale: f64,
     version: Version,
     names: BTreeMap<Name, EngineKey>,
-    books: Vec<Book>,
+    loads: Vec<EngineLoad>,
     affinity: Affinity,
     rng: ChaCha8Rng,
     next: u64,
@@ -153,7 +153,7 @@
             scale: 1.0,
             version: Version::default(),
             names: BTreeMap::new(),
-            books: Vec::new(),
+            loads: Vec::new(),
             affinity: Affinity::default(),
             rng: ChaCha8Rng::seed_from_u64(0),
             next: 0,
@@ -184,11 +184,11 @@
     }
 
     /// Takes the load report of `engine`.
-    pub fn report(&mut self, engine: &Name, report: Report) {
+    pub fn report(&mut self, engine: &Name, report: LoadReport) {
         let Some(key) = self.names.get(engine).copied() else {
             return;
         };
-        let Some(book) = self.books.get_mut(key.index() as usize) else {
+        let Some(book) = self.loads.get_mut(key.index() as usize) else {
             return;
         };
         if book.report(report) {
@@ -215,32 +215,38 @@
     }
 
     /// What is known of `engine`.
-    pub fn book(&self, engine: &Name) -> Option<&Book> {
-        self.books.get(self.names.get(engine)?.index() as usize)
+    pub fn engine_load(&self, engine: &Name) -> Option<&EngineLoad> {
+        self.loads.get(self.names.get(engine)?.index() as usize)
     }
 
     /// Chooses an engine for `ask`, leaving out `except`, and counts the request there. `None` if there is
     /// none that takes work.
-    pub fn choose(&mut self, now: Time, snapshot: &Snapshot, ask: &Ask, except: &[Name]) -> Option<Choice> {
-        self.follow(snapshot);
+    pub fn choose(
+        &mut self,
+        now: Time,
+        snapshot: &Snapshot,
+        ask: &RouteRequest,
+        except: &[Name],
+    ) -> Option<Choice> {
+        self.sync_engines(snapshot);
         let holders = match self.policy {
             Routing::Estimate => self.affinity.holders(now, &ask.digests),
             Routing::RoundRobin | Routing::LeastReported => Vec::new(),
         };
-        let candidates = self.open_candidates(now, snapshot, ask, except, &holders);
-        let Weighed {
+        let candidates = self.eligible_candidates(now, snapshot, ask, except, &holders);
+        let Evaluated {
             key,
             cached,
             estimate,
         } = match self.policy {
-            Routing::RoundRobin => self.weigh(now, snapshot, ask, self.in_turn(&candidates)?, 0),
-            Routing::LeastReported => self.weigh(now, snapshot, ask, self.least_reported(&candidates)?, 0),
+            Routing::RoundRobin => self.evaluate(now, snapshot, ask, self.round_robin(&candidates)?, 0),
+            Routing::LeastReported => self.evaluate(now, snapshot, ask, self.least_reported(&candidates)?, 0),
             Routing::Estimate => self.best(now, snapshot, ask, &candidates, &holders)?,
         };
         let engine = snapshot.engines.get(key)?;
         let id = self.next;
         self.next += 1;
-        self.books[key.index() as usize].send(now, id, ask.prompt.saturating_sub(cached));
+        self.loads[key.index() as usize].send(now, id, ask.prompt.saturating_sub(cached));
         if self.policy == Routing::Estimate {
             for digest in &ask.digests {
                 self.affinity.store(now, key, *digest);
@@ -250,7 +256,7 @@
             engine: key,
             name: engine.name.clone(),
             address: engine.address,
-            ticket: Ticket {
+            handle: RequestHandle {
                 engine: engine.name.clone(),
                 id,
             },
@@ -260,16 +266,16 @@
     }
 
     /// The best estimate for `ask`, without counting it anywhere.
-    pub fn foresee(&mut self, now: Time, snapshot: &Snapshot, ask: &Ask) -> Option<Foreseen> {
-        self.follow(snapshot);
+    pub fn forecast(&mut self, now: Time, snapshot: &Snapshot, ask: &RouteRequest) -> Option<Forecast> {
+        self.sync_engines(snapshot);
         let holders = self.affinity.holders(now, &ask.digests);
-        let candidates = self.open_candidates(now, snapshot, ask, &[], &holders);
-        let Weighed {
+        let candidates = self.eligible_candidates(now, snapshot, ask, &[], &holders);
+        let Evaluated {
             key,
             cached,
             estimate,
         } = self.best(now, snapshot, ask, &candidates, &holders)?;
-        Some(Foreseen {
+        Some(Forecast {
             estimate,
             prefill: ask.prompt.saturating_sub(cached),
             speed: self.view(now, snapshot, key).speed,
@@ -277,24 +283,24 @@
     }
 
     /// Notes the first token of a request.
-    pub fn started(&mut self, ticket: &Ticket) {
-        if let Some(book) = self.book_mut(&ticket.engine) {
+    pub fn started(&mut self, ticket: &RequestHandle) {
+        if let Some(book) = self.load_mut(&ticket.engine) {
             book.start(ticket.id);
         }
     }
 
     /// Notes that a request ended at its engine.
-    pub fn end(&mut self, ticket: &Ticket) {
-        if let Some(book) = self.book_mut(&ticket.engine) {
+    pub fn end(&mut self, ticket: &RequestHandle) {
+        if let Some(book) = self.load_mut(&ticket.engine) {
             book.end(ticket.id);
         }
     }
 
     /// Notes that a request failed at its engine, which gets no work for a moment.
-    pub fn failed(&mut self, now: Time, ticket: &Ticket) {
-        if let Some(book) = self.book_mut(&ticket.engine) {
+    pub fn failed(&mut self, now: Time, ticket: &RequestHandle) {
+        if let Some(book) = self.load_mut(&ticket.engine) {
             book.end(ticket.id);
-            book.suspect(now + SUSPECT);
+            book.suspect(now + SUSPECT_TIME);
         }
     }
 
@@ -315,71 +321,71 @@
     /// Requests of this instance at `engine`.
     pub fn in_flight(&self, engine: &Name) -> u32 {
         let picked = self.inflight.get(engine).copied().unwrap_or_default();
-        let chosen = self.book(engine).map_or(0, Book::own);
+        let chosen = self.engine_load(engine).map_or(0, EngineLoad::own_requests);
         picked.saturating_add(u32::try_from(chosen).unwrap_or(u32::MAX))
     }
 
     /// Counts a request that [`Router::pick`] placed at `engine` as ended.
-    pub fn done(&mut self, engine: &Name) {
+    pub fn release(&mut self, engine: &Name) {
         if let Some(count) = self.inflight.get_mut(engine) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Lays the books out anew for another version of the configuration, keeping what is known by name.
-    pub fn follow(&mut self, snapshot: &Snapshot) {
-        if self.version == snapshot.version && self.books.len() == snapshot.engines.len() {
+    /// Lays the loads out anew for another version of the configuration, keeping what is known by name.
+    pub fn sync_engines(&mut self, snapshot: &Snapshot) {
+        if self.version == snapshot.version && self.loads.len() == snapshot.engines.len() {
             return;
         }
         let mut names = BTreeMap::new();
-        let mut books = Vec::with_capacity(snapshot.engines.len());
+        let mut loads = Vec::with_capacity(snapshot.engines.len());
         for (key, engine) in snapshot.engines.iter() {
             let old = self.names.get(&engine.name);
-            let old = old.and_then(|k| self.books.get_mut(k.index() as usize));
-            books.push(old.map(std::mem::take).unwrap_or_default());
+            let old = old.and_then(|k| self.loads.get_mut(k.index() as usize));
+            loads.push(old.map(std::mem::take).unwrap_or_default());
             names.insert(engine.name.clone(), key);
         }
         if names != self.names {
-            self.affinity = Affinity::new(books.len());
+            self.affinity = Affinity::new(loads.len());
         }
         self.names = names;
-        self.books = books;
+        self.loads = loads;
         self.version = snapshot.version;
     }
 
-    fn book_mut(&mut self, engine: &Name) -> Option<&mut Book> {
+    fn load_mut(&mut self, engine: &Name) -> Option<&mut EngineLoad> {
         let key = self.names.get(engine)?;
-        self.books.get_mut(key.index() as usize)
+        self.loads.get_mut(key.index() as usize)
     }
 
-    fn priority(&self, now: Time, ask: &Ask) -> u8 {
+    fn priority(&self, now: Time, ask: &RouteRequest) -> u8 {
         if self.policy != Routing::Estimate {
             return 0;
         }
         let left = ask.deadline.since(now).as_millis();
-        URGENT.iter().filter(|limit| left > **limit).count() as u8
+        PRIORITY_LIMITS_MS.iter().filter(|limit| left > **limit).count() as u8
     }
 
     /// The engines to compare. Where only suspects are left they are taken after all: one broken answer must not
-    /// leave a service without engines.
-    fn open_candidates(
+    /// excluded a service without engines.
+    fn eligible_candidates(
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &Ask,
+        ask: &RouteRequest,
         except: &[Name],
         holders: &[Holder],
     ) -> Vec<EngineKey> {
-        let mut leave = Leave {
+        let mut excluded = Exclusions {
             names: except,
             suspects: true,
         };
-        let candidates = self.candidates(now, snapshot, ask, &leave, holders);
+        let candidates = self.candidates(now, snapshot, ask, &excluded, holders);
         if !candidates.is_empty() {
             return candidates;
         }
-        leave.suspects = false;
-        self.candidates(now, snapshot, ask, &leave, holders)
+        excluded.suspects = false;
+        self.candidates(now, snapshot, ask, &excluded, holders)
     }
 
     /// The engines to compare: all of a small service; of a large one, some at random and the holders.
@@ -387,8 +393,8 @@
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &Ask,
-        leave: &Leave<'_>,
+        ask: &RouteRequest,
+        excluded: &Exclusions<'_>,
         holders: &[Holder],
     ) -> Vec<EngineKey> {
         let Some(service) = snapshot.services.get(ask.service) else {
@@ -397,54 +403,61 @@
         let engines = &service.engines;
         let all = self.policy != Routing::Estimate || engines.len() <= 2 * CANDIDATES;
         if all {
-            let takes = |key: &&EngineKey| self.is_open(now, snapshot, **key, leave);
+            let takes = |key: &&EngineKey| self.is_eligible(now, snapshot, **key, excluded);
             return engines.iter().filter(takes).copied().collect();
         }
         let mut chosen: Vec<EngineKey> = Vec::with_capacity(CANDIDATES + HOLDERS);
-        let near = holders.iter().take(HOLDERS).map(|h| h.engine);
-        chosen.extend(near.filter(|key| self.is_open(now, snapshot, *key, leave)));
-        let mut zone_mates = 0;
+        let holding = holders.iter().take(HOLDERS).map(|h| h.engine);
+        chosen.extend(holding.filter(|key| self.is_eligible(now, snapshot, *key, excluded)));
+        let mut same_zone = 0;
         // Engines of other zones are drawn too, but only half as many are kept.
         for _ in 0..6 * CANDIDATES {
-            if chosen.len() >= CANDIDATES + HOLDERS || zone_mates >= CANDIDATES {
+            if chosen.len() >= CANDIDATES + HOLDERS || same_zone >= CANDIDATES {
                 break;
             }
             let key = engines[self.rng.random_range(0..engines.len())];
-            if chosen.contains(&key) || !self.is_open(now, snapshot, key, leave) {
+            if chosen.contains(&key) || !self.is_eligible(now, snapshot, key, excluded) {
                 continue;
             }
-            let near = self.is_near(snapshot, key);
-            if !near && self.rng.random_bool(0.5) {
+            let in_zone = self.is_same_zone(snapshot, key);
+            if !in_zone && self.rng.random_bool(0.5) {
                 continue;
             }
-            zone_mates += usize::from(near);
+            same_zone += usize::from(in_zone);
             chosen.push(key);
         }
         chosen
     }
 
-    fn is_open(&self, now: Time, snapshot: &Snapshot, key: EngineKey, leave: &Leave<'_>) -> bool {
+    fn is_eligible(&self, now: Time, snapshot: &Snapshot, key: EngineKey, excluded: &Exclusions<'_>) -> bool {
         let serving = snapshot
             .engines
             .get(key)
-            .is_some_and(|e| e.state == EngineState::Serving && !leave.names.contains(&e.name));
-        let book = self.books.get(key.index() as usize);
-        serving && book.is_some_and(|b| b.is_here(now) && !(leave.suspects && b.is_suspect(now)))
+            .is_some_and(|e| e.state == EngineState::Serving && !excluded.names.contains(&e.name));
+        let book = self.loads.get(key.index() as usize);
+        serving && book.is_some_and(|b| b.is_present(now) && !(excluded.suspects && b.is_suspect(now)))
     }
 
-    fn is_near(&self, snapshot: &Snapshot, key: EngineKey) -> bool {
+    fn is_same_zone(&self, snapshot: &Snapshot, key: EngineKey) -> bool {
         let zone = snapshot.engines.get(key).map(|e| &e.zone);
         self.zone.is_none() || zone == self.zone.as_ref()
     }
 
-    fn view(&self, now: Time, snapshot: &Snapshot, key: EngineKey) -> View {
+    fn view(&self, now: Time, snapshot: &Snapshot, key: EngineKey) -> LoadView {
         let role = snapshot.engines.get(key).and_then(|e| e.role);
-        self.books[key.index() as usize].view(now, role, self.scale)
+        self.loads[key.index() as usize].view(now, role, self.scale)
     }
 
-    fn weigh(&self, now: Time, snapshot: &Snapshot, ask: &Ask, key: EngineKey, cached: u32) -> Weighed {
+    fn evaluate(
+        &self,
+        now: Time,
+        snapshot: &Snapshot,
+        ask: &RouteRequest,
+        key: EngineKey,
+        cached: u32,
+    ) -> Evaluated {
         let prompt = ask.prompt.saturating_sub(cached);
-        Weighed {
+        Evaluated {
             key,
             cached,
             estimate: self.view(now, snapshot, key).estimate(prompt, ask.output),
@@ -455,39 +468,39 @@
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &Ask,
+        ask: &RouteRequest,
         candidates: &[EngineKey],
         holders: &[Holder],
-    ) -> Option<Weighed> {
+    ) -> Option<Evaluated> {
         let mut best = None;
         let mut least = f64::INFINITY;
         for key in candidates {
             let holder = holders.iter().find(|h| h.engine == *key);
             let cached = holder.map_or(0, |h| h.cached.min(ask.prompt));
-            let weighed = self.weigh(now, snapshot, ask, *key, cached);
-            let zone = match self.is_near(snapshot, *key) {
+            let evaluated = self.evaluate(now, snapshot, ask, *key, cached);
+            let zone = match self.is_same_zone(snapshot, *key) {
                 true => 0.0,
-                false => OTHER_ZONE,
+                false => OTHER_ZONE_S,
             };
             let jitter = 1.0 + JITTER * self.rng.random::<f64>();
-            let estimate = &weighed.estimate;
-            let score = (estimate.total() + HARM * estimate.harm + zone) * jitter;
+            let estimate = &evaluated.estimate;
+            let score = (estimate.total() + DELAY_WEIGHT * estimate.added_delay + zone) * jitter;
             if score < least {
                 least = score;
-                best = Some(weighed);
+                best = Some(evaluated);
             }
         }
         best
     }
 
-    fn in_turn(&self, candidates: &[EngineKey]) -> Option<EngineKey> {
+    fn round_robin(&self, candidates: &[EngineKey]) -> Option<EngineKey> {
         let turn = usize::try_from(self.next).unwrap_or(0);
         candidates.get(turn % candidates.len().max(1)).copied()
     }
 
     fn least_reported(&self, candidates: &[EngineKey]) -> Option<EngineKey> {
         let load = |key: &&EngineKey| {
-            let report = self.books[key.index() as usize].last();
+            let report = self.loads[key.index() as usize].last();
             report.map_or(0, |r| r.running + r.queued)
         };
         candidates.iter().min_by_key(load).copied()
@@ -496,7 +509,7 @@
 
 /// What a request would find at an engine.
 #[derive(Debug, Clone, Copy)]
-struct Weighed {
+struct Evaluated {
     key: EngineKey,
     /// Leading tokens of the prompt that the engine is believed to hold.
     cached: u32,
--- a/src/ops/control/load.rs
+++ b/src/ops/control/load.rs
@@ -15,7 +15,7 @@
 use sequoiastream_core::config::ServiceKind;
 use sequoiastream_core::engine::Speed;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::route::Report;
+use sequoiastream_core::route::LoadReport;
 use sequoiastream_core::snapshot::EngineView;
 use sequoiastream_core::snapshot::Snapshot;
 use sequoiastream_upstream::EngineClient;
@@ -63,7 +63,7 @@
         let heard = self.shared.roster().peers.iter().filter(|p| p.heard).count();
         {
             let mut router = self.shared.router();
-            router.follow(&snapshot);
+            router.sync_engines(&snapshot);
             router.set_instances(1 + heard);
         }
         self.shared.policy.limits().set_instances(1 + heard);
@@ -155,8 +155,8 @@
     service.is_some_and(|s| matches!(s.kind, ServiceKind::Model { .. }))
 }
 
-fn report(body: &LoadBody) -> Report {
-    Report {
+fn report(body: &LoadBody) -> LoadReport {
+    LoadReport {
         at: clock::now() - Duration::from_millis(body.age),
         role: body.role,
         away: body.away,
--- a/src/ops/control/roles.rs
+++ b/src/ops/control/roles.rs
@@ -183,7 +183,7 @@
 
 /// An engine as its last report shows it; `None` if there is none.
 fn seen(now: Time, router: &Router, engine: &EngineView) -> Option<EngineSeen> {
-    let report = router.book(&engine.name)?.last()?;
+    let report = router.engine_load(&engine.name)?.last()?;
     Some(EngineSeen {
         name: engine.name.clone(),
         role: report.role,
--- a/src/ops/dispatch/admit.rs
+++ b/src/ops/dispatch/admit.rs
@@ -7,13 +7,13 @@
 use sequoiastream_core::config::ServiceKind;
 use sequoiastream_core::config::Share;
 use sequoiastream_core::limit;
-use sequoiastream_core::limit::Need;
-use sequoiastream_core::limit::Owed;
-use sequoiastream_core::limit::Verdict;
+use sequoiastream_core::limit::Admission;
+use sequoiastream_core::limit::RequestCost;
+use sequoiastream_core::limit::ServiceShare;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::outcome::Reason;
 use sequoiastream_core::prefix::block_digests;
-use sequoiastream_core::route::Ask;
+use sequoiastream_core::route::RouteRequest;
 use sequoiastream_core::snapshot::ProductView;
 use sequoiastream_core::snapshot::ServiceKey;
 use sequoiastream_core::snapshot::Snapshot;
@@ -29,18 +29,18 @@
 const LENT_PRIORITY: u8 = 4;
 
 /// Describes `call` to the router.
-pub fn ask(shared: &Shared, snapshot: &Snapshot, call: &GenerateCall, service: ServiceKey) -> Ask {
+pub fn ask(shared: &Shared, snapshot: &Snapshot, call: &GenerateCall, service: ServiceKey) -> RouteRequest {
     let limit = call.deadline.unwrap_or_else(|| default_deadline(snapshot, call));
     let output = match snapshot.services.get(service) {
         Some(view) => shared
             .policy
             .limits()
             .at(&view.name)
-            .expect(&call.product, call.limit),
+            .expected_output(&call.product, call.limit),
         None => call.limit,
     };
     let prompt = call.prompt.split_whitespace().count();
-    Ask {
+    RouteRequest {
         service,
         prompt: u32::try_from(prompt)
             .unwrap_or(u32::MAX)
@@ -93,7 +93,7 @@
     shared.policy.retries().fresh(&call.product);
     let ask = ask(shared, &snapshot, &call, service);
     let now = clock::now();
-    let Some(foreseen) = shared.router().foresee(now, &snapshot, &ask) else {
+    let Some(foreseen) = shared.router().forecast(now, &snapshot, &ask) else {
         return Ok(call);
     };
     let Some(view) = snapshot.services.get(service) else {
@@ -105,11 +105,11 @@
     if !shared.settings.policy.limits() || call.resume.offset > 0 {
         return Ok(call);
     }
-    let owed = Owed {
+    let owed = ServiceShare {
         share: product(&snapshot, &call.product).map_or(Share::default(), |p| p.share),
         engines: view.engines.len(),
     };
-    let need = Need {
+    let need = RequestCost {
         cost: limit::cost(foreseen.speed, foreseen.prefill, ask.output),
         total: foreseen.estimate.total(),
         left: ask.deadline.since(now).as_secs_f64(),
@@ -121,13 +121,13 @@
         .admit(now, &call.product, owed, need);
     shared.metrics.policy.verdict(&call.product, verdict);
     match verdict {
-        Verdict::Owed => Ok(call),
-        Verdict::Lent => {
+        Admission::Owed => Ok(call),
+        Admission::Lent => {
             // Work on borrowed time goes behind the work of those who are owed it.
             call.priority = call.priority.max(LENT_PRIORITY);
             Ok(call)
         }
-        Verdict::Refused(reason, after) => {
+        Admission::Refused(reason, after) => {
             let proof = call.unsent.refuse(reason).come_back(after);
             Err(Refusal::not_run(proof, message(reason)))
         }
--- a/src/ops/dispatch/forward.rs
+++ b/src/ops/dispatch/forward.rs
@@ -187,7 +187,7 @@
             false => left,
         };
         let result = self.dispatch.plain.send(target.address, self.plain, limit).await;
-        self.dispatch.shared.router().done(&target.name);
+        self.dispatch.shared.router().release(&target.name);
         result
     }
 }
--- a/src/ops/dispatch/generate/ending.rs
+++ b/src/ops/dispatch/generate/ending.rs
@@ -57,7 +57,7 @@
         let shared = &self.dispatch.shared;
         if let Some(view) = shared.snapshot.load().services.get(self.request.service) {
             let mut limits = shared.policy.limits();
-            limits.at(&view.name).finished(&self.request.product, tokens);
+            limits.at(&view.name).record_output(&self.request.product, tokens);
         }
     }
 
--- a/src/ops/dispatch/once.rs
+++ b/src/ops/dispatch/once.rs
@@ -183,7 +183,7 @@
         actix::spawn(async move {
             let _running = running;
             let result = self.attempt(&target, grant, &plain, left + LATE).await;
-            self.dispatch.shared.router().done(&target.name);
+            self.dispatch.shared.router().release(&target.name);
             // The caller may be gone; then nobody needs the answer.
             let _ = sender.send(result);
         });
--- a/src/ops/dispatch/request.rs
+++ b/src/ops/dispatch/request.rs
@@ -2,7 +2,7 @@
 
 use sequoiastream_core::name::Name;
 use sequoiastream_core::poison::Fingerprint;
-use sequoiastream_core::route::Ask;
+use sequoiastream_core::route::RouteRequest;
 use sequoiastream_core::snapshot::ServiceKey;
 use sequoiastream_core::time::Time;
 use uuid::Uuid;
@@ -31,5 +31,5 @@
     /// When the answer must be there.
     pub deadline: Time,
     /// The request as the router sees it.
-    pub ask: Ask,
+    pub ask: RouteRequest,
 }
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -15,7 +15,7 @@
 use sequoiastream_core::poison::Fingerprint;
 use sequoiastream_core::poison::Note;
 use sequoiastream_core::poison::Standing;
-use sequoiastream_core::route::Ticket;
+use sequoiastream_core::route::RequestHandle;
 use sequoiastream_core::snapshot::Snapshot;
 use sequoiastream_operator::wire::StatementBody;
 use sequoiastream_peer::message::PoisonRequest;
@@ -63,7 +63,7 @@
     /// Priority there; 0 is the most urgent.
     pub priority: u8,
     /// What the router knows the attempt by.
-    ticket: Ticket,
+    ticket: RequestHandle,
     /// The hold under which a suspect runs there alone.
     hold: Option<Ask>,
 }
@@ -121,7 +121,7 @@
             name: choice.name,
             address: choice.address,
             priority: choice.priority.max(request.priority),
-            ticket: choice.ticket,
+            ticket: choice.handle,
             hold: None,
         })
     }
--- a/src/ops/tables.rs
+++ b/src/ops/tables.rs
@@ -143,9 +143,9 @@
             vec![
                 service.to_string(),
                 account.product.to_string(),
-                format!("{:.3}", account.owed),
+                format!("{:.3}", account.entitled),
                 format!("{:.3}", account.used),
-                format!("{:.2}", limiter.tightness()),
+                format!("{:.2}", limiter.capacity_factor()),
             ]
         })
     });
--- a/src/util/metrics/policy.rs
+++ b/src/util/metrics/policy.rs
@@ -4,7 +4,7 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
-use sequoiastream_core::limit::Verdict;
+use sequoiastream_core::limit::Admission;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::outcome::Reason;
 
@@ -36,12 +36,12 @@
 
 impl PolicyMetrics {
     /// Counts an admission.
-    pub fn verdict(&self, product: &Name, verdict: Verdict) {
+    pub fn verdict(&self, product: &Name, verdict: Admission) {
         let verdict = match verdict {
-            Verdict::Owed => "owed",
-            Verdict::Lent => "lent",
-            Verdict::Refused(Reason::TooLate, _) => "too-late",
-            Verdict::Refused(..) => "over-share",
+            Admission::Owed => "owed",
+            Admission::Lent => "lent",
+            Admission::Refused(Reason::TooLate, _) => "too-late",
+            Admission::Refused(..) => "over-share",
         };
         let labels = AdmissionLabels {
             product: product.to_string(),
--- a/tests/testsuite/policy/limits.rs
+++ b/tests/testsuite/policy/limits.rs
@@ -1,11 +1,11 @@
 use std::time::Duration;
 
 use sequoiastream_core::config::Share;
+use sequoiastream_core::limit::Admission;
 use sequoiastream_core::limit::Limiter;
 use sequoiastream_core::limit::Limits;
-use sequoiastream_core::limit::Need;
-use sequoiastream_core::limit::Owed;
-use sequoiastream_core::limit::Verdict;
+use sequoiastream_core::limit::RequestCost;
+use sequoiastream_core::limit::ServiceShare;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::outcome::Reason;
 use sequoiastream_core::time::Time;
@@ -37,29 +37,29 @@
         }
     }
 
-    fn ask(&mut self, now: Time, product: &Name, share: u32) -> Verdict {
+    fn ask(&mut self, now: Time, product: &Name, share: u32) -> Admission {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         self.backlog = (self.backlog - passed * ENGINES as f64).max(0.0);
-        let owed = Owed {
+        let owed = ServiceShare {
             share: Share::percent(share),
             engines: ENGINES,
         };
-        let need = Need {
+        let need = RequestCost {
             cost: COST,
             total: self.backlog / ENGINES as f64 + 0.5,
             left: LEFT,
         };
         let verdict = self.limiter.admit(now, product, owed, need);
-        if !matches!(verdict, Verdict::Refused(..)) {
+        if !matches!(verdict, Admission::Refused(..)) {
             self.backlog += COST;
         }
         verdict
     }
 }
 
-fn admitted(verdicts: &[Verdict]) -> usize {
-    let runs = verdicts.iter().filter(|v| !matches!(v, Verdict::Refused(..)));
+fn admitted(verdicts: &[Admission]) -> usize {
+    let runs = verdicts.iter().filter(|v| !matches!(v, Admission::Refused(..)));
     runs.count()
 }
 
@@ -90,7 +90,7 @@
     let mut lent = 0;
     for millis in (1_000..11_000).step_by(10) {
         let verdict = model.ask(Time::from_millis(millis), &borrower, 10);
-        lent += usize::from(verdict == Verdict::Lent);
+        lent += usize::from(verdict == Admission::Lent);
     }
     assert!(lent > 500, "{lent} of 1000 requests ran on unused share");
     let mut verdicts = Vec::new();
@@ -106,17 +106,17 @@
 #[test]
 fn admit_too_late() {
     let mut limiter = Limiter::new(7);
-    let owed = Owed {
+    let owed = ServiceShare {
         share: Share::percent(50),
         engines: 1,
     };
-    let need = Need {
+    let need = RequestCost {
         cost: COST,
         total: 5.0,
         left: 3.0,
     };
     let verdict = limiter.admit(Time::from_millis(1_000), &name("p"), owed, need);
-    let Verdict::Refused(Reason::TooLate, after) = verdict else {
+    let Admission::Refused(Reason::TooLate, after) = verdict else {
         panic!("{verdict:?}");
     };
     assert!(
@@ -131,11 +131,11 @@
 fn admit_services_apart() {
     let (large, small, product) = (name("assistente"), name("ordini"), name("dispatch"));
     let mut limits = Limits::new(7);
-    let owed = |engines| Owed {
+    let owed = |engines| ServiceShare {
         share: Share::percent(50),
         engines,
     };
-    let need = |cost| Need {
+    let need = |cost| RequestCost {
         cost,
         total: 0.1,
         left: LEFT,
@@ -146,7 +146,7 @@
     }
     let now = Time::from_millis(9_000);
     let verdict = limits.at(&small).admit(now, &product, owed(1), need(0.01));
-    assert_eq!(verdict, Verdict::Owed);
+    assert_eq!(verdict, Admission::Owed);
     let used: Vec<String> = limits
         .iter()
         .flat_map(|(service, limiter)| {
--- a/tests/testsuite/policy/routing.rs
+++ b/tests/testsuite/policy/routing.rs
@@ -3,8 +3,8 @@
 use sequoiastream_core::config::Role;
 use sequoiastream_core::engine::Speed;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::route::Ask;
-use sequoiastream_core::route::Report;
+use sequoiastream_core::route::LoadReport;
+use sequoiastream_core::route::RouteRequest;
 use sequoiastream_core::route::Router;
 use sequoiastream_core::snapshot::Snapshot;
 use sequoiastream_core::time::Time;
@@ -14,8 +14,8 @@
 
 const NOW: Time = Time::from_millis(10_000);
 
-fn report(at: Time) -> Report {
-    Report {
+fn report(at: Time) -> LoadReport {
+    LoadReport {
         at,
         role: Role::Mixed,
         away: false,
@@ -26,8 +26,8 @@
     }
 }
 
-fn ask(snapshot: &Snapshot, digests: Vec<u64>) -> Ask {
-    Ask {
+fn ask(snapshot: &Snapshot, digests: Vec<u64>) -> RouteRequest {
+    RouteRequest {
         service: snapshot.service_of("m").expect("the service"),
         prompt: 400,
         output: 100,
@@ -38,14 +38,14 @@
 
 fn router(snapshot: &Snapshot, seed: u64) -> Router {
     let mut router = Router::new().zone(name("lodi-a")).seed(seed);
-    router.follow(snapshot);
+    router.sync_engines(snapshot);
     for (_, engine) in snapshot.engines.iter() {
         router.report(&engine.name, report(NOW));
     }
     router
 }
 
-fn chosen(router: &mut Router, snapshot: &Snapshot, ask: &Ask, now: Time) -> Name {
+fn chosen(router: &mut Router, snapshot: &Snapshot, ask: &RouteRequest, now: Time) -> Name {
     let choice = router.choose(now, snapshot, ask, &[]);
     choice.expect("an engine takes work").name
 }
@@ -61,7 +61,7 @@
         let mut router = router(&snapshot, seed);
         router.set_instances(4);
         for (_, engine) in snapshot.engines.iter().skip(1) {
-            let busier = Report {
+            let busier = LoadReport {
                 running: 4,
                 ..report(NOW)
             };
@@ -104,7 +104,7 @@
     let digests: Vec<u64> = (1..=12).collect();
     let choice = router.choose(NOW, &snapshot, &ask(&snapshot, digests), &[]);
     let estimate = choice.expect("an engine takes work").estimate;
-    let fresh = router.foresee(NOW, &snapshot, &ask(&snapshot, Vec::new()));
+    let fresh = router.forecast(NOW, &snapshot, &ask(&snapshot, Vec::new()));
     assert_eq!(
         estimate.prefill,
         fresh.expect("an engine takes work").estimate.prefill
@@ -115,7 +115,7 @@
 fn route_engine_away() {
     let snapshot = snapshot(2);
     let mut router = router(&snapshot, 1);
-    let away = Report {
+    let away = LoadReport {
         away: true,
         ..report(NOW)
     };
@@ -132,7 +132,7 @@
     let mut router = router(&snapshot, 1);
     for (index, (_, engine)) in snapshot.engines.iter().enumerate() {
         let role = if index == 0 { Role::Prefill } else { Role::Decode };
-        let busy = Report {
+        let busy = LoadReport {
             role,
             running: if index == 0 { 4 } else { 12 },
             prefill: 1_000,
@@ -140,13 +140,13 @@
         };
         router.report(&engine.name, busy);
     }
-    let check = Ask {
+    let check = RouteRequest {
         prompt: 4_000,
         output: 2,
         ..ask(&snapshot, Vec::new())
     };
     assert_eq!(chosen(&mut router, &snapshot, &check, NOW), name("e0"));
-    let chat = Ask {
+    let chat = RouteRequest {
         prompt: 40,
         output: 200,
         ..ask(&snapshot, Vec::new())
@@ -162,9 +162,9 @@
     let mut router = router(&snapshot, 1);
     let ask = ask(&snapshot, Vec::new());
     let first = router.choose(NOW, &snapshot, &ask, &[]).expect("an engine");
-    router.failed(NOW, &first.ticket);
+    router.failed(NOW, &first.handle);
     let second = router.choose(NOW, &snapshot, &ask, &[]).expect("an engine");
     assert_ne!(first.name, second.name);
-    router.failed(NOW, &second.ticket);
+    router.failed(NOW, &second.handle);
     assert!(router.choose(NOW, &snapshot, &ask, &[]).is_some());
 }
