--- a/crates/core/src/claims/entry.rs
+++ b/crates/core/src/claims/entry.rs
@@ -74,7 +74,7 @@
     /// The request may be sent, once.
     Granted(Grant<P>),
     /// Another request holds the claim.
-    Seen(ClaimStatus),
+    Held(ClaimStatus),
     /// The request is not sent. Come back after this time, if it makes sense.
     Refused(P, Refused, Option<Duration>),
 }
@@ -132,7 +132,7 @@
     fn on_verdict(mut self, now: Clocks, verdict: Verdict) -> EntryStep<P> {
         match verdict {
             Verdict::Granted => self.on_granted(now),
-            Verdict::Seen(seen) => EntryStep::Seen(seen),
+            Verdict::Held(seen) => EntryStep::Held(seen),
             Verdict::Mismatch => self.refuse(Refused::Mismatch, None),
             Verdict::ClockSkew => self.refuse(Refused::ClockSkew, None),
             Verdict::Full => self.refuse(Refused::Full, Some(RETRY_AFTER)),
--- a/crates/core/src/claims/key.rs
+++ b/crates/core/src/claims/key.rs
@@ -35,7 +35,7 @@
     Future,
     /// This instance's wall clock stepped: it can't tell how old a key is.
     #[error("this instance's clock stepped, it can't judge the idempotency key's age")]
-    Clock,
+    ClockStepped,
 }
 
 impl IdempotencyKey {
--- a/crates/core/src/claims/owner.rs
+++ b/crates/core/src/claims/owner.rs
@@ -83,7 +83,8 @@
     /// The asking mark holds the claim; its entry may send once.
     Granted,
     /// Another request holds the claim.
-    Seen(ClaimStatus),
+    #[serde(rename = "Seen")]
+    Held(ClaimStatus),
     /// Another request holds the claim, and it asked for something else.
     Mismatch,
     /// Nobody holds the claim; only as answer to a question.
@@ -105,7 +106,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerEvent {
     /// A claim is asked for.
-    Ask(QueryId, ClaimRequest),
+    Claim(QueryId, ClaimRequest),
     /// Somebody asks what is known of a claim.
     Query(QueryId, ClaimRef),
     /// What became of a claim.
@@ -202,7 +203,7 @@
     pub fn on(&mut self, now: Clocks, event: OwnerEvent) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         match event {
-            OwnerEvent::Ask(ticket, ask) => self.on_ask(now, ticket, ask, &mut actions),
+            OwnerEvent::Claim(ticket, ask) => self.on_ask(now, ticket, ask, &mut actions),
             OwnerEvent::Query(ticket, claim) => self.on_query(now, ticket, claim, &mut actions),
             OwnerEvent::Edit(bucket, edit) => {
                 self.bucket(bucket, now).edit(edit, now.time);
--- a/crates/core/src/claims/owner/owned_bucket.rs
+++ b/crates/core/src/claims/owner/owned_bucket.rs
@@ -432,12 +432,12 @@
         return Some(Verdict::Unclaimed);
     };
     match &record.state {
-        State::Finished { answer } => Some(Verdict::Seen(ClaimStatus::Finished(answer.clone()))),
+        State::Finished { answer } => Some(Verdict::Held(ClaimStatus::Finished(answer.clone()))),
         _ if !fresh => None,
         State::Granted { until } if until.0 > wall.0 => {
             let left = Duration::from_millis(until.0 - wall.0);
-            Some(Verdict::Seen(ClaimStatus::Running(left)))
+            Some(Verdict::Held(ClaimStatus::Running(left)))
         }
-        State::Granted { .. } | State::Unknown => Some(Verdict::Seen(ClaimStatus::Unknown)),
+        State::Granted { .. } | State::Unknown => Some(Verdict::Held(ClaimStatus::Unknown)),
     }
 }
--- a/crates/core/src/claims/window.rs
+++ b/crates/core/src/claims/window.rs
@@ -68,7 +68,7 @@
     /// [`KeyError`] if its time lies outside the window, or the clock stepped.
     pub fn check(&self, key: &IdempotencyKey, now: Clocks) -> Result<(), KeyError> {
         if !self.is_steady(now) {
-            return Err(KeyError::Clock);
+            return Err(KeyError::ClockStepped);
         }
         let key_time = key.time().0;
         if key_time > now.wall.0 + millis(MAX_FUTURE) {
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -88,9 +88,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Admission {
     /// It is within the product's share.
-    Owed,
+    WithinShare,
     /// It uses what others leave.
-    Lent,
+    Borrowed,
     /// It may not run now.
     Refused(Reason, Duration),
 }
@@ -230,8 +230,8 @@
             account.usage.add(now, need.cost);
         }
         match within {
-            true => Admission::Owed,
-            false => Admission::Lent,
+            true => Admission::WithinShare,
+            false => Admission::Borrowed,
         }
     }
 
--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -346,7 +346,7 @@
 
     fn handle(&mut self, Claim(ask): Claim, context: &mut Context<Self>) -> Self::Result {
         let (ticket, answer) = self.ticket();
-        self.on(OwnerEvent::Ask(ticket, ask), context);
+        self.on(OwnerEvent::Claim(ticket, ask), context);
         answer
     }
 }
--- a/src/ops/dispatch/admit.rs
+++ b/src/ops/dispatch/admit.rs
@@ -121,8 +121,8 @@
         .admit(now, &call.product, owed, need);
     shared.metrics.policy.verdict(&call.product, verdict);
     match verdict {
-        Admission::Owed => Ok(call),
-        Admission::Lent => {
+        Admission::WithinShare => Ok(call),
+        Admission::Borrowed => {
             // Work on borrowed time goes behind the work of those who are owed it.
             call.priority = call.priority.max(LENT_PRIORITY);
             Ok(call)
--- a/src/ops/dispatch/once.rs
+++ b/src/ops/dispatch/once.rs
@@ -91,7 +91,7 @@
     match error {
         KeyError::Malformed | KeyError::Future => Reason::BadRequest,
         KeyError::Old => Reason::KeyExpired,
-        KeyError::Clock => {
+        KeyError::ClockStepped => {
             log_event!(error, log_event::CLOCK_STEPPED);
             Reason::ClockStepped
         }
@@ -107,7 +107,7 @@
     let key = key.ok_or(KeyFault::Missing)?;
     let key: IdempotencyKey = key.parse().map_err(KeyFault::Refused)?;
     if !dispatch.shared.clocks().is_trusted() {
-        return Err(KeyFault::Refused(KeyError::Clock));
+        return Err(KeyFault::Refused(KeyError::ClockStepped));
     }
     let checked = dispatch.shared.keys.check(&key, clock::both());
     checked.map(|()| key).map_err(KeyFault::Refused)
@@ -134,7 +134,7 @@
     let print = Fingerprint::new(&call.method, &call.path, &call.body);
     match once.claim(call.unsent, print).await {
         EntryStep::Granted(grant) => once.send(service, grant, plain).await,
-        EntryStep::Seen(seen) => seen_reply(seen),
+        EntryStep::Held(seen) => seen_reply(seen),
         EntryStep::Refused(unsent, refused, after) => {
             if !matches!(refused, Refused::Mismatch) {
                 once.release();
@@ -312,9 +312,9 @@
         let verdict = dispatch.look(ClaimRef::new(product, &name, &key)).await;
         match verdict {
             Verdict::Unclaimed => {}
-            Verdict::Seen(ClaimStatus::Running(_)) => return Ok(RequestState::Running),
-            Verdict::Seen(ClaimStatus::Unknown) => return Ok(RequestState::Unknown),
-            Verdict::Seen(ClaimStatus::Finished(stored)) => {
+            Verdict::Held(ClaimStatus::Running(_)) => return Ok(RequestState::Running),
+            Verdict::Held(ClaimStatus::Unknown) => return Ok(RequestState::Unknown),
+            Verdict::Held(ClaimStatus::Finished(stored)) => {
                 return Ok(RequestState::Finished(stored.map(|s| ForwardReply {
                     status: s.status,
                     content: s.content,
--- a/src/util/metrics/claims.rs
+++ b/src/util/metrics/claims.rs
@@ -46,7 +46,7 @@
     pub fn count(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Granted => "granted",
-            Verdict::Seen(_) => "seen",
+            Verdict::Held(_) => "seen",
             Verdict::Mismatch => "mismatch",
             Verdict::Unclaimed => "never",
             Verdict::Unavailable(_) => "out",
--- a/src/util/metrics/policy.rs
+++ b/src/util/metrics/policy.rs
@@ -38,8 +38,8 @@
     /// Counts an admission.
     pub fn verdict(&self, product: &Name, verdict: Admission) {
         let verdict = match verdict {
-            Admission::Owed => "owed",
-            Admission::Lent => "lent",
+            Admission::WithinShare => "owed",
+            Admission::Borrowed => "lent",
             Admission::Refused(Reason::TooLate, _) => "too-late",
             Admission::Refused(..) => "over-share",
         };
--- a/tests/testsuite/claims/entry.rs
+++ b/tests/testsuite/claims/entry.rs
@@ -145,6 +145,6 @@
         assert_eq!(refused, expected);
     }
     let (machine, ..) = asked(begin());
-    let step = machine.on(at(1), answered(Verdict::Seen(ClaimStatus::Unknown)));
-    assert!(matches!(step, EntryStep::Seen(ClaimStatus::Unknown)), "{step:?}");
+    let step = machine.on(at(1), answered(Verdict::Held(ClaimStatus::Unknown)));
+    assert!(matches!(step, EntryStep::Held(ClaimStatus::Unknown)), "{step:?}");
 }
--- a/tests/testsuite/claims/machines.rs
+++ b/tests/testsuite/claims/machines.rs
@@ -207,7 +207,7 @@
                 self.pushed = ticket;
                 self.tickets
                     .insert(ticket, (request, self.requests[request].asked));
-                self.owner(index, OwnerEvent::Ask(QueryId(ticket), ask));
+                self.owner(index, OwnerEvent::Claim(QueryId(ticket), ask));
             }
             Event::Entry(request, event) => self.entry(request, event),
             Event::Kv(from, bucket, write, answered) => self.call(from, bucket, write, answered),
@@ -279,7 +279,7 @@
                     self.edit(index, Change::Finish(Some(stored)));
                 }
             },
-            EntryStep::Seen(seen) => {
+            EntryStep::Held(seen) => {
                 if let ClaimStatus::Finished(answer) = &seen {
                     let key = self.requests[index].key;
                     assert_eq!(answer.as_ref().map(|a| a.body.clone()), Some(vec![key as u8]));
--- a/tests/testsuite/claims/orders.rs
+++ b/tests/testsuite/claims/orders.rs
@@ -109,7 +109,7 @@
             wait: Duration::from_secs(2),
             run: Duration::from_secs(2),
         };
-        self.event(OwnerEvent::Ask(ticket, ask));
+        self.event(OwnerEvent::Claim(ticket, ask));
     }
 
     /// The entry that holds the grant tells what became of it.
--- a/tests/testsuite/claims/owner.rs
+++ b/tests/testsuite/claims/owner.rs
@@ -67,7 +67,7 @@
 }
 
 fn asked(ticket: u64, index: u64, mark: u128) -> OwnerEvent {
-    OwnerEvent::Ask(QueryId(ticket), ask(index, mark))
+    OwnerEvent::Claim(QueryId(ticket), ask(index, mark))
 }
 
 fn writes(actions: &[OwnerAction]) -> Vec<(Revision, Bucket)> {
@@ -136,7 +136,7 @@
     let actions = owner.on(at(20), asked(2, 0, 2));
     assert_eq!(
         answers(&actions),
-        vec![(2, Verdict::Seen(ClaimStatus::Finished(None)))]
+        vec![(2, Verdict::Held(ClaimStatus::Finished(None)))]
     );
     let actions = owner.on(at(200), asked(3, 1, 3));
     let all = writes(&actions);
@@ -205,7 +205,7 @@
 #[test]
 fn ask_when_out_end_known() {
     let mut owner = owner_out();
-    let finished = Verdict::Seen(ClaimStatus::Finished(None));
+    let finished = Verdict::Held(ClaimStatus::Finished(None));
     let actions = owner.on(at(2_110), asked(3, 0, 3));
     assert_eq!(actions, vec![OwnerAction::Answer(QueryId(3), finished.clone())]);
     let actions = owner.on(at(2_110), OwnerEvent::Query(QueryId(4), claim(0)));
@@ -239,7 +239,7 @@
     let all = answers(&actions);
     assert_eq!(all[0], (1, Verdict::Granted));
     assert!(
-        matches!(all[1], (2, Verdict::Seen(ClaimStatus::Running(_)))),
+        matches!(all[1], (2, Verdict::Held(ClaimStatus::Running(_)))),
         "{all:?}"
     );
 }
@@ -257,7 +257,7 @@
     };
     theirs.add(claim(0).id, record);
     let actions = owner.on(at(3), OwnerEvent::Current(claim(0).bucket, Revision(8), theirs));
-    assert_eq!(answers(&actions), vec![(1, Verdict::Seen(ClaimStatus::Unknown))]);
+    assert_eq!(answers(&actions), vec![(1, Verdict::Held(ClaimStatus::Unknown))]);
     assert!(writes(&actions).is_empty());
 }
 
@@ -309,7 +309,7 @@
         wall: WallTime(WALL - 6 * 60_000),
         ..ask(0, 1)
     };
-    let actions = owner.on(at(0), OwnerEvent::Ask(QueryId(1), wrong));
+    let actions = owner.on(at(0), OwnerEvent::Claim(QueryId(1), wrong));
     assert_eq!(actions, vec![OwnerAction::Answer(QueryId(1), Verdict::ClockSkew)]);
 }
 
--- a/tests/testsuite/claims/rules.rs
+++ b/tests/testsuite/claims/rules.rs
@@ -52,13 +52,13 @@
             "clock stepped back",
             key_at(0),
             clocks(keep + 1, -keep),
-            Err(KeyError::Clock),
+            Err(KeyError::ClockStepped),
         ),
         (
             "clock stepped ahead",
             key_at(0),
             clocks(10, keep),
-            Err(KeyError::Clock),
+            Err(KeyError::ClockStepped),
         ),
         ("small step", key_at(0), clocks(10, 100), Ok(())),
     ];
--- a/tests/testsuite/policy/limits.rs
+++ b/tests/testsuite/policy/limits.rs
@@ -90,7 +90,7 @@
     let mut lent = 0;
     for millis in (1_000..11_000).step_by(10) {
         let verdict = model.ask(Time::from_millis(millis), &borrower, 10);
-        lent += usize::from(verdict == Admission::Lent);
+        lent += usize::from(verdict == Admission::Borrowed);
     }
     assert!(lent > 500, "{lent} of 1000 requests ran on unused share");
     let mut verdicts = Vec::new();
@@ -146,7 +146,7 @@
     }
     let now = Time::from_millis(9_000);
     let verdict = limits.at(&small).admit(now, &product, owed(1), need(0.01));
-    assert_eq!(verdict, Admission::Owed);
+    assert_eq!(verdict, Admission::WithinShare);
     let used: Vec<String> = limits
         .iter()
         .flat_map(|(service, limiter)| {
--- a/tests/testsuite/whole/requests.rs
+++ b/tests/testsuite/whole/requests.rs
@@ -108,12 +108,12 @@
                 let Proof = grant.into_proof();
                 self.granted(request);
             }
-            EntryStep::Seen(ClaimStatus::Finished(answer)) => {
+            EntryStep::Held(ClaimStatus::Finished(answer)) => {
                 let key = self.requests[request].key;
                 assert_eq!(answer.as_ref().map(|a| a.body.clone()), Some(vec![key as u8]));
                 assert_eq!(self.runs.get(&key), Some(&1), "told finished, but never ran");
             }
-            EntryStep::Seen(_) => {}
+            EntryStep::Held(_) => {}
             EntryStep::Refused(..) => self.refuse(request),
         }
     }
@@ -244,7 +244,7 @@
         let ticket = self.count;
         self.tickets
             .insert(ticket, (request, self.requests[request].asked));
-        self.tell_owner(index, OwnerEvent::Ask(QueryId(ticket), ask));
+        self.tell_owner(index, OwnerEvent::Claim(QueryId(ticket), ask));
     }
 
     pub fn owner_acts(&mut self, index: usize, action: OwnerAction) {
