--- a/crates/core/src/claims/bucket.rs
+++ b/crates/core/src/claims/bucket.rs
@@ -1,4 +1,4 @@
-//! The value of one key-value entry: claims by their id.
+//! The value of one key-value entry: claims by their ids.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +10,29 @@
 use crate::claims::Fingerprint;
 use crate::time::WallTime;
 
-/// Largest answer that is kept for repeats, in bytes.
+/// Maximum size of an answer that is stored for repeated requests, in bytes.
 pub const MAX_ANSWER: usize = 1024;
 
-/// Largest bucket that takes further claims, in bytes; the key-value service takes a megabyte.
+/// Maximum size of a bucket that accepts further claims, in bytes; the key-value service accepts values of up to one
+/// megabyte.
 pub const MAX_BUCKET: usize = 800 * 1024;
 
-/// Upper bound of a claim's size without its answer, in bytes.
+/// Upper bound of the encoded size of a claim without its answer, in bytes.
 const RECORD_SIZE: usize = 96;
 
-/// An answer that is kept.
+/// A stored answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Content type.
     pub content: Option<String>,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
 impl StoredAnswer {
-    /// Whether the answer is small enough to be kept.
+    /// Whether the answer is small enough to be stored.
     pub fn is_small(&self) -> bool {
         self.size() <= MAX_ANSWER
     }
@@ -41,94 +42,95 @@
     }
 }
 
-/// What is known of a claimed request.
+/// State of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// Granted; its entry said nothing since. After `until` it no longer runs, and may or may not have run.
+    /// Granted; the entry instance has reported nothing since. After `until` the request no longer runs, and may or
+    /// may not have run.
     Granted {
-        /// End of its deadline, by the clock of the instance that wrote it.
+        /// Deadline of the request, by the clock of the instance that wrote the claim.
         until: WallTime,
     },
     /// The service answered.
     Finished {
-        /// Its answer, if small enough.
+        /// The answer, if small enough to be stored.
         answer: Option<StoredAnswer>,
     },
-    /// It was sent and nobody knows whether it ran.
+    /// The request was sent, and whether it ran is unknown.
     Unknown,
 }
 
-/// A claim.
+/// A stored claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The request that holds it.
+    /// Token of the request that holds the claim.
     #[serde(rename = "mark")]
     pub token: ClaimToken,
-    /// What it asked for.
+    /// Fingerprint of that request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
-    /// What is known of it.
+    /// State of that request.
     pub state: State,
 }
 
-/// What becomes of a claim after its grant.
+/// Change to the state of a granted claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// The service answered; the answer is kept if it is given.
+    /// The service answered; the answer is stored if it is given.
     Finish(Option<StoredAnswer>),
-    /// It was sent and nobody knows whether it ran.
+    /// The request was sent, and whether it ran is unknown.
     #[serde(rename = "Lose")]
     Unknown,
-    /// Its entry vouches that it was not sent, or the upstream that it did not start.
+    /// The entry instance guarantees that the request was not sent, or the upstream that it did not start.
     Release,
 }
 
-/// A change of one claim.
+/// A change to one claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// The claim.
+    /// The claim to change.
     pub id: ClaimId,
-    /// The request that holds it; a claim held by another is left as it is.
+    /// Token of the request that holds the claim; a claim held by another request is left unchanged.
     #[serde(rename = "mark")]
     pub token: ClaimToken,
-    /// The change.
+    /// The change to apply.
     pub change: Change,
 }
 
-/// Claims of one shard and slot.
+/// The claims of one shard and time slot.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Bucket {
     claims: BTreeMap<ClaimId, Record>,
 }
 
 impl Bucket {
-    /// The claim, if it stands here.
+    /// Returns the claim, if it is in this bucket.
     pub fn get(&self, id: &ClaimId) -> Option<&Record> {
         self.claims.get(id)
     }
 
-    /// Claims in the order of their ids.
+    /// Iterates over the claims in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&ClaimId, &Record)> {
         self.claims.iter()
     }
 
-    /// How many claims stand here.
+    /// Number of claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim stands here.
+    /// Whether the bucket holds no claim.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Adds a claim; one that stands is never replaced.
+    /// Adds a claim; an existing one is never replaced.
     pub fn add(&mut self, id: ClaimId, record: Record) {
         self.claims.entry(id).or_insert(record);
     }
 
-    /// Makes the edit if the claim is still held by the edit's mark. A finished claim stays as it is, and one
-    /// of which a send is known can't be released.
+    /// Applies the edit if the claim is still held by the edit's token. A finished claim is not changed, and a claim
+    /// whose request is known to have been sent can't be released.
     pub fn apply(&mut self, edit: &Edit) {
         let Some(record) = self.claims.get_mut(&edit.id) else {
             return;
@@ -155,7 +157,7 @@
         self.claims.values().map(record_size).sum()
     }
 
-    /// Whether every claim of `older` stands here under the same mark, but for those that `edits` release.
+    /// Whether this bucket holds every claim of `older` under the same token, except those that `edits` release.
     pub fn preserves(&self, older: &Bucket, edits: &[Edit]) -> bool {
         let released = |id: &ClaimId, mark: ClaimToken| {
             let mut of_claim = edits.iter().filter(|e| e.id == *id && e.token == mark);
--- a/crates/core/src/claims/entry.rs
+++ b/crates/core/src/claims/entry.rs
@@ -1,4 +1,4 @@
-//! The machine of the instance at which a caller asked for something that may not be repeated.
+//! State machine of the instance that received a non-idempotent request.
 
 use std::time::Duration;
 
@@ -13,74 +13,74 @@
 use crate::outcome::Reason;
 use crate::time::Time;
 
-/// Longest wait for a claim. A key-value service that is slow, or whose answer got lost, is waited for; one
-/// that is out is not.
+/// Maximum time to wait for a claim. Long enough for a key-value service that is slow or whose answer was lost; not
+/// for one that is unavailable.
 const MAX_WAIT: Duration = Duration::from_secs(4);
 
-/// Least time that must be left for the call itself, or it is not worth claiming.
+/// Minimum time that must be left for the call itself; with less, the request is not claimed.
 const MIN_RUN: Duration = Duration::from_millis(100);
 
-/// When to come back after a refusal that names no time.
+/// Retry delay for a refusal that gives no delay of its own.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Owners that may say that they can't reach the key-value service before they are believed.
+/// Number of owners that must report the key-value service as unavailable before the claim is refused.
 const MAX_UNAVAILABLE: u32 = 3;
 
 /// The right to send a request once, with the proof `P` that it was not sent yet.
 ///
-/// Made only by [`EntryClaim`], out of a granted claim. `P` is no `Clone` in the daemon, so that one grant can't
-/// lead to two sends, nor to a `not-run` after a send.
+/// Created only by [`EntryClaim`], from a granted claim. In the daemon `P` is not `Clone`, so one grant can lead
+/// neither to two sends nor to the answer `not-run` after a send.
 #[derive(Debug)]
 pub struct Grant<P> {
     proof: P,
 }
 
 impl<P> Grant<P> {
-    /// The proof, to be used up by sending or refusing.
+    /// Returns the proof, which is consumed by sending or refusing the request.
     pub fn into_proof(self) -> P {
         self.proof
     }
 }
 
-/// Why a claim was not granted, though no other request holds it.
+/// Why a claim was not granted although no other request holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
-    /// The key-value service is out of reach.
+    /// The key-value service is unavailable.
     Unavailable,
-    /// Too little time is left.
+    /// Too little time is left before the deadline.
     TooLate,
-    /// The clocks of the instances differ too much.
+    /// The wall clocks of the instances differ too much.
     ClockSkew,
     /// The bucket is full.
     Full,
-    /// The key was used for another request.
+    /// The key was already used for a different request.
     Mismatch,
 }
 
-/// What happens to a claim on its way.
+/// An input of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryEvent {
-    /// The asked owner answered.
+    /// The owner answered.
     Answered(Verdict),
-    /// The asked owner could not be reached, or showed no sign of life. It may still write the claim.
+    /// The owner was unreachable or timed out. It may still write the claim.
     NoAnswer,
 }
 
-/// What to do next.
+/// The next step, to be carried out by the caller of the state machine.
 #[derive(Debug)]
 pub enum EntryStep<P> {
-    /// Ask this owner, and give what comes of it to the machine.
+    /// Send the claim request to this owner, and pass the result to the state machine.
     Ask(Box<EntryClaim<P>>, Name, ClaimRequest),
     /// The request may be sent, once.
     Granted(Grant<P>),
     /// Another request holds the claim.
     Held(ClaimStatus),
-    /// The request is not sent. Come back after this time, if it makes sense.
+    /// The request is not sent. The duration is the retry delay, if a retry makes sense.
     Refused(P, Refused, Option<Duration>),
 }
 
-/// One request's way to a grant. It carries the proof `P` that the request was not sent; each event consumes it,
-/// so that nothing is left to grant or refuse once more.
+/// State machine of one claim. It carries the proof `P` that the request was not sent; each event consumes the
+/// machine, so that a claim can be granted or refused only once.
 #[derive(Debug)]
 pub struct EntryClaim<P> {
     claim: ClaimRef,
@@ -94,7 +94,7 @@
 }
 
 impl<P> EntryClaim<P> {
-    /// Prepares to claim for a request that must end by `deadline`. `owners` are asked in turn.
+    /// Prepares a claim for a request that must end by `deadline`. `owners` are tried in order.
     pub fn new(
         proof: P,
         claim: ClaimRef,
@@ -116,12 +116,12 @@
         }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn begin(self, now: Clocks) -> EntryStep<P> {
         self.next(now, RETRY_AFTER)
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the next step.
     pub fn on(self, now: Clocks, event: EntryEvent) -> EntryStep<P> {
         match event {
             EntryEvent::NoAnswer => self.next(now, RETRY_AFTER),
@@ -147,9 +147,9 @@
         }
     }
 
-    /// Failure guarded against: a process that was paused after it asked sends long after its deadline, when
-    /// its claim may no longer be kept. The claim was asked for within the deadline, so one that is used
-    /// within it stands for at least as long as its key is accepted.
+    /// Failure guarded against: a process that was paused after it sent the claim request resumes long after the
+    /// deadline, when its claim may no longer be stored, and sends. The claim was requested within the deadline, so
+    /// a grant that is used within the deadline is stored for at least as long as its key is accepted.
     fn on_granted(self, now: Clocks) -> EntryStep<P> {
         if now.time + MIN_RUN > self.deadline {
             return self.refuse(Refused::TooLate, None);
@@ -171,7 +171,8 @@
     }
 
     /// Failure guarded against: an owner that alone can't reach the key-value service uses up the whole wait, and
-    /// orders of its shards fail while others could claim for them. So each owner gets half of what is left.
+    /// the requests of its shards fail although other instances could claim for them. So each owner but the last
+    /// gets half of the remaining wait.
     fn ask(&self, now: Clocks, others: bool) -> ClaimRequest {
         let left = self.wait_until.since(now.time);
         ClaimRequest {
@@ -190,7 +191,7 @@
 }
 
 impl Refused {
-    /// The reason that the caller is told.
+    /// Returns the reason that is reported to the caller.
     pub fn reason(self) -> Reason {
         match self {
             Refused::Unavailable | Refused::Full => Reason::PlatformOut,
--- a/crates/core/src/claims/key.rs
+++ b/crates/core/src/claims/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys and what is derived from them.
+//! Idempotency keys and the identifiers derived from them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,35 +11,35 @@
 use crate::name::Name;
 use crate::time::WallTime;
 
-/// Shards of the claims. Few, so that claims share writes; enough to spread them over the instances.
+/// Number of shards of the claims. Low, so that claims share writes; high enough to spread them over the instances.
 pub const SHARDS: u16 = 16;
 
-/// Time that one bucket covers, in milliseconds of the keys' own time.
+/// Time span that one bucket covers, in milliseconds of the timestamps of the keys.
 const SLOT_MS: u64 = 10_000;
 
-/// A key that a caller gives to a request that may not be repeated: a UUIDv7, which embeds its time.
+/// A key that a caller assigns to a non-idempotent request: a UUIDv7, which embeds its creation time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdempotencyKey(Uuid);
 
-/// Why a key can't be used.
+/// Why an idempotency key is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// It is not a UUIDv7.
+    /// The key is not a UUIDv7.
     #[error("the idempotency key must be a UUIDv7")]
     Malformed,
-    /// Its time is longer ago than claims are kept.
+    /// The timestamp of the key is older than [`RETENTION`](crate::claims::RETENTION).
     #[error("the idempotency key is older than the retention window")]
     Old,
-    /// Its time lies ahead of this instance's clock.
+    /// The timestamp of the key is too far ahead of this instance's clock.
     #[error("the idempotency key's time lies too far in the future")]
     Future,
-    /// This instance's wall clock stepped: it can't tell how old a key is.
+    /// This instance's wall clock stepped, so the age of a key is unknown.
     #[error("this instance's clock stepped, it can't judge the idempotency key's age")]
     ClockStepped,
 }
 
 impl IdempotencyKey {
-    /// When the key was made, by the caller's clock.
+    /// When the key was created, by the caller's clock.
     pub fn time(&self) -> WallTime {
         WallTime((self.0.as_u128() >> 80) as u64)
     }
@@ -63,38 +63,38 @@
     }
 }
 
-/// Names a claim: hash of product, service and idempotency key.
+/// Identifies a claim: hash of product, service and idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId([u8; 16]);
 
-/// Names the key-value entry that holds a claim.
+/// Identifies the key-value entry that holds a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BucketId {
-    /// Shard, below [`SHARDS`].
+    /// Shard number, less than [`SHARDS`].
     pub shard: u16,
-    /// Slot of the keys' own time.
+    /// Time slot, from the timestamps of the keys.
     pub slot: u64,
 }
 
-/// Where a claim stands.
+/// Location of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimRef {
-    /// The bucket.
+    /// The bucket that holds the claim.
     pub bucket: BucketId,
-    /// The claim within it.
+    /// The claim within the bucket.
     pub id: ClaimId,
 }
 
-/// Names one request at one entry instance. Never drawn twice.
+/// Identifies one request at one entry instance. Tokens are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimToken(pub Uuid);
 
-/// Hash of a request's method, path and body, by which a reused key is noticed.
+/// Hash of a request's method, path and body; detects a key that is reused for a different request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint([u8; 16]);
 
 impl ClaimRef {
-    /// The claim on `key` of `product` at `service`.
+    /// Locates the claim on `key` of `product` at `service`.
     pub fn new(product: &Name, service: &Name, key: &IdempotencyKey) -> ClaimRef {
         let id = hash(&[
             product.as_str().as_bytes(),
@@ -113,20 +113,20 @@
 }
 
 impl BucketId {
-    /// The bucket's key in the key-value service.
+    /// The key of the bucket's entry in the key-value service.
     pub fn path(&self) -> String {
         format!("claims/{}/{}", self.shard, self.slot)
     }
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn new(method: &str, path: &str, body: &[u8]) -> Fingerprint {
         Fingerprint(hash(&[method.as_bytes(), path.as_bytes(), body]))
     }
 }
 
-/// Hashes `parts`, each behind its length, so that no two lists of parts run together.
+/// Hashes `parts`, each prefixed by its length, so that different lists of parts never hash the same bytes.
 fn hash(parts: &[&[u8]]) -> [u8; 16] {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
--- a/crates/core/src/claims/mod.rs
+++ b/crates/core/src/claims/mod.rs
@@ -1,22 +1,23 @@
-//! At most once: claims on non-idempotent requests.
+//! At-most-once execution of non-idempotent requests, by means of claims.
 //!
-//! A request that may not be repeated carries an idempotency key, a UUIDv7 ([`IdempotencyKey`]). Before an
-//! entry instance sends it on, a *claim* on the key must stand in the platform's key-value service. Claims
-//! are kept in buckets ([`Bucket`]), one key-value entry each: a shard by hash, and a slot of time by the
-//! idempotency key's own time. [`Owner`] is the machine of the instance that writes a shard's buckets,
-//! [`EntryClaim`] that of the instance at which the caller asked.
+//! A non-idempotent request carries an idempotency key, a UUIDv7 ([`IdempotencyKey`]). Before an entry instance
+//! sends the request to an upstream, a *claim* on the key must be stored in the platform's key-value service. Claims
+//! are grouped into buckets ([`Bucket`]), one key-value entry each: the shard is chosen by hash, the time slot by
+//! the timestamp of the idempotency key. [`Owner`] is the state machine of the instance that writes a shard's
+//! buckets, [`EntryClaim`] that of the instance that received the call.
 //!
-//! Why no request runs twice, whoever is killed, paused or cut off:
+//! Why no request runs twice, even if processes are killed, paused or partitioned:
 //!
-//! 1. An entry draws a [`Mark`] for each request that it takes, and sends at most once under it: the send
-//!    consumes the [`Grant`].
-//! 2. A key-value entry maps each idempotency key to one mark. It is changed only by compare-and-swap on its
-//!    version, and a mark that stands there is never replaced by another ([`Bucket::covers`]), unless its
-//!    entry gave it back without having sent.
-//! 3. A mark is granted only after it was seen to stand there.
+//! 1. An entry instance generates a [`ClaimToken`] for each request that it accepts, and sends at most once under
+//!    it: sending consumes the [`Grant`].
+//! 2. A key-value entry maps each idempotency key to one token. It is changed only by compare-and-swap on its
+//!    version, and a stored token is never replaced by another ([`Bucket::preserves`]), unless its entry instance
+//!    released it without having sent the request.
+//! 3. A token is granted only after it was seen to be stored there.
 //!
-//! So no safety rests on who believes to own a shard: the version of the entry is the fencing number, and a
-//! stale owner's write has no effect. Ownership only lets claims of the same time share one write.
+//! Safety therefore does not depend on which instance believes that it owns a shard: the version of the entry is the
+//! fencing number, and a write by a stale owner has no effect. Ownership only lets concurrent claims share one
+//! write.
 
 mod bucket;
 mod entry;
--- a/crates/core/src/claims/owner.rs
+++ b/crates/core/src/claims/owner.rs
@@ -1,7 +1,7 @@
-//! The machine of the instance that writes the buckets of a shard.
+//! State machine of the instance that writes the buckets of a shard.
 //!
-//! Claims that wait at the same time go into one write (group commit), and what became of earlier ones rides
-//! along. A bucket has at most one call to the key-value service under way.
+//! Claims that wait at the same time share one write (group commit), which also carries the edits of earlier claims.
+//! Each bucket has at most one call to the key-value service in flight.
 
 mod owned_bucket;
 
@@ -24,133 +24,133 @@
 use crate::time::Time;
 use crate::time::WallTime;
 
-/// Buckets held in memory; a bucket that was dropped is read again when it is asked for.
+/// Maximum number of buckets in memory; an evicted bucket is read again when it is needed.
 const MAX_BUCKETS: usize = 256;
 
-/// How long the key-value service may fail before new claims are refused at once.
+/// How long the key-value service may fail before new claims are refused immediately.
 const UNAVAILABLE_AFTER: Duration = Duration::from_secs(1);
 
-/// First pause after a failed call; doubled by each further failure.
+/// Delay after the first failed call; each further failure doubles it.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest pause after a failed call.
+/// Maximum delay after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Spread of the times at which refused callers are told to come back.
+/// Range over which the retry delays of refused callers are spread, in seconds.
 const RETRY_SPREAD_S: u64 = 4;
 
 /// Version of a key-value entry as the service counts it; 0 stands for an absent entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Revision(pub u64);
 
-/// Names a question, so that its answer finds back.
+/// Identifies a claim request or a query, so that its answer reaches the sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryId(pub u64);
 
-/// Asks for a claim.
+/// A request for a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The claim.
+    /// The claim that is requested.
     pub claim: ClaimRef,
-    /// The request that wants it. The same mark may ask again, of any owner.
+    /// Token of the requesting request. The same token may ask again, and may ask any owner.
     #[serde(rename = "mark")]
     pub token: ClaimToken,
-    /// What the request is.
+    /// Fingerprint of the request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
     /// Wall clock of the entry instance.
     pub wall: WallTime,
-    /// How long the entry waits for the answer.
+    /// How long the entry instance waits for the answer.
     pub wait: Duration,
-    /// How long the request may take once granted.
+    /// How long the request may run once the claim is granted.
     pub run: Duration,
 }
 
-/// What is known of a claimed request.
+/// Status of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimStatus {
-    /// It was granted, and its deadline is this far off.
+    /// The claim was granted; the duration is the time left until the deadline of the request.
     Running(Duration),
-    /// It ran; the answer is there if it was small enough.
+    /// The request ran; the answer is given if it was small enough to be stored.
     Finished(Option<StoredAnswer>),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Answer to an [`Ask`] or to a question for what is known.
+/// Answer to a [`ClaimRequest`], or to a query for the status of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The asking mark holds the claim; its entry may send once.
+    /// The requesting token holds the claim; its entry instance may send once.
     Granted,
     /// Another request holds the claim.
     #[serde(rename = "Seen")]
     Held(ClaimStatus),
-    /// Another request holds the claim, and it asked for something else.
+    /// Another request, with a different fingerprint, holds the claim.
     Mismatch,
-    /// Nobody holds the claim; only as answer to a question.
+    /// No request holds the claim; given only in answer to a query.
     #[serde(rename = "Never")]
     Unclaimed,
-    /// The key-value service is out of reach. Come back after this time.
+    /// The key-value service is unavailable. The duration is the retry delay.
     #[serde(rename = "Out")]
     Unavailable(Duration),
-    /// The clocks of entry and owner differ too much.
+    /// The wall clocks of entry instance and owner differ too much.
     #[serde(rename = "Clock")]
     ClockSkew,
     /// The bucket is full.
     Full,
-    /// This instance is stopping; another owns the shard.
+    /// This instance is stopping; another one owns the shard.
     Stopping,
 }
 
-/// What happens to an owner.
+/// An input of the [`Owner`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerEvent {
-    /// A claim is asked for.
+    /// A claim is requested.
     Claim(QueryId, ClaimRequest),
-    /// Somebody asks what is known of a claim.
+    /// The status of a claim is queried.
     Query(QueryId, ClaimRef),
-    /// What became of a claim.
+    /// The state of a claim changes.
     Edit(BucketId, Edit),
     /// The write of the bucket took effect.
     Written(BucketId, Revision),
-    /// The bucket stands so: the answer to a read, or to a write that did not take effect.
+    /// Current content of the bucket: the result of a read, or of a write that did not take effect.
     Current(BucketId, Revision, Bucket),
-    /// The call for the bucket failed; `unsure` if a write may have taken effect or still may.
+    /// The call for the bucket failed; `maybe_written` if a write may have taken effect or still may.
     Failed {
         /// The bucket.
         bucket: BucketId,
-        /// Whether a write may have taken effect, or may yet.
+        /// Whether a write may have taken effect, or may still take effect.
         maybe_written: bool,
     },
-    /// Time has passed.
+    /// A requested wake-up time is reached.
     Tick,
     /// The instance is stopping.
     Stop,
 }
 
-/// What an owner does.
+/// An output of the [`Owner`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerAction {
     /// Read the bucket.
     Read(BucketId),
     /// Write the bucket if it still has this version.
     Write(BucketId, Revision, Bucket),
-    /// Answer a question.
+    /// Answer a claim request or a query.
     Answer(QueryId, Verdict),
-    /// Give [`OwnerEvent::Tick`] at this time.
+    /// Pass [`OwnerEvent::Tick`] at this time.
     Wake(Time),
-    /// An invariant broke; the action that would rest on it was dropped.
+    /// An invariant is violated; the action that depends on it was dropped.
     InvariantBroken(&'static str),
 }
 
 /// How an owner groups writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerSettings {
-    /// Least time between two writes of a bucket; claims that come in between share the next one.
+    /// Minimum time between two writes of a bucket; claims that arrive in between share the next write.
     pub write_interval: Duration,
-    /// How long what became of a claim waits for a write to ride along with.
+    /// How long an edit waits for a write that can carry it.
     pub edit_delay: Duration,
-    /// Most claims in one write.
+    /// Maximum number of new claims in one write.
     pub max_batch: usize,
 }
 
@@ -165,7 +165,7 @@
 }
 
 impl OwnerSettings {
-    /// One write for each claim and one for each end, for comparison.
+    /// Settings with one write for each claim and one for each edit, as a baseline for measurements.
     pub fn ungrouped() -> OwnerSettings {
         OwnerSettings {
             write_interval: Duration::ZERO,
@@ -175,7 +175,7 @@
     }
 }
 
-/// The machine. Holds buckets as the key-value service was last seen to hold them.
+/// The state machine. Holds buckets as last seen in the key-value service.
 #[derive(Debug)]
 pub struct Owner {
     settings: OwnerSettings,
@@ -187,7 +187,7 @@
 }
 
 impl Owner {
-    /// An owner that knows no bucket.
+    /// Creates an owner with no bucket in memory.
     pub fn new(settings: OwnerSettings) -> Owner {
         Owner {
             settings,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the resulting actions.
     pub fn on(&mut self, now: Clocks, event: OwnerEvent) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         match event {
@@ -233,12 +233,12 @@
         actions
     }
 
-    /// Whether nothing is left to be written.
+    /// Whether no write, answer or call is pending.
     pub fn is_idle(&self) -> bool {
         self.buckets.values().all(OwnedBucket::is_idle)
     }
 
-    /// Buckets in memory, with their claims as last seen in the key-value service.
+    /// Iterates over the buckets in memory, with their claims as last seen in the key-value service.
     pub fn buckets(&self) -> impl Iterator<Item = (BucketId, &Bucket)> {
         self.buckets
             .iter()
@@ -288,8 +288,8 @@
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Whether the key-value service has failed for so long that a new claim should not wait for it. Once the
-    /// pause is over, the next claim is let through to try it.
+    /// Whether the key-value service has failed for so long that new claims should not wait for it. After the
+    /// backoff delay the next claim is let through as a probe.
     fn is_unavailable(&self, now: Time) -> bool {
         let long = self
             .failing_since
@@ -297,14 +297,16 @@
         long && now < self.next_try
     }
 
-    /// What is said while the key-value service is out: the end of a claim if it is known, since it never changes.
+    /// Returns the answer while the key-value service is unavailable: the final state of a claim if it is known,
+    /// since it never changes.
     fn refuse_unavailable(&self, now: Clocks, ask: &ClaimRequest) -> Verdict {
         let owned = self.buckets.get(&ask.claim.bucket);
         let known = owned.and_then(|owned| owned.final_verdict(ask, now.wall));
         known.unwrap_or_else(|| Verdict::Unavailable(self.retry_after(now.time, ask)))
     }
 
-    /// When a refused caller should come back: after the next try, spread so that they don't come together.
+    /// Returns the retry delay of a refused caller: until the next attempt, plus a spread so that callers do not
+    /// return all at once.
     fn retry_after(&self, now: Time, ask: &ClaimRequest) -> Duration {
         let spread = Duration::from_secs(1 + ask.token.0.as_u64_pair().1 % RETRY_SPREAD_S);
         self.next_try.since(now) + spread
--- a/crates/core/src/claims/owner/owned_bucket.rs
+++ b/crates/core/src/claims/owner/owned_bucket.rs
@@ -1,4 +1,4 @@
-//! One bucket in the hands of an owner.
+//! State of one bucket at its owner.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -24,26 +24,27 @@
 use crate::time::Time;
 use crate::time::WallTime;
 
-/// How old what was read of an unfinished claim may be when it is status_of.
+/// Maximum age of the last view of an unfinished claim for it to be reported.
 const MAX_VIEW_AGE: Duration = Duration::from_secs(1);
 
-/// How long a question for what is known waits.
+/// How long a query waits for its answer.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a release is remembered after it was taken: a write that was sent before may land some seconds later.
+/// How long a release is remembered after it was received: a write that was sent before it may take effect some
+/// seconds later.
 const RELEASE_RETENTION: Duration = Duration::from_secs(30);
 
-/// Releases that are remembered; beyond, the oldest are forgotten, and their claims end with their time.
+/// Maximum number of remembered releases; beyond it the oldest are dropped, and their claims end at their deadlines.
 const MAX_RELEASES: usize = 64;
 
 /// What is known of the key-value entry.
 #[derive(Debug)]
 enum View {
-    /// Nothing yet. Most buckets are new, so the first write expects none.
+    /// Nothing is known yet. Most buckets are new, so the first write expects an absent entry.
     Unread,
-    /// A write may have taken effect; only reading tells.
+    /// A write may have taken effect; only a read can tell.
     Uncertain,
-    /// It stood so.
+    /// The entry had this content.
     Known(Snapshot),
 }
 
@@ -51,16 +52,16 @@
 struct Snapshot {
     revision: Revision,
     bucket: Bucket,
-    read_at: Time,
+    seen_at: Time,
 }
 
 #[derive(Debug)]
 enum Call {
     Read,
     Write {
-        /// What is being written.
+        /// Content that is being written.
         bucket: Bucket,
-        /// How many of the pending edits it holds.
+        /// Number of pending edits that it includes.
         edits: usize,
     },
 }
@@ -86,10 +87,10 @@
     claims: Vec<PendingClaim>,
     queries: Vec<PendingQuery>,
     edits: Vec<Edit>,
-    /// Releases taken lately.
+    /// Releases received recently, with their times.
     released: VecDeque<(Time, Edit)>,
     edited_at: Time,
-    written_at: Option<Time>,
+    last_write: Option<Time>,
     paused_until: Time,
     used_at: Time,
 }
@@ -104,7 +105,7 @@
             edits: Vec::new(),
             released: VecDeque::new(),
             edited_at: now,
-            written_at: None,
+            last_write: None,
             paused_until: Time::ZERO,
             used_at: now,
         }
@@ -125,13 +126,13 @@
         }
     }
 
-    /// The verdict on `ask` if the claim that stands has ended, however old the view is.
+    /// Returns the verdict on `ask` if the stored claim is in a final state, however old the view is.
     pub(super) fn final_verdict(&self, ask: &ClaimRequest, wall: WallTime) -> Option<Verdict> {
         let record = self.known()?.get(&ask.claim.id)?;
         decide(record, ask, &self.edits, wall, false)
     }
 
-    /// How the claim that stands has ended, if it has, however old the view is.
+    /// Returns the status of the stored claim if that is final, however old the view is.
     pub(super) fn final_status(&self, id: ClaimId, wall: WallTime) -> Option<Verdict> {
         status_of(self.known()?.get(&id)?, id, &self.edits, wall, false)
     }
@@ -161,9 +162,10 @@
         self.edits.push(edit);
     }
 
-    /// Failure guarded against: a release finds nothing to free, since its claim's write is still on its way, and is
-    /// forgotten; the write lands, and the key stays "running" until its time is over, though its caller was status_of that
-    /// nothing runs. A claim bears the mark of one attempt, so that a release frees no other's.
+    /// Failure guarded against: a release finds no claim to free, because the write of its claim is still in flight,
+    /// and is forgotten; the write then takes effect, and the key is reported as running until its deadline,
+    /// although its caller was told that nothing runs. A claim holds the token of one attempt, so a release never
+    /// frees the claim of another attempt.
     fn release_again(&mut self, now: Time) {
         self.released.retain(|(at, _)| now.since(*at) < RELEASE_RETENTION);
         let View::Known(snapshot) = &self.view else { return };
@@ -191,27 +193,27 @@
             self.view = View::Known(Snapshot {
                 revision,
                 bucket,
-                read_at: now,
+                seen_at: now,
             });
         }
     }
 
     pub(super) fn on_current(&mut self, revision: Revision, bucket: Bucket, now: Time) {
         self.call = None;
-        // The write was for nothing; the next one need not keep its distance.
-        self.written_at = None;
+        // The write had no effect, so the next one need not wait for the write interval.
+        self.last_write = None;
         self.view = View::Known(Snapshot {
             revision,
             bucket,
-            read_at: now,
+            seen_at: now,
         });
         self.release_again(now);
     }
 
-    /// Failure guarded against: a write whose answer was lost is taken for one that took effect, its claim is
-    /// granted, and another owner's claim stands there; it would show as two runs of one key. After an maybe_written
-    /// write nothing but what is read, or written on top of that, says who holds a claim. (Keeping the old
-    /// view would be safe too, since the next write compares with its version; reading saves that conflict.)
+    /// Failure guarded against: a write whose answer was lost is taken for successful and its claim is granted,
+    /// while the entry holds another owner's claim; it would show as two runs for one key. After a write with
+    /// unknown result, only what is read, or written on top of that, says who holds a claim. (Keeping the old view
+    /// would be safe too, since the next write compares with its version; reading avoids that conflict.)
     pub(super) fn on_failed(&mut self, maybe_written: bool, until: Time) {
         let wrote = matches!(self.call.take(), Some(Call::Write { .. }));
         self.paused_until = until;
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Answers what can be answered and starts the next call, if one is due.
+    /// Sends the answers that are due, and starts the next call if one is due.
     pub(super) fn advance(
         &mut self,
         now: Clocks,
@@ -257,7 +259,7 @@
         }
         match self.next_write(now.wall, settings, actions) {
             Ok(Some((revision, bucket))) => {
-                self.written_at = Some(now.time);
+                self.last_write = Some(now.time);
                 actions.push(OwnerAction::Write(id, revision, bucket));
             }
             Ok(None) => {}
@@ -265,10 +267,10 @@
         }
     }
 
-    /// When the next call is due; `None` if there is nothing to do.
+    /// Returns when the next call is due; `None` if there is nothing to do.
     fn due(&self, settings: &OwnerSettings) -> Option<Time> {
         let paced = self
-            .written_at
+            .last_write
             .map_or(Time::ZERO, |at| at + settings.write_interval);
         let due = match () {
             () if !self.queries.is_empty() => Time::ZERO,
@@ -284,14 +286,14 @@
             View::Uncertain => true,
             View::Unread => !self.queries.is_empty() || !self.edits.is_empty(),
             View::Known(snapshot) => {
-                let stale = now.since(snapshot.read_at) > MAX_VIEW_AGE;
+                let stale = now.since(snapshot.seen_at) > MAX_VIEW_AGE;
                 let held = |id: &ClaimId| snapshot.bucket.get(id).is_some();
                 stale && (!self.queries.is_empty() || self.claims.iter().any(|w| held(&w.ask.claim.id)))
             }
         }
     }
 
-    /// Works out the next write: pending edits and claims on top of what was last seen.
+    /// Prepares the next write: the pending edits and claims, applied to the last view.
     fn next_write(
         &mut self,
         wall: WallTime,
@@ -338,10 +340,10 @@
         });
     }
 
-    /// Answers what the last view, with the pending edits on top, decides.
+    /// Answers the requests and queries that the last view, with the pending edits applied, decides.
     fn answer_pending(&mut self, now: Clocks, actions: &mut Vec<OwnerAction>) {
         let View::Known(snapshot) = &self.view else { return };
-        let fresh = now.time.since(snapshot.read_at) <= MAX_VIEW_AGE;
+        let fresh = now.time.since(snapshot.seen_at) <= MAX_VIEW_AGE;
         let edits = &self.edits;
         self.claims.retain(|waiting| {
             let Some(record) = snapshot.bucket.get(&waiting.ask.claim.id) else {
@@ -363,8 +365,8 @@
         });
     }
 
-    /// Refuses what has waited as long as its entry waits. A write that holds the claim may be under way; its
-    /// entry has given up by then and never sends, so the refusal stays true.
+    /// Refuses requests and queries whose wait has ended. A write with the claim may still be in flight; the entry
+    /// instance has given up by then and never sends, so the refusal stays correct.
     fn expire(&mut self, now: Time, actions: &mut Vec<OwnerAction>) {
         self.claims.retain(|waiting| {
             let waits = now < waiting.until;
@@ -399,7 +401,7 @@
     }
 }
 
-/// The verdict on `ask` given the claim that stands; `None` if a fresher view is needed first.
+/// Returns the verdict on `ask` given the stored claim; `None` if a newer view is needed first.
 fn decide(
     record: &Record,
     ask: &ClaimRequest,
@@ -409,9 +411,9 @@
 ) -> Option<Verdict> {
     let seen = status_of(record, ask.claim.id, edits, wall, fresh)?;
     match seen {
-        // Released, but not yet written so: the next write frees the claim.
+        // Released, but the release is not yet written: the next write frees the claim.
         Verdict::Unclaimed => None,
-        // An entry that has sent or given up meanwhile drops the grant.
+        // An entry instance that has since sent the request or given up ignores the grant.
         _ if record.token == ask.token => match record.state {
             State::Granted { .. } => Some(Verdict::Granted),
             State::Finished { .. } | State::Unknown => Some(seen),
@@ -421,7 +423,7 @@
     }
 }
 
-/// What is known of a claim, with the pending edits on top.
+/// Returns the status of a claim with the pending edits applied; `None` if a newer view is needed first.
 fn status_of(record: &Record, id: ClaimId, edits: &[Edit], wall: WallTime, fresh: bool) -> Option<Verdict> {
     let mut one = Bucket::default();
     one.add(id, record.clone());
--- a/crates/core/src/claims/owners.rs
+++ b/crates/core/src/claims/owners.rs
@@ -1,8 +1,8 @@
 //! Which instance writes the buckets of a shard.
 //!
-//! Rendezvous hashing over the platform's list: a joining or leaving instance moves only its own shards, and
-//! instances with different lists mostly agree. Where they don't, two owners write the same bucket and
-//! compare-and-swap settles it, at the price of a second write.
+//! Owners are chosen by rendezvous hashing over the platform's list of instances: a joining or leaving instance
+//! moves only its own shards, and instances with different lists mostly agree. Where they don't, two owners write
+//! the same bucket and compare-and-swap resolves the conflict, at the cost of a second write.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,37 +11,37 @@
 use crate::name::Name;
 use crate::time::Time;
 
-/// How long an instance that did not answer is asked last.
+/// How long an instance that did not answer is ranked last.
 const SUSPECT_TIME: Duration = Duration::from_secs(2);
 
 /// An instance that may own shards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Name of the instance.
     pub name: &'a Name,
-    /// Whether it was heard of lately.
+    /// Whether the instance was heard from recently.
     pub heard: bool,
 }
 
-/// Remembers which owners were silent when they were asked.
+/// Ranks owners, and tracks which of them did not answer.
 #[derive(Debug, Clone, Default)]
 pub struct Owners {
     suspects: BTreeMap<Name, Time>,
 }
 
 impl Owners {
-    /// Notes that `name` did not answer.
+    /// Records that `name` did not answer.
     pub fn suspect(&mut self, name: &Name, now: Time) {
         self.suspects.retain(|_, until| now < *until);
         self.suspects.insert(name.clone(), now + SUSPECT_TIME);
     }
 
-    /// Notes that `name` answered.
+    /// Records that `name` answered.
     pub fn trust(&mut self, name: &Name) {
         self.suspects.remove(name);
     }
 
-    /// Instances in the order in which they are to be asked for `shard`, silent ones last.
+    /// Returns the instances in the order in which they are to be asked for `shard`, unresponsive ones last.
     pub fn ranked<'a, I>(&self, candidates: I, shard: u16, now: Time) -> Vec<Name>
     where
         I: IntoIterator<Item = Candidate<'a>>,
--- a/crates/core/src/claims/route.rs
+++ b/crates/core/src/claims/route.rs
@@ -1,14 +1,13 @@
-//! Which calls of a plain service may be repeated.
+//! Which calls to a plain service may be repeated.
 
 use crate::config::Repeat;
 use crate::config::Route;
 
-/// Whether a call may be repeated: as the route with the longest matching path prefix says; one that no route
-/// matches may not.
+/// Returns whether a call may be repeated, as set for the route with the longest matching path prefix; a call that
+/// matches no route may not.
 ///
-/// Failure guarded against: a path that is written so that it matches a route that may be repeated, while the
-/// upstream takes it for another (`/lookup/../orders`). Such paths may not be repeated, whatever the routes
-/// say.
+/// Failure guarded against: a path is written so that it matches a repeatable route, while the upstream resolves it
+/// to another (`/lookup/../orders`). Such paths are never repeated, whatever the routes say.
 pub fn repeat_of(routes: &[Route], method: &str, path: &str) -> Repeat {
     let path = path.split('?').next().unwrap_or_default();
     if ["/.", "//", "%", "\\"].iter().any(|odd| path.contains(odd)) {
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -1,9 +1,9 @@
-//! Whether a request may run now.
+//! Admission control: whether a request may run now.
 //!
-//! What a product is owed is a share of a service's engine time. Requests within it are admitted; beyond it they
-//! borrow what others leave unused, in proportion to shares, while the engines are not congested. A request whose
-//! deadline can't be met is refused at once. No call to another instance is made: an instance holds each product
-//! to its part of the share, and parts follow demand (see [`Limiter::set_part`]).
+//! A product is entitled to a share of a service's engine time. Requests within the share are admitted; requests
+//! beyond it borrow what other products leave unused, in proportion to shares, while the engines are not congested.
+//! A request whose deadline can't be met is refused immediately. No other instance is called: each instance admits a
+//! fraction of each product's share, and the fractions follow demand (see [`Limiter::set_fraction`]).
 
 mod services;
 mod usage;
@@ -28,70 +28,71 @@
 use crate::outcome::Reason;
 use crate::time::Time;
 
-/// How often it is worked out what may be lent.
+/// How often the capacity that may be lent is computed.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Part of the capacity that may be in use before nothing more is lent.
+/// Fraction of the capacity that may be in use before nothing more is lent.
 const MAX_LENT: f64 = 0.9;
 
-/// Part of the time left to its deadline that a borrowing request may be expected to take.
+/// Maximum expected duration of a borrowing request, as a fraction of the time left to its deadline.
 const BORROW_TIME: f64 = 0.8;
 
-/// Part of the time left that the expected time may take before the service counts as congested.
+/// Expected duration of a request, as a fraction of the time left, above which the service counts as congested.
 const CONGESTED: f64 = 0.9;
 
-/// A request is refused as too late if it is expected to take this many times the time left.
+/// A request is refused as too late if its expected duration exceeds this multiple of the time left.
 const TOO_LATE: f64 = 1.0;
 
-/// Factor on what is taken for capacity after each [`UPDATE_INTERVAL`] in which the service was congested.
+/// Factor applied to the capacity factor after each [`UPDATE_INTERVAL`] in which the service was congested.
 const CAPACITY_DECREASE: f64 = 0.9;
 
-/// The same after each that was not.
+/// Factor applied to it after each interval without congestion.
 const CAPACITY_INCREASE: f64 = 1.03;
 
-/// Least factor on the capacity.
+/// Minimum of the capacity factor.
 const MIN_CAPACITY_FACTOR: f64 = 0.2;
 
-/// Shortest and longest time named to come back, in seconds.
+/// Shortest and longest retry delay, in seconds.
 const RETRY_AFTER_S: (f64, f64) = (0.2, 30.0);
 
-/// Tokens that an answer is expected to have at most, before any answers of its product were seen.
+/// Upper bound on the expected tokens of an answer before any answer of its product was seen.
 const INITIAL_OUTPUT: f64 = 256.0;
 
-/// An answer is expected to have at most this many times the mean of its product's answers.
+/// Upper bound on the expected tokens of an answer, as a multiple of the mean of its product's answers.
+/// [`INITIAL_OUTPUT`] applies if it is higher.
 const OUTPUT_SPREAD: f64 = 2.0;
 
-/// Weight of the last answer in that mean.
+/// Weight of the latest answer in that mean.
 const OUTPUT_WEIGHT: f64 = 0.05;
 
-/// A request as its limits see it.
+/// Cost of a request, as seen by admission control.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestCost {
-    /// Engine seconds that it takes.
+    /// Engine seconds that the request takes.
     pub cost: f64,
-    /// Seconds until its answer would be whole.
+    /// Expected seconds until its answer is complete.
     pub total: f64,
-    /// Seconds to its deadline.
+    /// Seconds left to its deadline.
     pub left: f64,
 }
 
-/// What a product is owed of the service that it asks.
+/// Share of a product in a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceShare {
     /// Share of engine time.
     pub share: Share,
-    /// Engines of the service.
+    /// Number of engines of the service.
     pub engines: usize,
 }
 
-/// Whether a request may run.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Admission {
-    /// It is within the product's share.
+    /// Admitted within the product's share.
     WithinShare,
-    /// It uses what others leave.
+    /// Admitted with capacity that other products leave unused.
     Borrowed,
-    /// It may not run now.
+    /// Refused; the duration is the retry delay.
     Refused(Reason, Duration),
 }
 
@@ -104,18 +105,18 @@
     output: Option<f64>,
 }
 
-/// What a product is owed and uses of one service, through one instance.
+/// Entitlement and usage of a product at one service, through one instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AccountView {
     /// The product.
     pub product: Name,
-    /// Engine seconds a second that it is owed here.
+    /// Engine seconds per second that the product is entitled to at this instance.
     pub entitled: f64,
-    /// Engine seconds a second that it used lately.
+    /// Engine seconds per second that it used recently.
     pub used: f64,
 }
 
-/// Limits of one service in one instance.
+/// Limits of one service at one instance.
 #[derive(Debug, Clone)]
 pub struct Limiter {
     accounts: BTreeMap<Name, Account>,
@@ -129,14 +130,14 @@
     rng: ChaCha8Rng,
 }
 
-/// Engine seconds that `prefill` uncached prompt tokens and `output` tokens take in a busy engine.
+/// Returns the engine seconds that `prefill` uncached prompt tokens and `output` tokens take in a busy engine.
 pub fn cost(speed: Speed, prefill: u32, output: u32) -> f64 {
     let slots = f64::from(RoleProfile::of(Role::Decode, speed.slots).slots);
     f64::from(prefill) / speed.prefill + f64::from(output) * step_time(speed, slots) / slots
 }
 
 impl Limiter {
-    /// Limits of an instance that has seen no requests. `seed` draws the jitter of times to come back.
+    /// Creates the limits of an instance that has received no requests. `seed` seeds the jitter of retry delays.
     pub fn new(seed: u64) -> Limiter {
         Limiter {
             accounts: BTreeMap::new(),
@@ -151,23 +152,23 @@
         }
     }
 
-    /// Sets how many instances share the engines. Each has an even part, where no demand is known.
+    /// Sets the number of instances that share the engines. Where no demand is known, each gets an equal fraction.
     pub fn set_instances(&mut self, count: usize) {
         self.even_fraction = 1.0 / count.max(1) as f64;
     }
 
-    /// Sets which part of `product`'s share this instance gives out, from 0 to 1: its part of the demand that
-    /// all instances saw.
+    /// Sets the fraction of `product`'s share that this instance admits, from 0 to 1: this instance's fraction of
+    /// the demand at all instances.
     pub fn set_fraction(&mut self, product: &Name, part: f64) {
         self.accounts.entry(product.clone()).or_default().fraction = Some(part.clamp(0.0, 1.0));
     }
 
-    /// Engine seconds a second that `product` used here lately.
+    /// Returns the engine seconds per second that `product` used recently at this instance.
     pub fn rate(&self, now: Time, product: &Name) -> f64 {
         self.accounts.get(product).map_or(0.0, |a| a.usage.rate(now))
     }
 
-    /// What each product that asked is owed and uses, in the order of their names.
+    /// Iterates over the accounts of all products that sent requests, in the order of their names.
     pub fn accounts(&self, now: Time) -> impl Iterator<Item = AccountView> {
         self.accounts.iter().map(move |(product, account)| AccountView {
             product: product.clone(),
@@ -176,14 +177,14 @@
         })
     }
 
-    /// Factor from 0 to 1 on the capacity, lowered while requests run late.
+    /// Returns the factor from 0 to 1 on the capacity, which is lowered while requests are late.
     pub fn capacity_factor(&self) -> f64 {
         self.capacity_factor
     }
 
-    /// Tokens that an answer of `product` with at most `limit` tokens is expected to have.
+    /// Returns the expected number of tokens of an answer of `product` with at most `limit` tokens.
     ///
-    /// Callers set a limit far above what most answers have; taken at its word it would have nearly everything
+    /// Callers set limits far above the length of most answers; taken literally, they would have nearly all requests
     /// refused as too late.
     pub fn expected_output(&self, product: &Name, limit: u32) -> u32 {
         let mean = self.accounts.get(product).and_then(|a| a.output);
@@ -191,7 +192,7 @@
         limit.min(most as u32)
     }
 
-    /// Notes that an answer of `product` had `tokens` tokens.
+    /// Records that an answer of `product` had `tokens` tokens.
     pub fn record_output(&mut self, product: &Name, tokens: u32) {
         let account = self.accounts.entry(product.clone()).or_default();
         let tokens = f64::from(tokens);
@@ -199,7 +200,7 @@
         account.output = Some(mean + OUTPUT_WEIGHT * (tokens - mean));
     }
 
-    /// Decides on a request of `product`, and counts it if it may run.
+    /// Decides on a request of `product`, and counts its cost if it may run.
     pub fn admit(&mut self, now: Time, product: &Name, owed: ServiceShare, need: RequestCost) -> Admission {
         if self.updated_at.is_none_or(|at| now.since(at) >= UPDATE_INTERVAL) {
             self.update_capacity(now, owed.engines);
@@ -209,7 +210,7 @@
         let account = self.accounts.entry(product.clone()).or_default();
         account.share = owed.share.fraction();
         account.entitled = capacity * account.share * account.fraction.unwrap_or(even);
-        // What it used before counts: a request that alone is more than a small share must be able to run.
+        // Only earlier usage counts: a request that alone exceeds a small share must be able to run.
         let within = account.usage.rate(now) < account.entitled;
         let rate = account.usage.with(now, need.cost);
         if need.total > CONGESTED * need.left {
@@ -235,7 +236,8 @@
         }
     }
 
-    /// Whether the product may borrow up to `rate`: its part of what is spare, by shares among borrowers.
+    /// Whether the product may borrow up to `rate`: its part of the spare capacity, divided by shares among the
+    /// borrowers.
     fn may_borrow(&self, product: &Name, rate: f64, need: RequestCost) -> bool {
         let Some(account) = self.accounts.get(product) else {
             return false;
@@ -247,11 +249,12 @@
         rate <= account.entitled + self.spare * weight && need.total <= BORROW_TIME * need.left
     }
 
-    /// Works out what is spare, and moves the factor on the capacity.
+    /// Computes the spare capacity, and adjusts the capacity factor.
     ///
-    /// Failure guarded against: a capacity taken too high (engines lost, roles that don't fit the mix, costs
-    /// guessed too low). All products would then be within their shares, and the one that asks most would take
-    /// from the others. The guard lowers what counts as capacity until the admitted requests run in time.
+    /// Failure guarded against: the capacity is taken too high (engines lost, roles that don't fit the mix of
+    /// requests, costs estimated too low). All products would then be within their shares, and the one with the most
+    /// requests would take capacity from the others. The guard lowers the assumed capacity until the admitted
+    /// requests complete in time.
     fn update_capacity(&mut self, now: Time, engines: usize) {
         self.updated_at = Some(now);
         let factor = if self.congested {
--- a/crates/core/src/limit/services.rs
+++ b/crates/core/src/limit/services.rs
@@ -1,4 +1,4 @@
-//! Limits of all services of one instance.
+//! Limits of all services at one instance.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,10 @@
 
 /// A [`Limiter`] for each service.
 ///
-/// Failure guarded against: a product that uses its share of one service is refused at another, since what it used
-/// was held against the other's engines; or the capacity is taken from whichever service was asked last. What a
-/// product is owed is a share of each service's engine time, so each has accounts of its own.
+/// Failure guarded against: a product that uses its share of one service is refused at another, because its usage
+/// there was counted against the other service's engines; or the capacity is taken from whichever service was
+/// requested last. A product is entitled to a share of each service's engine time, so each service has accounts of
+/// its own.
 #[derive(Debug, Clone)]
 pub struct Limits {
     services: BTreeMap<Name, Limiter>,
@@ -18,7 +19,7 @@
 }
 
 impl Limits {
-    /// Limits of an instance that has seen no requests. `seed` draws the jitter of times to come back.
+    /// Creates the limits of an instance that has received no requests. `seed` seeds the jitter of retry delays.
     pub fn new(seed: u64) -> Limits {
         Limits {
             services: BTreeMap::new(),
@@ -27,7 +28,7 @@
         }
     }
 
-    /// The limits at `service`.
+    /// Returns the limits at `service`.
     pub fn at(&mut self, service: &Name) -> &mut Limiter {
         let (instances, seed) = (self.instances, self.seed);
         self.services.entry(service.clone()).or_insert_with(|| {
@@ -37,7 +38,7 @@
         })
     }
 
-    /// Sets how many instances share the engines.
+    /// Sets the number of instances that share the engines.
     pub fn set_instances(&mut self, count: usize) {
         self.instances = count;
         for limiter in self.services.values_mut() {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The services that were asked, with their limits, in the order of their names.
+    /// Iterates over the requested services and their limits, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &Limiter)> {
         self.services.iter()
     }
--- a/crates/core/src/limit/usage.rs
+++ b/crates/core/src/limit/usage.rs
@@ -1,10 +1,10 @@
-//! How much engine time a product uses, as a mean that forgets within seconds.
+//! How much engine time a product uses, as an exponentially decaying mean over a few seconds.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Time constant of the mean: unused share is lent, and lent share taken back, about this fast.
+/// Time constant of the mean. Unused share is lent to other products, and taken back from them, about this fast.
 pub const TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// Engine seconds used per second.
@@ -15,12 +15,12 @@
 }
 
 impl Usage {
-    /// The rate now.
+    /// Returns the rate at `now`.
     pub fn rate(&self, now: Time) -> f64 {
         self.rate * (-now.since(self.at).as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp()
     }
 
-    /// What the rate would be with `cost` engine seconds more.
+    /// Returns the rate with `cost` engine seconds added.
     pub fn with(&self, now: Time, cost: f64) -> f64 {
         self.rate(now) + cost / TIME_CONSTANT.as_secs_f64()
     }
--- a/crates/core/src/route/affinity.rs
+++ b/crates/core/src/route/affinity.rs
@@ -1,7 +1,7 @@
-//! Which engines hold the KV cache of which prompt prefix, as far as is known.
+//! Which engines are believed to hold the KV cache of which prompt prefix.
 //!
-//! Engines publish what they store and evict late and with gaps, so an entry is a entry with an expiry. Memory
-//! is bounded: the oldest entries go first.
+//! Engines publish stored and evicted blocks late and with gaps, so an entry is a belief that expires. Memory is
+//! bounded: the oldest entries are evicted first.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,13 +11,13 @@
 use crate::snapshot::EngineKey;
 use crate::time::Time;
 
-/// Engines remembered for one block.
+/// Maximum number of engines recorded for one block.
 const MAX_HOLDERS: usize = 4;
 
-/// Blocks remembered for each engine of the fleet.
+/// Maximum number of recorded blocks, for each engine of the fleet.
 const BLOCKS_PER_ENGINE: usize = 1024;
 
-/// How long a entry lasts that nothing confirms.
+/// How long an entry lasts without confirmation.
 const ENTRY_TTL: Duration = Duration::from_secs(120);
 
 /// An engine that is believed to hold a prefix.
@@ -25,7 +25,7 @@
 pub struct Holder {
     /// The engine.
     pub engine: EngineKey,
-    /// Leading prompt tokens that it holds.
+    /// Number of leading prompt tokens that it holds.
     pub cached: u32,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Affinity {
-    /// Nothing is known of `engines` engines.
+    /// Creates an empty index with capacity for `engines` engines.
     pub fn new(engines: usize) -> Affinity {
         Affinity {
             capacity: engines * BLOCKS_PER_ENGINE,
@@ -52,17 +52,17 @@
         }
     }
 
-    /// Blocks that are remembered.
+    /// Number of recorded blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no block is recorded.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Notes that `engine` holds `block`.
+    /// Records that `engine` holds `block`.
     pub fn store(&mut self, now: Time, engine: EngineKey, block: u64) {
         let expires = now + ENTRY_TTL;
         let entries = self.blocks.entry(block).or_insert_with(|| {
@@ -81,25 +81,25 @@
         self.evict_oldest();
     }
 
-    /// Notes that `engine` no longer holds `block`.
+    /// Records that `engine` no longer holds `block`.
     pub fn evict(&mut self, engine: EngineKey, block: u64) {
         if let Some(entries) = self.blocks.get_mut(&block) {
             entries.retain(|b| b.engine != engine);
         }
     }
 
-    /// Forgets everything about `engine`, as after a role change, or after a gap in its events.
+    /// Removes all entries of `engine`, as after a role change, or after a gap in its events.
     ///
-    /// Failure guarded against: an eviction that fell into the gap would be believed for as long as
-    /// [`ENTRY_TTL`]; requests with that prefix would crowd on an engine that processes it anew each time.
+    /// Failure guarded against: an eviction that fell into the gap would go unnoticed for up to [`ENTRY_TTL`];
+    /// requests with that prefix would concentrate on an engine that has to process it again each time.
     pub fn forget(&mut self, engine: EngineKey) {
         for entries in self.blocks.values_mut() {
             entries.retain(|b| b.engine != engine);
         }
     }
 
-    /// The engines believed to hold the longest prefixes, longest first, found by halving: the digest of a block
-    /// covers all blocks before it.
+    /// Returns the engines believed to hold the longest prefixes, longest first. Uses binary search: the digest of a
+    /// block covers all blocks before it.
     pub fn holders(&self, now: Time, digests: &[u64]) -> Vec<Holder> {
         let mut found: Vec<Holder> = Vec::new();
         let (mut low, mut high) = (0, digests.len());
--- a/crates/core/src/route/engine_load.rs
+++ b/crates/core/src/route/engine_load.rs
@@ -1,4 +1,4 @@
-//! What is known of one engine: its last report, aged, and the work that this instance gave it since.
+//! Load of one engine: its last report, aged, plus the work that this instance has sent to it since.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
 use crate::engine::step_time;
 use crate::time::Time;
 
-/// Time constant of the mean of prompt tokens given to an engine, in seconds.
+/// Time constant of the mean of prompt tokens sent to an engine, in seconds.
 const PROMPT_MEAN_S: f64 = 5.0;
 
-/// Highest part of an engine's time that is taken to go into prompts of others.
+/// Maximum fraction of an engine's time that is assumed to go into the prompts of other requests.
 const MAX_PRESSURE: f64 = 0.9;
 
-/// Load reports older than this say nothing.
+/// Load reports older than this are ignored.
 pub const MAX_REPORT_AGE: Duration = Duration::from_secs(15);
 
-/// What an engine said of itself.
+/// A load report of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
-    /// The moment that the report describes: receipt less its age.
+    /// Time that the report describes: time of receipt minus its age.
     pub at: Time,
-    /// The role it had.
+    /// Role of the engine.
     pub role: Role,
-    /// Whether it was away for an order in progress.
+    /// Whether the engine was unavailable because of an order in progress.
     pub away: bool,
-    /// Requests that were running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that were waiting.
+    /// Number of waiting requests.
     pub queued: u32,
-    /// Prompt tokens that were waiting.
+    /// Number of waiting prompt tokens.
     pub prefill: u64,
-    /// How fast it is.
+    /// Speed of the engine.
     pub speed: Speed,
 }
 
@@ -45,7 +45,7 @@
     started: bool,
 }
 
-/// What is known of one engine.
+/// Load of one engine, as known to this instance.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
     report: Option<LoadReport>,
@@ -55,43 +55,43 @@
     suspect_until: Option<Time>,
 }
 
-/// The engine's state as far as it can be told now.
+/// Estimated state of an engine at one point in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadView {
-    /// Its role.
+    /// Role of the engine.
     pub role: Role,
-    /// Prompt tokens waiting.
+    /// Number of waiting prompt tokens.
     pub backlog: f64,
-    /// Requests running or waiting.
+    /// Number of requests that run or wait.
     pub requests: f64,
-    /// Part of its time that goes into prompts, from 0 to 1.
+    /// Fraction of the engine's time that goes into prompts, from 0 to 1.
     pub pressure: f64,
-    /// How fast it is.
+    /// Speed of the engine.
     pub speed: Speed,
 }
 
-/// What a request would meet at an engine, in seconds.
+/// Expected delays of a request at an engine, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Estimate {
-    /// Until its prompt is begun.
+    /// Time until processing of its prompt begins.
     pub wait: f64,
-    /// For the part of its prompt that is not cached.
+    /// Time to process the uncached part of its prompt.
     pub prefill: f64,
-    /// For its output.
+    /// Time to generate its output.
     pub decode: f64,
-    /// By which it delays the requests that run there, all together.
+    /// Delay that it adds to the requests that run there, summed over them.
     pub added_delay: f64,
 }
 
 impl Estimate {
-    /// Seconds until the answer is whole.
+    /// Returns the seconds until the answer is complete.
     pub fn total(&self) -> f64 {
         self.wait + self.prefill + self.decode
     }
 }
 
 impl EngineLoad {
-    /// Takes a report unless a newer one is known. Returns whether the engine's role changed.
+    /// Records a report unless a newer one is known. Returns whether the role of the engine changed.
     pub fn report(&mut self, report: LoadReport) -> bool {
         let known = self.report.map(|r| (r.at, r.role));
         if known.is_some_and(|(at, _)| at > report.at) {
@@ -101,17 +101,17 @@
         known.is_some_and(|(_, role)| role != report.role)
     }
 
-    /// The last report.
+    /// Returns the last report.
     pub fn last(&self) -> Option<&LoadReport> {
         self.report.as_ref()
     }
 
-    /// Requests of this instance there.
+    /// Returns the number of requests that this instance has at the engine.
     pub fn own_requests(&self) -> usize {
         self.sent.len()
     }
 
-    /// Notes a request that is sent now.
+    /// Records a request that is sent now.
     pub fn send(&mut self, now: Time, id: u64, prefill: u32) {
         self.decay(now);
         self.prompt_rate += f64::from(prefill) / PROMPT_MEAN_S;
@@ -123,37 +123,37 @@
         });
     }
 
-    /// Notes that a request's first token came.
+    /// Records the first token of a request.
     pub fn start(&mut self, id: u64) {
         if let Some(sent) = self.sent.iter_mut().find(|s| s.id == id) {
             sent.started = true;
         }
     }
 
-    /// Notes that a request ended.
+    /// Records the end of a request.
     pub fn end(&mut self, id: u64) {
         self.sent.retain(|s| s.id != id);
     }
 
-    /// Gives the engine no work until `until`: an attempt there failed before it began.
+    /// Keeps work from the engine until `until`, because an attempt there failed before it began.
     pub fn suspect(&mut self, until: Time) {
         self.suspect_until = Some(until);
     }
 
-    /// Whether the engine is here: not away for an order.
+    /// Whether the engine is available: not away for an order.
     pub fn is_present(&self, now: Time) -> bool {
         !self
             .report
             .is_some_and(|r| r.away && now.since(r.at) < MAX_REPORT_AGE)
     }
 
-    /// Whether an attempt there failed a moment ago.
+    /// Whether an attempt there failed recently.
     pub fn is_suspect(&self, now: Time) -> bool {
         self.suspect_until.is_some_and(|until| until > now)
     }
 
-    /// The state now. `scale` is the number of instances that send work there as this one does: a report is
-    /// the same for all, so what each added since is taken to be what this one added.
+    /// Returns the estimated state now. `scale` is the number of instances that send work to the engine: all see the
+    /// same report, so each is assumed to have added as much work since as this one.
     pub fn view(&self, now: Time, role: Option<Role>, scale: f64) -> LoadView {
         let report = self.report.filter(|r| now.since(r.at) < MAX_REPORT_AGE);
         let at = report.map_or(Time::ZERO, |r| r.at);
@@ -194,13 +194,13 @@
 }
 
 impl LoadView {
-    /// What a request of `prefill` uncached prompt tokens and `output` tokens would meet.
+    /// Estimates the delays of a request with `prefill` uncached prompt tokens and `output` tokens.
     pub fn estimate(&self, prefill: u32, output: u32) -> Estimate {
         let profile = RoleProfile::of(self.role, self.speed.slots);
         let slots = f64::from(profile.slots);
         let running = self.requests.min(slots);
         let step = step_time(self.speed, running + 1.0) / (1.0 - self.pressure);
-        // A request beyond the slots waits until one is free: slots free up evenly over the time of an answer.
+        // A request beyond the slots waits until one is free; slots free up evenly over the duration of an answer.
         let ahead = (self.requests + 1.0 - slots).max(0.0);
         let answer = f64::from(output.max(1)) * step;
         let rate = profile.prompt_rate(self.speed);
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,9 +1,9 @@
-//! Which engine gets a request.
+//! Choice of an engine for a request.
 //!
-//! The estimate of an engine is its last load report, aged by its lag, plus the work that this instance gave it
-//! since (see [`engine_load`]), less the prompt prefix that it is believed to hold (see [`affinity`]). A few candidates
-//! are compared and the best is taken; the candidates are drawn at random, so that instances that see the same
-//! stale reports don't all choose the same engine.
+//! The estimate for an engine is based on its last load report, aged by its lag, plus the work that this instance
+//! has sent to it since (see [`engine_load`]), minus the prompt prefix that it is believed to have cached (see
+//! [`affinity`]). A few candidates are compared and the best is chosen; the candidates are drawn at random, so that
+//! instances with the same stale reports do not all choose the same engine.
 
 mod affinity;
 mod engine_load;
@@ -33,55 +33,57 @@
 use crate::snapshot::Snapshot;
 use crate::time::Time;
 
-/// Engines that are compared beside those that hold the prompt's prefix.
+/// Number of engines to compare besides those that hold the prompt's prefix.
 const CANDIDATES: usize = 8;
 
-/// Engines compared because they hold the prompt's prefix.
+/// Number of engines to compare because they hold the prompt's prefix.
 const HOLDERS: usize = 4;
 
-/// Part of a score that is drawn, so that instances with the same reports don't all choose the same engine.
+/// Maximum random fraction added to a score, so that instances with the same reports do not all choose the same
+/// engine.
 const JITTER: f64 = 0.02;
 
-/// Seconds that another availability zone adds to an estimate.
+/// Seconds added to the estimate of an engine in another availability zone.
 const OTHER_ZONE_S: f64 = 0.005;
 
-/// Weight of the delay that a request means for the requests of others.
+/// Weight of the delay that a request causes for the requests of others.
 const DELAY_WEIGHT: f64 = 0.25;
 
 /// How long an engine that refused or broke an attempt before it began gets no work.
 const SUSPECT_TIME: Duration = Duration::from_millis(500);
 
-/// Deadlines left, in milliseconds, up to which a request has priority 0, 1, 2; above, 3.
+/// Upper limits of the time to the deadline, in milliseconds, for priorities 0, 1 and 2; above them the priority is
+/// 3.
 const PRIORITY_LIMITS_MS: [u128; 3] = [2_000, 8_000, 30_000];
 
 /// How engines are chosen. All but [`Routing::Estimate`] are baselines for measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Routing {
-    /// In turn, whatever their load.
+    /// Round robin, regardless of load.
     RoundRobin,
-    /// The least load by the last reports alone.
+    /// The lowest load according to the last reports alone.
     LeastReported,
-    /// The best estimate of a few candidates.
+    /// The best estimate among a few candidates.
     #[default]
     Estimate,
 }
 
-/// A request to be placed.
+/// A request that needs an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteRequest {
-    /// The service.
+    /// The requested service.
     pub service: ServiceKey,
-    /// Tokens of its prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens that it may generate.
+    /// Maximum number of tokens to generate.
     pub output: u32,
-    /// Digests of the prompt's blocks.
+    /// Digests of the blocks of the prompt.
     pub digests: Vec<u64>,
-    /// When its answer must be whole.
+    /// Deadline for the complete answer.
     pub deadline: Time,
 }
 
-/// Names a request at an engine until [`Router::end`].
+/// Identifies a request at an engine until [`Router::end`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHandle {
     engine: Name,
@@ -93,36 +95,36 @@
 pub struct Choice {
     /// The engine.
     pub engine: EngineKey,
-    /// Its name.
+    /// Name of the engine.
     pub name: Name,
-    /// Where it listens.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// To be given back when the attempt ends.
+    /// Passed to [`Router::end`] or [`Router::failed`] when the attempt ends.
     pub handle: RequestHandle,
-    /// What the request is expected to meet.
+    /// Expected delays of the request.
     pub estimate: Estimate,
     /// Priority at the engine; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// What a request would meet at the best engine.
+/// Forecast for a request at the best engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
-    /// What it is expected to meet.
+    /// Expected delays of the request.
     pub estimate: Estimate,
-    /// Prompt tokens that are not cached there.
+    /// Number of prompt tokens that are not cached there.
     pub prefill: u32,
-    /// How fast the engine is.
+    /// Speed of the engine.
     pub speed: Speed,
 }
 
-/// Engines that are left out of a choice.
+/// Engines to exclude from a choice.
 struct Exclusions<'a> {
     names: &'a [Name],
     suspects: bool,
 }
 
-/// What this instance knows of engines, and its choice among them.
+/// Load of the engines as known to this instance, and the choice among them.
 #[derive(Debug, Clone)]
 pub struct Router {
     inflight: BTreeMap<Name, u32>,
@@ -144,7 +146,7 @@
 }
 
 impl Router {
-    /// A router that knows of no requests.
+    /// Creates a router without requests.
     pub fn new() -> Router {
         Router {
             inflight: BTreeMap::new(),
@@ -166,24 +168,24 @@
         self
     }
 
-    /// Sets the availability zone whose engines go first.
+    /// Sets the availability zone whose engines are preferred.
     pub fn zone(mut self, zone: Name) -> Router {
         self.zone = Some(zone);
         self
     }
 
-    /// Sets the seed by which candidates are drawn. Instances need different ones.
+    /// Sets the seed for drawing candidates. Each instance needs a different one.
     pub fn seed(mut self, seed: u64) -> Router {
         self.rng = ChaCha8Rng::seed_from_u64(seed);
         self
     }
 
-    /// Sets how many instances send work to the engines.
+    /// Sets the number of instances that send work to the engines.
     pub fn set_instances(&mut self, count: usize) {
         self.scale = count.max(1) as f64;
     }
 
-    /// Takes the load report of `engine`.
+    /// Records a load report of `engine`.
     pub fn report(&mut self, engine: &Name, report: LoadReport) {
         let Some(key) = self.names.get(engine).copied() else {
             return;
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Notes that `engine` stored (or evicted) the KV cache of `block`.
+    /// Records that `engine` stored (or evicted) the KV cache of `block`.
     pub fn cache_event(&mut self, now: Time, engine: &Name, block: u64, stored: bool) {
         let Some(key) = self.names.get(engine).copied() else {
             return;
@@ -207,20 +209,20 @@
         }
     }
 
-    /// Notes that cache events of `engine` are missing.
+    /// Records that cache events of `engine` were missed.
     pub fn cache_gap(&mut self, engine: &Name) {
         if let Some(key) = self.names.get(engine) {
             self.affinity.forget(*key);
         }
     }
 
-    /// What is known of `engine`.
+    /// Returns the known load of `engine`.
     pub fn engine_load(&self, engine: &Name) -> Option<&EngineLoad> {
         self.loads.get(self.names.get(engine)?.index() as usize)
     }
 
-    /// Chooses an engine for `ask`, leaving out `except`, and counts the request there. `None` if there is
-    /// none that takes work.
+    /// Chooses an engine for `ask`, excluding `except`, and counts the request there. `None` if no engine accepts
+    /// work.
     pub fn choose(
         &mut self,
         now: Time,
@@ -265,7 +267,7 @@
         })
     }
 
-    /// The best estimate for `ask`, without counting it anywhere.
+    /// Returns the best estimate for `ask`, without counting the request at an engine.
     pub fn forecast(&mut self, now: Time, snapshot: &Snapshot, ask: &RouteRequest) -> Option<Forecast> {
         self.sync_engines(snapshot);
         let holders = self.affinity.holders(now, &ask.digests);
@@ -282,21 +284,21 @@
         })
     }
 
-    /// Notes the first token of a request.
+    /// Records the first token of a request.
     pub fn started(&mut self, ticket: &RequestHandle) {
         if let Some(book) = self.load_mut(&ticket.engine) {
             book.start(ticket.id);
         }
     }
 
-    /// Notes that a request ended at its engine.
+    /// Records that a request ended at its engine.
     pub fn end(&mut self, ticket: &RequestHandle) {
         if let Some(book) = self.load_mut(&ticket.engine) {
             book.end(ticket.id);
         }
     }
 
-    /// Notes that a request failed at its engine, which gets no work for a moment.
+    /// Records that a request failed at its engine, which gets no work for a short time.
     pub fn failed(&mut self, now: Time, ticket: &RequestHandle) {
         if let Some(book) = self.load_mut(&ticket.engine) {
             book.end(ticket.id);
@@ -304,8 +306,8 @@
         }
     }
 
-    /// Picks the serving upstream of `service` with the fewest requests of ours, leaving out `except`, and
-    /// counts the request there. `None` if there is none left. For plain services, which report no load.
+    /// Picks the serving upstream of `service` with the fewest requests of this instance, excluding `except`, and
+    /// counts the request there. `None` if none is left. For plain services, which report no load.
     pub fn pick(&mut self, snapshot: &Snapshot, service: ServiceKey, except: &[Name]) -> Option<EngineKey> {
         let view = snapshot.services.get(service)?;
         let engines = view
@@ -318,7 +320,7 @@
         Some(key)
     }
 
-    /// Requests of this instance at `engine`.
+    /// Returns the number of requests that this instance has at `engine`.
     pub fn in_flight(&self, engine: &Name) -> u32 {
         let picked = self.inflight.get(engine).copied().unwrap_or_default();
         let chosen = self.engine_load(engine).map_or(0, EngineLoad::own_requests);
@@ -332,7 +334,8 @@
         }
     }
 
-    /// Lays the loads out anew for another version of the configuration, keeping what is known by name.
+    /// Rebuilds the table of loads for a new version of the configuration, keeping what is known of each engine by
+    /// its name.
     pub fn sync_engines(&mut self, snapshot: &Snapshot) {
         if self.version == snapshot.version && self.loads.len() == snapshot.engines.len() {
             return;
@@ -366,8 +369,8 @@
         PRIORITY_LIMITS_MS.iter().filter(|limit| left > **limit).count() as u8
     }
 
-    /// The engines to compare. Where only suspects are left they are taken after all: one broken answer must not
-    /// excluded a service without engines.
+    /// Returns the engines to compare. If all that are left are suspect they are used after all: one failed attempt
+    /// must not leave a service without engines.
     fn eligible_candidates(
         &mut self,
         now: Time,
@@ -388,7 +391,7 @@
         self.candidates(now, snapshot, ask, &excluded, holders)
     }
 
-    /// The engines to compare: all of a small service; of a large one, some at random and the holders.
+    /// Returns the engines to compare: all of a small service; of a large one a random sample, and the holders.
     fn candidates(
         &mut self,
         now: Time,
@@ -410,7 +413,7 @@
         let holding = holders.iter().take(HOLDERS).map(|h| h.engine);
         chosen.extend(holding.filter(|key| self.is_eligible(now, snapshot, *key, excluded)));
         let mut same_zone = 0;
-        // Engines of other zones are drawn too, but only half as many are kept.
+        // Engines of other zones are drawn too, but only half of them are kept.
         for _ in 0..6 * CANDIDATES {
             if chosen.len() >= CANDIDATES + HOLDERS || same_zone >= CANDIDATES {
                 break;
@@ -507,11 +510,11 @@
     }
 }
 
-/// What a request would find at an engine.
+/// Estimate for a request at one engine.
 #[derive(Debug, Clone, Copy)]
 struct Evaluated {
     key: EngineKey,
-    /// Leading tokens of the prompt that the engine is believed to hold.
+    /// Number of leading prompt tokens that the engine is believed to have cached.
     cached: u32,
     estimate: Estimate,
 }
