--- a/crates/core/src/claims/entry.rs
+++ b/crates/core/src/claims/entry.rs
@@ -132,7 +132,7 @@
     fn on_verdict(mut self, now: Clocks, verdict: Verdict) -> EntryStep<P> {
         match verdict {
             Verdict::Granted => self.on_granted(now),
-            Verdict::Held(seen) => EntryStep::Held(seen),
+            Verdict::Held(status) => EntryStep::Held(status),
             Verdict::Mismatch => self.refuse(Refused::Mismatch, None),
             Verdict::ClockSkew => self.refuse(Refused::ClockSkew, None),
             Verdict::Full => self.refuse(Refused::Full, Some(RETRY_AFTER)),
@@ -163,8 +163,8 @@
         }
         match self.owners.next() {
             Some(owner) => {
-                let ask = self.ask(now, !self.owners.as_slice().is_empty());
-                EntryStep::Ask(Box::new(self), owner, ask)
+                let request = self.request(now, !self.owners.as_slice().is_empty());
+                EntryStep::Ask(Box::new(self), owner, request)
             }
             None => self.refuse(Refused::Unavailable, Some(after)),
         }
@@ -173,7 +173,7 @@
     /// Failure guarded against: an owner that alone can't reach the key-value service uses up the whole wait, and
     /// the requests of its shards fail although other instances could claim for them. So each owner but the last
     /// gets half of the remaining wait.
-    fn ask(&self, now: Clocks, others: bool) -> ClaimRequest {
+    fn request(&self, now: Clocks, others: bool) -> ClaimRequest {
         let left = self.wait_until.since(now.time);
         ClaimRequest {
             claim: self.claim,
--- a/crates/core/src/claims/key.rs
+++ b/crates/core/src/claims/key.rs
@@ -34,7 +34,7 @@
     #[error("the idempotency key's time lies too far in the future")]
     Future,
     /// This instance's wall clock stepped, so the age of a key is unknown.
-    #[error("this instance's clock stepped, it can't judge the idempotency key's age")]
+    #[error("this instance's clock stepped, so the age of the idempotency key is unknown")]
     ClockStepped,
 }
 
--- a/crates/core/src/claims/owner.rs
+++ b/crates/core/src/claims/owner.rs
@@ -122,7 +122,7 @@
         /// Whether a write may have taken effect, or may still take effect.
         maybe_written: bool,
     },
-    /// A requested wake-up time is reached.
+    /// Time has passed, as after [`OwnerAction::Wake`].
     Tick,
     /// The instance is stopping.
     Stop,
@@ -203,8 +203,8 @@
     pub fn on(&mut self, now: Clocks, event: OwnerEvent) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         match event {
-            OwnerEvent::Claim(ticket, ask) => self.on_ask(now, ticket, ask, &mut actions),
-            OwnerEvent::Query(ticket, claim) => self.on_query(now, ticket, claim, &mut actions),
+            OwnerEvent::Claim(query_id, request) => self.on_claim(now, query_id, request, &mut actions),
+            OwnerEvent::Query(query_id, claim) => self.on_query(now, query_id, claim, &mut actions),
             OwnerEvent::Edit(bucket, edit) => {
                 self.bucket(bucket, now).edit(edit, now.time);
                 self.advance(now, bucket, &mut actions);
@@ -245,32 +245,38 @@
             .filter_map(|(id, owned)| Some((*id, owned.known()?)))
     }
 
-    fn on_ask(&mut self, now: Clocks, ticket: QueryId, ask: ClaimRequest, actions: &mut Vec<OwnerAction>) {
+    fn on_claim(
+        &mut self,
+        now: Clocks,
+        query_id: QueryId,
+        request: ClaimRequest,
+        actions: &mut Vec<OwnerAction>,
+    ) {
         let refusal = match () {
             () if self.stopping => Some(Verdict::Stopping),
-            () if !window::clocks_agree(now.wall, ask.wall) => Some(Verdict::ClockSkew),
-            () if self.is_unavailable(now.time) => Some(self.refuse_unavailable(now, &ask)),
+            () if !window::clocks_agree(now.wall, request.wall) => Some(Verdict::ClockSkew),
+            () if self.is_unavailable(now.time) => Some(self.refuse_unavailable(now, &request)),
             () => None,
         };
         if let Some(refusal) = refusal {
-            actions.push(OwnerAction::Answer(ticket, refusal));
+            actions.push(OwnerAction::Answer(query_id, refusal));
             return;
         }
-        let bucket = ask.claim.bucket;
-        self.bucket(bucket, now).ask(ticket, ask, now.time);
+        let bucket = request.claim.bucket;
+        self.bucket(bucket, now).claim(query_id, request, now.time);
         self.advance(now, bucket, actions);
     }
 
-    fn on_query(&mut self, now: Clocks, ticket: QueryId, claim: ClaimRef, actions: &mut Vec<OwnerAction>) {
+    fn on_query(&mut self, now: Clocks, query_id: QueryId, claim: ClaimRef, actions: &mut Vec<OwnerAction>) {
         if self.is_unavailable(now.time) {
             let owned = self.buckets.get(&claim.bucket);
             let known = owned.and_then(|owned| owned.final_status(claim.id, now.wall));
             let after = self.next_try.since(now.time).max(UNAVAILABLE_AFTER);
             let verdict = known.unwrap_or(Verdict::Unavailable(after));
-            actions.push(OwnerAction::Answer(ticket, verdict));
+            actions.push(OwnerAction::Answer(query_id, verdict));
             return;
         }
-        self.bucket(claim.bucket, now).query(ticket, claim.id, now.time);
+        self.bucket(claim.bucket, now).query(query_id, claim.id, now.time);
         self.advance(now, claim.bucket, actions);
     }
 
@@ -299,16 +305,16 @@
 
     /// Returns the answer while the key-value service is unavailable: the final state of a claim if it is known,
     /// since it never changes.
-    fn refuse_unavailable(&self, now: Clocks, ask: &ClaimRequest) -> Verdict {
-        let owned = self.buckets.get(&ask.claim.bucket);
-        let known = owned.and_then(|owned| owned.final_verdict(ask, now.wall));
-        known.unwrap_or_else(|| Verdict::Unavailable(self.retry_after(now.time, ask)))
+    fn refuse_unavailable(&self, now: Clocks, request: &ClaimRequest) -> Verdict {
+        let owned = self.buckets.get(&request.claim.bucket);
+        let known = owned.and_then(|owned| owned.final_verdict(request, now.wall));
+        known.unwrap_or_else(|| Verdict::Unavailable(self.retry_after(now.time, request)))
     }
 
     /// Returns the retry delay of a refused caller: until the next attempt, plus a spread so that callers do not
     /// return all at once.
-    fn retry_after(&self, now: Time, ask: &ClaimRequest) -> Duration {
-        let spread = Duration::from_secs(1 + ask.token.0.as_u64_pair().1 % RETRY_SPREAD_S);
+    fn retry_after(&self, now: Time, request: &ClaimRequest) -> Duration {
+        let spread = Duration::from_secs(1 + request.token.0.as_u64_pair().1 % RETRY_SPREAD_S);
         self.next_try.since(now) + spread
     }
 
--- a/crates/core/src/claims/owner/owned_bucket.rs
+++ b/crates/core/src/claims/owner/owned_bucket.rs
@@ -68,15 +68,15 @@
 
 #[derive(Debug)]
 struct PendingClaim {
-    ticket: QueryId,
-    ask: ClaimRequest,
+    query_id: QueryId,
+    request: ClaimRequest,
     until: Time,
 }
 
 #[derive(Debug)]
 struct PendingQuery {
-    ticket: QueryId,
-    id: ClaimId,
+    query_id: QueryId,
+    claim: ClaimId,
     until: Time,
 }
 
@@ -126,10 +126,10 @@
         }
     }
 
-    /// Returns the verdict on `ask` if the stored claim is in a final state, however old the view is.
-    pub(super) fn final_verdict(&self, ask: &ClaimRequest, wall: WallTime) -> Option<Verdict> {
-        let record = self.known()?.get(&ask.claim.id)?;
-        decide(record, ask, &self.edits, wall, false)
+    /// Returns the verdict on `request` if the stored claim is in a final state, however old the view is.
+    pub(super) fn final_verdict(&self, request: &ClaimRequest, wall: WallTime) -> Option<Verdict> {
+        let record = self.known()?.get(&request.claim.id)?;
+        decide(record, request, &self.edits, wall, false)
     }
 
     /// Returns the status of the stored claim if that is final, however old the view is.
@@ -137,16 +137,24 @@
         status_of(self.known()?.get(&id)?, id, &self.edits, wall, false)
     }
 
-    pub(super) fn ask(&mut self, ticket: QueryId, ask: ClaimRequest, now: Time) {
-        let until = now + ask.wait;
+    pub(super) fn claim(&mut self, query_id: QueryId, request: ClaimRequest, now: Time) {
+        let until = now + request.wait;
         self.used_at = now;
-        self.claims.push(PendingClaim { ticket, ask, until });
+        self.claims.push(PendingClaim {
+            query_id,
+            request,
+            until,
+        });
     }
 
-    pub(super) fn query(&mut self, ticket: QueryId, id: ClaimId, now: Time) {
+    pub(super) fn query(&mut self, query_id: QueryId, id: ClaimId, now: Time) {
         let until = now + QUERY_TIMEOUT;
         self.used_at = now;
-        self.queries.push(PendingQuery { ticket, id, until });
+        self.queries.push(PendingQuery {
+            query_id,
+            claim: id,
+            until,
+        });
     }
 
     pub(super) fn edit(&mut self, edit: Edit, now: Time) {
@@ -288,7 +296,7 @@
             View::Known(snapshot) => {
                 let stale = now.since(snapshot.seen_at) > MAX_VIEW_AGE;
                 let held = |id: &ClaimId| snapshot.bucket.get(id).is_some();
-                stale && (!self.queries.is_empty() || self.claims.iter().any(|w| held(&w.ask.claim.id)))
+                stale && (!self.queries.is_empty() || self.claims.iter().any(|w| held(&w.request.claim.id)))
             }
         }
     }
@@ -312,7 +320,7 @@
             self.refuse_new(&before, actions);
         }
         for waiting in self.claims.iter().take(settings.max_batch) {
-            bucket.add(waiting.ask.claim.id, granted_record(&waiting.ask, wall));
+            bucket.add(waiting.request.claim.id, granted_record(&waiting.request, wall));
         }
         if bucket == before {
             self.edits.clear();
@@ -320,7 +328,7 @@
         }
         check(
             bucket.preserves(&before, &self.edits),
-            "a claim that stands is never replaced",
+            "a stored claim is never replaced",
         )
         .map_err(|broken| broken.rule)?;
         self.call = Some(Call::Write {
@@ -332,9 +340,9 @@
 
     fn refuse_new(&mut self, bucket: &Bucket, actions: &mut Vec<OwnerAction>) {
         self.claims.retain(|waiting| {
-            let known = bucket.get(&waiting.ask.claim.id).is_some();
+            let known = bucket.get(&waiting.request.claim.id).is_some();
             if !known {
-                actions.push(OwnerAction::Answer(waiting.ticket, Verdict::Full));
+                actions.push(OwnerAction::Answer(waiting.query_id, Verdict::Full));
             }
             known
         });
@@ -346,21 +354,21 @@
         let fresh = now.time.since(snapshot.seen_at) <= MAX_VIEW_AGE;
         let edits = &self.edits;
         self.claims.retain(|waiting| {
-            let Some(record) = snapshot.bucket.get(&waiting.ask.claim.id) else {
+            let Some(record) = snapshot.bucket.get(&waiting.request.claim.id) else {
                 return true;
             };
-            let Some(verdict) = decide(record, &waiting.ask, edits, now.wall, fresh) else {
+            let Some(verdict) = decide(record, &waiting.request, edits, now.wall, fresh) else {
                 return true;
             };
-            actions.push(OwnerAction::Answer(waiting.ticket, verdict));
+            actions.push(OwnerAction::Answer(waiting.query_id, verdict));
             false
         });
         self.queries.retain(|query| {
-            let verdict = match snapshot.bucket.get(&query.id) {
+            let verdict = match snapshot.bucket.get(&query.claim) {
                 None => fresh.then_some(Verdict::Unclaimed),
-                Some(record) => status_of(record, query.id, edits, now.wall, fresh),
+                Some(record) => status_of(record, query.claim, edits, now.wall, fresh),
             };
-            actions.extend(verdict.clone().map(|v| OwnerAction::Answer(query.ticket, v)));
+            actions.extend(verdict.clone().map(|v| OwnerAction::Answer(query.query_id, v)));
             verdict.is_none()
         });
     }
@@ -372,7 +380,7 @@
             let waits = now < waiting.until;
             if !waits {
                 actions.push(OwnerAction::Answer(
-                    waiting.ticket,
+                    waiting.query_id,
                     Verdict::Unavailable(MAX_VIEW_AGE),
                 ));
             }
@@ -382,7 +390,7 @@
             let waits = now < query.until;
             if !waits {
                 actions.push(OwnerAction::Answer(
-                    query.ticket,
+                    query.query_id,
                     Verdict::Unavailable(MAX_VIEW_AGE),
                 ));
             }
@@ -391,46 +399,46 @@
     }
 }
 
-fn granted_record(ask: &ClaimRequest, wall: WallTime) -> Record {
+fn granted_record(request: &ClaimRequest, wall: WallTime) -> Record {
     Record {
-        token: ask.token,
-        fingerprint: ask.fingerprint,
+        token: request.token,
+        fingerprint: request.fingerprint,
         state: State::Granted {
-            until: WallTime(wall.0 + millis(ask.wait + ask.run)),
+            until: WallTime(wall.0 + millis(request.wait + request.run)),
         },
     }
 }
 
-/// Returns the verdict on `ask` given the stored claim; `None` if a newer view is needed first.
+/// Returns the verdict on `request` given the stored claim; `None` if a newer view is needed first.
 fn decide(
     record: &Record,
-    ask: &ClaimRequest,
+    request: &ClaimRequest,
     edits: &[Edit],
     wall: WallTime,
     fresh: bool,
 ) -> Option<Verdict> {
-    let seen = status_of(record, ask.claim.id, edits, wall, fresh)?;
+    let seen = status_of(record, request.claim.id, edits, wall, fresh)?;
     match seen {
         // Released, but the release is not yet written: the next write frees the claim.
         Verdict::Unclaimed => None,
         // An entry instance that has since sent the request or given up ignores the grant.
-        _ if record.token == ask.token => match record.state {
+        _ if record.token == request.token => match record.state {
             State::Granted { .. } => Some(Verdict::Granted),
             State::Finished { .. } | State::Unknown => Some(seen),
         },
-        _ if record.fingerprint != ask.fingerprint => Some(Verdict::Mismatch),
+        _ if record.fingerprint != request.fingerprint => Some(Verdict::Mismatch),
         _ => Some(seen),
     }
 }
 
 /// Returns the status of a claim with the pending edits applied; `None` if a newer view is needed first.
 fn status_of(record: &Record, id: ClaimId, edits: &[Edit], wall: WallTime, fresh: bool) -> Option<Verdict> {
-    let mut one = Bucket::default();
-    one.add(id, record.clone());
+    let mut single = Bucket::default();
+    single.add(id, record.clone());
     for edit in edits.iter().filter(|e| e.id == id) {
-        one.apply(edit);
+        single.apply(edit);
     }
-    let Some(record) = one.get(&id) else {
+    let Some(record) = single.get(&id) else {
         return Some(Verdict::Unclaimed);
     };
     match &record.state {
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -201,34 +201,40 @@
     }
 
     /// Decides on a request of `product`, and counts its cost if it may run.
-    pub fn admit(&mut self, now: Time, product: &Name, owed: ServiceShare, need: RequestCost) -> Admission {
+    pub fn admit(
+        &mut self,
+        now: Time,
+        product: &Name,
+        service: ServiceShare,
+        request: RequestCost,
+    ) -> Admission {
         if self.updated_at.is_none_or(|at| now.since(at) >= UPDATE_INTERVAL) {
-            self.update_capacity(now, owed.engines);
+            self.update_capacity(now, service.engines);
         }
         let even = self.even_fraction;
         let capacity = self.capacity;
         let account = self.accounts.entry(product.clone()).or_default();
-        account.share = owed.share.fraction();
+        account.share = service.share.fraction();
         account.entitled = capacity * account.share * account.fraction.unwrap_or(even);
         // Only earlier usage counts: a request that alone exceeds a small share must be able to run.
         let within = account.usage.rate(now) < account.entitled;
-        let rate = account.usage.with(now, need.cost);
-        if need.total > CONGESTED * need.left {
+        let rate = account.usage.with(now, request.cost);
+        if request.total > CONGESTED * request.left {
             self.congested = true;
         }
-        if need.total > TOO_LATE * need.left {
-            return self.refuse(Reason::TooLate, need.total - need.left);
+        if request.total > TOO_LATE * request.left {
+            return self.refuse(Reason::TooLate, request.total - request.left);
         }
-        if !within && !self.may_borrow(product, rate, need) {
-            let owed = self.accounts.get(product).map_or(0.0, |a| a.entitled);
-            let over = rate / owed.max(f64::MIN_POSITIVE);
+        if !within && !self.may_borrow(product, rate, request) {
+            let entitled = self.accounts.get(product).map_or(0.0, |a| a.entitled);
+            let over = rate / entitled.max(f64::MIN_POSITIVE);
             return self.refuse(
                 Reason::OverShare,
                 TIME_CONSTANT.as_secs_f64() * over.max(1.0).ln(),
             );
         }
         if let Some(account) = self.accounts.get_mut(product) {
-            account.usage.add(now, need.cost);
+            account.usage.add(now, request.cost);
         }
         match within {
             true => Admission::WithinShare,
@@ -238,7 +244,7 @@
 
     /// Whether the product may borrow up to `rate`: its part of the spare capacity, divided by shares among the
     /// borrowers.
-    fn may_borrow(&self, product: &Name, rate: f64, need: RequestCost) -> bool {
+    fn may_borrow(&self, product: &Name, rate: f64, request: RequestCost) -> bool {
         let Some(account) = self.accounts.get(product) else {
             return false;
         };
@@ -246,7 +252,7 @@
             true => account.share.max(0.01) / self.borrowers.max(account.share.max(0.01)),
             false => 1.0,
         };
-        rate <= account.entitled + self.spare * weight && need.total <= BORROW_TIME * need.left
+        rate <= account.entitled + self.spare * weight && request.total <= BORROW_TIME * request.left
     }
 
     /// Computes the spare capacity, and adjusts the capacity factor.
--- a/crates/core/src/route/affinity.rs
+++ b/crates/core/src/route/affinity.rs
@@ -35,7 +35,7 @@
     expires: Time,
 }
 
-/// The entries about all engines.
+/// Index from prompt blocks to the engines that are believed to hold them.
 #[derive(Debug, Clone, Default)]
 pub struct Affinity {
     blocks: BTreeMap<u64, Vec<Entry>>,
--- a/crates/core/src/route/engine_load.rs
+++ b/crates/core/src/route/engine_load.rs
@@ -157,10 +157,10 @@
     pub fn view(&self, now: Time, role: Option<Role>, scale: f64) -> LoadView {
         let report = self.report.filter(|r| now.since(r.at) < MAX_REPORT_AGE);
         let at = report.map_or(Time::ZERO, |r| r.at);
-        let (mut newer, mut prompts, mut waiting) = (0.0, 0.0, 0.0);
+        let (mut sent_since, mut prompts, mut waiting) = (0.0, 0.0, 0.0);
         for sent in &self.sent {
             if sent.at >= at {
-                newer += 1.0;
+                sent_since += 1.0;
                 prompts += f64::from(sent.prefill);
             }
             if !sent.started {
@@ -176,13 +176,14 @@
             Some(_) => (reported + prompts * scale - drained).max(0.0),
             None => 0.0,
         };
-        let counted = report.map_or(0.0, |r| f64::from(r.running + r.queued)) + newer * scale;
-        let decayed = self.prompt_rate * (-now.since(self.decayed_at).as_secs_f64() / PROMPT_MEAN_S).exp();
+        let requests = report.map_or(0.0, |r| f64::from(r.running + r.queued)) + sent_since * scale;
+        let prompt_rate =
+            self.prompt_rate * (-now.since(self.decayed_at).as_secs_f64() / PROMPT_MEAN_S).exp();
         LoadView {
             role,
             backlog: aged.max(waiting),
-            requests: counted.max(self.sent.len() as f64),
-            pressure: (decayed * scale / speed.prefill).min(MAX_PRESSURE),
+            requests: requests.max(self.sent.len() as f64),
+            pressure: (prompt_rate * scale / speed.prefill).min(MAX_PRESSURE),
             speed,
         }
     }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -190,10 +190,10 @@
         let Some(key) = self.names.get(engine).copied() else {
             return;
         };
-        let Some(book) = self.loads.get_mut(key.index() as usize) else {
+        let Some(load) = self.loads.get_mut(key.index() as usize) else {
             return;
         };
-        if book.report(report) {
+        if load.report(report) {
             self.affinity.forget(key);
         }
     }
@@ -221,36 +221,38 @@
         self.loads.get(self.names.get(engine)?.index() as usize)
     }
 
-    /// Chooses an engine for `ask`, excluding `except`, and counts the request there. `None` if no engine accepts
+    /// Chooses an engine for `request`, excluding `except`, and counts the request there. `None` if no engine accepts
     /// work.
     pub fn choose(
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         except: &[Name],
     ) -> Option<Choice> {
         self.sync_engines(snapshot);
         let holders = match self.policy {
-            Routing::Estimate => self.affinity.holders(now, &ask.digests),
+            Routing::Estimate => self.affinity.holders(now, &request.digests),
             Routing::RoundRobin | Routing::LeastReported => Vec::new(),
         };
-        let candidates = self.eligible_candidates(now, snapshot, ask, except, &holders);
+        let candidates = self.eligible_candidates(now, snapshot, request, except, &holders);
         let Evaluated {
             key,
             cached,
             estimate,
         } = match self.policy {
-            Routing::RoundRobin => self.evaluate(now, snapshot, ask, self.round_robin(&candidates)?, 0),
-            Routing::LeastReported => self.evaluate(now, snapshot, ask, self.least_reported(&candidates)?, 0),
-            Routing::Estimate => self.best(now, snapshot, ask, &candidates, &holders)?,
+            Routing::RoundRobin => self.evaluate(now, snapshot, request, self.round_robin(&candidates)?, 0),
+            Routing::LeastReported => {
+                self.evaluate(now, snapshot, request, self.least_reported(&candidates)?, 0)
+            }
+            Routing::Estimate => self.best(now, snapshot, request, &candidates, &holders)?,
         };
         let engine = snapshot.engines.get(key)?;
         let id = self.next;
         self.next += 1;
-        self.loads[key.index() as usize].send(now, id, ask.prompt.saturating_sub(cached));
+        self.loads[key.index() as usize].send(now, id, request.prompt.saturating_sub(cached));
         if self.policy == Routing::Estimate {
-            for digest in &ask.digests {
+            for digest in &request.digests {
                 self.affinity.store(now, key, *digest);
             }
         }
@@ -263,46 +265,46 @@
                 id,
             },
             estimate,
-            priority: self.priority(now, ask),
+            priority: self.priority(now, request),
         })
     }
 
-    /// Returns the best estimate for `ask`, without counting the request at an engine.
-    pub fn forecast(&mut self, now: Time, snapshot: &Snapshot, ask: &RouteRequest) -> Option<Forecast> {
+    /// Returns the best estimate for `request`, without counting the request at an engine.
+    pub fn forecast(&mut self, now: Time, snapshot: &Snapshot, request: &RouteRequest) -> Option<Forecast> {
         self.sync_engines(snapshot);
-        let holders = self.affinity.holders(now, &ask.digests);
-        let candidates = self.eligible_candidates(now, snapshot, ask, &[], &holders);
+        let holders = self.affinity.holders(now, &request.digests);
+        let candidates = self.eligible_candidates(now, snapshot, request, &[], &holders);
         let Evaluated {
             key,
             cached,
             estimate,
-        } = self.best(now, snapshot, ask, &candidates, &holders)?;
+        } = self.best(now, snapshot, request, &candidates, &holders)?;
         Some(Forecast {
             estimate,
-            prefill: ask.prompt.saturating_sub(cached),
+            prefill: request.prompt.saturating_sub(cached),
             speed: self.view(now, snapshot, key).speed,
         })
     }
 
     /// Records the first token of a request.
-    pub fn started(&mut self, ticket: &RequestHandle) {
-        if let Some(book) = self.load_mut(&ticket.engine) {
-            book.start(ticket.id);
+    pub fn started(&mut self, handle: &RequestHandle) {
+        if let Some(load) = self.load_mut(&handle.engine) {
+            load.start(handle.id);
         }
     }
 
     /// Records that a request ended at its engine.
-    pub fn end(&mut self, ticket: &RequestHandle) {
-        if let Some(book) = self.load_mut(&ticket.engine) {
-            book.end(ticket.id);
+    pub fn end(&mut self, handle: &RequestHandle) {
+        if let Some(load) = self.load_mut(&handle.engine) {
+            load.end(handle.id);
         }
     }
 
     /// Records that a request failed at its engine, which gets no work for a short time.
-    pub fn failed(&mut self, now: Time, ticket: &RequestHandle) {
-        if let Some(book) = self.load_mut(&ticket.engine) {
-            book.end(ticket.id);
-            book.suspect(now + SUSPECT_TIME);
+    pub fn failed(&mut self, now: Time, handle: &RequestHandle) {
+        if let Some(load) = self.load_mut(&handle.engine) {
+            load.end(handle.id);
+            load.suspect(now + SUSPECT_TIME);
         }
     }
 
@@ -361,11 +363,11 @@
         self.loads.get_mut(key.index() as usize)
     }
 
-    fn priority(&self, now: Time, ask: &RouteRequest) -> u8 {
+    fn priority(&self, now: Time, request: &RouteRequest) -> u8 {
         if self.policy != Routing::Estimate {
             return 0;
         }
-        let left = ask.deadline.since(now).as_millis();
+        let left = request.deadline.since(now).as_millis();
         PRIORITY_LIMITS_MS.iter().filter(|limit| left > **limit).count() as u8
     }
 
@@ -375,7 +377,7 @@
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         except: &[Name],
         holders: &[Holder],
     ) -> Vec<EngineKey> {
@@ -383,12 +385,12 @@
             names: except,
             suspects: true,
         };
-        let candidates = self.candidates(now, snapshot, ask, &excluded, holders);
+        let candidates = self.candidates(now, snapshot, request, &excluded, holders);
         if !candidates.is_empty() {
             return candidates;
         }
         excluded.suspects = false;
-        self.candidates(now, snapshot, ask, &excluded, holders)
+        self.candidates(now, snapshot, request, &excluded, holders)
     }
 
     /// Returns the engines to compare: all of a small service; of a large one a random sample, and the holders.
@@ -396,11 +398,11 @@
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         excluded: &Exclusions<'_>,
         holders: &[Holder],
     ) -> Vec<EngineKey> {
-        let Some(service) = snapshot.services.get(ask.service) else {
+        let Some(service) = snapshot.services.get(request.service) else {
             return Vec::new();
         };
         let engines = &service.engines;
@@ -437,8 +439,8 @@
             .engines
             .get(key)
             .is_some_and(|e| e.state == EngineState::Serving && !excluded.names.contains(&e.name));
-        let book = self.loads.get(key.index() as usize);
-        serving && book.is_some_and(|b| b.is_present(now) && !(excluded.suspects && b.is_suspect(now)))
+        let load = self.loads.get(key.index() as usize);
+        serving && load.is_some_and(|b| b.is_present(now) && !(excluded.suspects && b.is_suspect(now)))
     }
 
     fn is_same_zone(&self, snapshot: &Snapshot, key: EngineKey) -> bool {
@@ -455,15 +457,15 @@
         &self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         key: EngineKey,
         cached: u32,
     ) -> Evaluated {
-        let prompt = ask.prompt.saturating_sub(cached);
+        let prompt = request.prompt.saturating_sub(cached);
         Evaluated {
             key,
             cached,
-            estimate: self.view(now, snapshot, key).estimate(prompt, ask.output),
+            estimate: self.view(now, snapshot, key).estimate(prompt, request.output),
         }
     }
 
@@ -471,7 +473,7 @@
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &RouteRequest,
+        request: &RouteRequest,
         candidates: &[EngineKey],
         holders: &[Holder],
     ) -> Option<Evaluated> {
@@ -479,8 +481,8 @@
         let mut least = f64::INFINITY;
         for key in candidates {
             let holder = holders.iter().find(|h| h.engine == *key);
-            let cached = holder.map_or(0, |h| h.cached.min(ask.prompt));
-            let evaluated = self.evaluate(now, snapshot, ask, *key, cached);
+            let cached = holder.map_or(0, |h| h.cached.min(request.prompt));
+            let evaluated = self.evaluate(now, snapshot, request, *key, cached);
             let zone = match self.is_same_zone(snapshot, *key) {
                 true => 0.0,
                 false => OTHER_ZONE_S,
