--- a/crates/core/src/claims/owner.rs
+++ b/crates/core/src/claims/owner.rs
@@ -280,12 +280,18 @@
         self.advance(now, claim.bucket, actions);
     }
 
-    fn on_failed(&mut self, now: Clocks, bucket: BucketId, unsure: bool, actions: &mut Vec<OwnerAction>) {
+    fn on_failed(
+        &mut self,
+        now: Clocks,
+        bucket: BucketId,
+        maybe_written: bool,
+        actions: &mut Vec<OwnerAction>,
+    ) {
         self.failing_since.get_or_insert(now.time);
         self.next_try = now.time + self.backoff;
         let until = self.next_try;
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
-        self.bucket(bucket, now).on_failed(unsure, until);
+        self.bucket(bucket, now).on_failed(maybe_written, until);
         self.advance(now, bucket, actions);
     }
 
--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -300,7 +300,7 @@
     unsure: bool,
 }
 
-/// Swaps a bucket in, bound to a lease that lapses [`KEEP`] after this write at the earliest.
+/// Swaps a bucket in, bound to a lease that lapses [`BUCKET_TTL`] after this write at the earliest.
 async fn swap(
     kv: &KvClient,
     keep: Option<Keep>,
