--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -1,9 +1,9 @@
-//! Whether a request may run now.
+//! Admission control: whether a request may run now.
 //!
-//! What a product is owed is a share of a service's engine time. Requests within it are admitted; beyond it they
-//! borrow what others leave unused, in proportion to shares, while the engines are not congested. A request whose
-//! deadline can't be met is refused at once. No call to another instance is made: an instance holds each product
-//! to its part of the share, and parts follow demand (see [`Limiter::set_part`]).
+//! A product is entitled to a share of a service's engine time. Requests within the share are admitted; requests
+//! beyond it borrow what other products leave unused, in proportion to shares, while the engines are not congested.
+//! A request whose deadline can't be met is refused immediately. No other instance is called: each instance admits a
+//! fraction of each product's share, and the fractions follow demand (see [`Limiter::set_fraction`]).
 
 mod services;
 mod usage;
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 
 pub use services::Limits;
-pub use usage::MEMORY;
+pub use usage::TIME_CONSTANT;
 pub use usage::Usage;
 
 use crate::config::Role;
@@ -28,70 +28,71 @@
 use crate::outcome::Reason;
 use crate::time::Time;
 
-/// How often it is worked out what may be lent.
-const SETTLE: Duration = Duration::from_millis(200);
+/// How often the capacity that may be lent is computed.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Part of the capacity that may be in use before nothing more is lent.
-const LEND: f64 = 0.9;
+/// Fraction of the capacity that may be in use before nothing more is lent.
+const MAX_LENT: f64 = 0.9;
 
-/// Part of the time left to its deadline that a borrowing request may be expected to take.
-const LEND_TIME: f64 = 0.8;
+/// Maximum expected duration of a borrowing request, as a fraction of the time left to its deadline.
+const BORROW_TIME: f64 = 0.8;
 
-/// Part of the time left that the expected time may take before the service counts as congested.
+/// Expected duration of a request, as a fraction of the time left, above which the service counts as congested.
 const CONGESTED: f64 = 0.9;
 
-/// A request is refused as too late if it is expected to take this many times the time left.
+/// A request is refused as too late if its expected duration exceeds this multiple of the time left.
 const TOO_LATE: f64 = 1.0;
 
-/// Factor on what is taken for capacity after each [`SETTLE`] in which the service was congested.
-const TIGHTEN: f64 = 0.9;
+/// Factor applied to the capacity factor after each [`UPDATE_INTERVAL`] in which the service was congested.
+const CAPACITY_DECREASE: f64 = 0.9;
 
-/// The same after each that was not.
-const LOOSEN: f64 = 1.03;
+/// Factor applied to it after each interval without congestion.
+const CAPACITY_INCREASE: f64 = 1.03;
 
-/// Least factor on the capacity.
-const TIGHTEST: f64 = 0.2;
+/// Minimum of the capacity factor.
+const MIN_CAPACITY_FACTOR: f64 = 0.2;
 
-/// Shortest and longest time named to come back, in seconds.
-const COME_BACK: (f64, f64) = (0.2, 30.0);
+/// Shortest and longest retry delay, in seconds.
+const RETRY_AFTER_S: (f64, f64) = (0.2, 30.0);
 
-/// Tokens that an answer is expected to have at most, before any answers of its product were seen.
-const FIRST_OUTPUT: f64 = 256.0;
+/// Upper bound on the expected tokens of an answer before any answer of its product was seen.
+const INITIAL_OUTPUT: f64 = 256.0;
 
-/// An answer is expected to have at most this many times the mean of its product's answers.
+/// Upper bound on the expected tokens of an answer, as a multiple of the mean of its product's answers.
+/// [`INITIAL_OUTPUT`] applies if it is higher.
 const OUTPUT_SPREAD: f64 = 2.0;
 
-/// Weight of the last answer in that mean.
+/// Weight of the latest answer in that mean.
 const OUTPUT_WEIGHT: f64 = 0.05;
 
-/// A request as its limits see it.
+/// Cost of a request, as seen by admission control.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Need {
-    /// Engine seconds that it takes.
+pub struct RequestCost {
+    /// Engine seconds that the request takes.
     pub cost: f64,
-    /// Seconds until its answer would be whole.
+    /// Expected seconds until its answer is complete.
     pub total: f64,
-    /// Seconds to its deadline.
+    /// Seconds left to its deadline.
     pub left: f64,
 }
 
-/// What a product is owed of the service that it asks.
+/// Share of a product in a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Owed {
+pub struct ServiceShare {
     /// Share of engine time.
     pub share: Share,
-    /// Engines of the service.
+    /// Number of engines of the service.
     pub engines: usize,
 }
 
-/// Whether a request may run.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
-    /// It is within the product's share.
-    Owed,
-    /// It uses what others leave.
-    Lent,
-    /// It may not run now.
+pub enum Admission {
+    /// Admitted within the product's share.
+    WithinShare,
+    /// Admitted with capacity that other products leave unused.
+    Borrowed,
+    /// Refused; the duration is the retry delay.
     Refused(Reason, Duration),
 }
 
@@ -99,141 +100,151 @@
 struct Account {
     usage: Usage,
     share: f64,
-    owed: f64,
-    part: Option<f64>,
+    entitled: f64,
+    fraction: Option<f64>,
     output: Option<f64>,
 }
 
-/// What a product is owed and uses of one service, through one instance.
+/// Entitlement and usage of a product at one service, through one instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AccountView {
     /// The product.
     pub product: Name,
-    /// Engine seconds a second that it is owed here.
-    pub owed: f64,
-    /// Engine seconds a second that it used lately.
+    /// Engine seconds per second that the product is entitled to at this instance.
+    pub entitled: f64,
+    /// Engine seconds per second that it used recently.
     pub used: f64,
 }
 
-/// Limits of one service in one instance.
+/// Limits of one service at one instance.
 #[derive(Debug, Clone)]
 pub struct Limiter {
     accounts: BTreeMap<Name, Account>,
     capacity: f64,
-    part: f64,
-    tight: f64,
+    even_fraction: f64,
+    capacity_factor: f64,
     congested: bool,
     spare: f64,
     borrowers: f64,
-    settled: Option<Time>,
+    updated_at: Option<Time>,
     rng: ChaCha8Rng,
 }
 
-/// Engine seconds that `prefill` uncached prompt tokens and `output` tokens take in a busy engine.
+/// Returns the engine seconds that `prefill` uncached prompt tokens and `output` tokens take in a busy engine.
 pub fn cost(speed: Speed, prefill: u32, output: u32) -> f64 {
     let slots = f64::from(RoleProfile::of(Role::Decode, speed.slots).slots);
     f64::from(prefill) / speed.prefill + f64::from(output) * step_time(speed, slots) / slots
 }
 
 impl Limiter {
-    /// Limits of an instance that has seen no requests. `seed` draws the jitter of times to come back.
+    /// Creates the limits of an instance that has received no requests. `seed` seeds the jitter of retry delays.
     pub fn new(seed: u64) -> Limiter {
         Limiter {
             accounts: BTreeMap::new(),
             capacity: 0.0,
-            part: 1.0,
-            tight: 1.0,
+            even_fraction: 1.0,
+            capacity_factor: 1.0,
             congested: false,
             spare: 0.0,
             borrowers: 0.0,
-            settled: None,
+            updated_at: None,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Sets how many instances share the engines. Each has an even part, where no demand is known.
+    /// Sets the number of instances that share the engines. Where no demand is known, each gets an equal fraction.
     pub fn set_instances(&mut self, count: usize) {
-        self.part = 1.0 / count.max(1) as f64;
+        self.even_fraction = 1.0 / count.max(1) as f64;
     }
 
-    /// Sets which part of `product`'s share this instance gives out, from 0 to 1: its part of the demand that
-    /// all instances saw.
-    pub fn set_part(&mut self, product: &Name, part: f64) {
-        self.accounts.entry(product.clone()).or_default().part = Some(part.clamp(0.0, 1.0));
+    /// Sets the fraction of `product`'s share that this instance admits, from 0 to 1: this instance's fraction of
+    /// the demand at all instances.
+    pub fn set_fraction(&mut self, product: &Name, part: f64) {
+        self.accounts.entry(product.clone()).or_default().fraction = Some(part.clamp(0.0, 1.0));
     }
 
-    /// Engine seconds a second that `product` used here lately.
+    /// Returns the engine seconds per second that `product` used recently at this instance.
     pub fn rate(&self, now: Time, product: &Name) -> f64 {
         self.accounts.get(product).map_or(0.0, |a| a.usage.rate(now))
     }
 
-    /// What each product that asked is owed and uses, in the order of their names.
+    /// Iterates over the accounts of all products that sent requests, in the order of their names.
     pub fn accounts(&self, now: Time) -> impl Iterator<Item = AccountView> {
         self.accounts.iter().map(move |(product, account)| AccountView {
             product: product.clone(),
-            owed: account.owed,
+            entitled: account.entitled,
             used: account.usage.rate(now),
         })
     }
 
-    /// Factor from 0 to 1 on the capacity, lowered while requests run late.
-    pub fn tightness(&self) -> f64 {
-        self.tight
+    /// Returns the factor from 0 to 1 on the capacity, which is lowered while requests are late.
+    pub fn capacity_factor(&self) -> f64 {
+        self.capacity_factor
     }
 
-    /// Tokens that an answer of `product` with at most `limit` tokens is expected to have.
+    /// Returns the expected number of tokens of an answer of `product` with at most `limit` tokens.
     ///
-    /// Callers set a limit far above what most answers have; taken at its word it would have nearly everything
+    /// Callers set limits far above the length of most answers; taken literally, they would have nearly all requests
     /// refused as too late.
-    pub fn expect(&self, product: &Name, limit: u32) -> u32 {
+    pub fn expected_output(&self, product: &Name, limit: u32) -> u32 {
         let mean = self.accounts.get(product).and_then(|a| a.output);
-        let most = mean.map_or(FIRST_OUTPUT, |m| (m * OUTPUT_SPREAD).max(FIRST_OUTPUT));
+        let most = mean.map_or(INITIAL_OUTPUT, |m| (m * OUTPUT_SPREAD).max(INITIAL_OUTPUT));
         limit.min(most as u32)
     }
 
-    /// Notes that an answer of `product` had `tokens` tokens.
-    pub fn finished(&mut self, product: &Name, tokens: u32) {
+    /// Records that an answer of `product` had `tokens` tokens.
+    pub fn record_output(&mut self, product: &Name, tokens: u32) {
         let account = self.accounts.entry(product.clone()).or_default();
         let tokens = f64::from(tokens);
         let mean = account.output.unwrap_or(tokens);
         account.output = Some(mean + OUTPUT_WEIGHT * (tokens - mean));
     }
 
-    /// Decides on a request of `product`, and counts it if it may run.
-    pub fn admit(&mut self, now: Time, product: &Name, owed: Owed, need: Need) -> Verdict {
-        if self.settled.is_none_or(|at| now.since(at) >= SETTLE) {
-            self.settle(now, owed.engines);
+    /// Decides on a request of `product`, and counts its cost if it may run.
+    pub fn admit(
+        &mut self,
+        now: Time,
+        product: &Name,
+        service: ServiceShare,
+        request: RequestCost,
+    ) -> Admission {
+        if self.updated_at.is_none_or(|at| now.since(at) >= UPDATE_INTERVAL) {
+            self.update_capacity(now, service.engines);
         }
-        let even = self.part;
+        let even = self.even_fraction;
         let capacity = self.capacity;
         let account = self.accounts.entry(product.clone()).or_default();
-        account.share = owed.share.fraction();
-        account.owed = capacity * account.share * account.part.unwrap_or(even);
-        // What it used before counts: a request that alone is more than a small share must be able to run.
-        let within = account.usage.rate(now) < account.owed;
-        let rate = account.usage.with(now, need.cost);
-        if need.total > CONGESTED * need.left {
+        account.share = service.share.fraction();
+        account.entitled = capacity * account.share * account.fraction.unwrap_or(even);
+        // Only earlier usage counts: a request that alone exceeds a small share must be able to run.
+        let within = account.usage.rate(now) < account.entitled;
+        let rate = account.usage.with(now, request.cost);
+        if request.total > CONGESTED * request.left {
             self.congested = true;
         }
-        if need.total > TOO_LATE * need.left {
-            return self.refuse(Reason::TooLate, need.total - need.left);
+        if request.total > TOO_LATE * request.left {
+            return self.refuse(Reason::TooLate, request.total - request.left);
         }
-        if !within && !self.lends(product, rate, need) {
-            let owed = self.accounts.get(product).map_or(0.0, |a| a.owed);
-            let over = rate / owed.max(f64::MIN_POSITIVE);
-            return self.refuse(Reason::OverShare, MEMORY.as_secs_f64() * over.max(1.0).ln());
+        if !within && !self.may_borrow(product, rate, request) {
+            let entitled = self.accounts.get(product).map_or(0.0, |a| a.entitled);
+            let over = rate / entitled.max(f64::MIN_POSITIVE);
+            return self.refuse(
+                Reason::OverShare,
+                TIME_CONSTANT.as_secs_f64() * over.max(1.0).ln(),
+            );
         }
         if let Some(account) = self.accounts.get_mut(product) {
-            account.usage.add(now, need.cost);
+            account.usage.add(now, request.cost);
         }
         match within {
-            true => Verdict::Owed,
-            false => Verdict::Lent,
+            true => Admission::WithinShare,
+            false => Admission::Borrowed,
         }
     }
 
-    /// Whether the product may borrow up to `rate`: its part of what is spare, by shares among borrowers.
-    fn lends(&self, product: &Name, rate: f64, need: Need) -> bool {
+    /// Whether the product may borrow up to `rate`: its part of the spare capacity, divided by shares among the
+    /// borrowers.
+    fn may_borrow(&self, product: &Name, rate: f64, request: RequestCost) -> bool {
         let Some(account) = self.accounts.get(product) else {
             return false;
         };
@@ -241,35 +252,40 @@
             true => account.share.max(0.01) / self.borrowers.max(account.share.max(0.01)),
             false => 1.0,
         };
-        rate <= account.owed + self.spare * weight && need.total <= LEND_TIME * need.left
+        rate <= account.entitled + self.spare * weight && request.total <= BORROW_TIME * request.left
     }
 
-    /// Works out what is spare, and moves the factor on the capacity.
+    /// Computes the spare capacity, and adjusts the capacity factor.
     ///
-    /// Failure guarded against: a capacity taken too high (engines lost, roles that don't fit the mix, costs
-    /// guessed too low). All products would then be within their shares, and the one that asks most would take
-    /// from the others. The guard lowers what counts as capacity until the admitted requests run in time.
-    fn settle(&mut self, now: Time, engines: usize) {
-        self.settled = Some(now);
-        let factor = if self.congested { TIGHTEN } else { LOOSEN };
-        self.tight = (self.tight * factor).clamp(TIGHTEST, 1.0);
+    /// Failure guarded against: the capacity is taken too high (engines lost, roles that don't fit the mix of
+    /// requests, costs estimated too low). All products would then be within their shares, and the one with the most
+    /// requests would take capacity from the others. The guard lowers the assumed capacity until the admitted
+    /// requests complete in time.
+    fn update_capacity(&mut self, now: Time, engines: usize) {
+        self.updated_at = Some(now);
+        let factor = if self.congested {
+            CAPACITY_DECREASE
+        } else {
+            CAPACITY_INCREASE
+        };
+        self.capacity_factor = (self.capacity_factor * factor).clamp(MIN_CAPACITY_FACTOR, 1.0);
         self.congested = false;
-        self.capacity = engines as f64 * self.tight;
+        self.capacity = engines as f64 * self.capacity_factor;
         let mut used = 0.0;
         self.borrowers = 0.0;
         for account in self.accounts.values() {
             let rate = account.usage.rate(now);
-            used += rate.min(account.owed);
-            if rate > account.owed * LEND {
+            used += rate.min(account.entitled);
+            if rate > account.entitled * MAX_LENT {
                 self.borrowers += account.share.max(0.01);
             }
         }
-        self.spare = (self.capacity * self.part * LEND - used).max(0.0);
+        self.spare = (self.capacity * self.even_fraction * MAX_LENT - used).max(0.0);
     }
 
-    fn refuse(&mut self, reason: Reason, seconds: f64) -> Verdict {
+    fn refuse(&mut self, reason: Reason, seconds: f64) -> Admission {
         let jitter = 1.0 + 0.5 * self.rng.random::<f64>();
-        let seconds = (seconds * jitter).clamp(COME_BACK.0, COME_BACK.1);
-        Verdict::Refused(reason, Duration::from_secs_f64(seconds))
+        let seconds = (seconds * jitter).clamp(RETRY_AFTER_S.0, RETRY_AFTER_S.1);
+        Admission::Refused(reason, Duration::from_secs_f64(seconds))
     }
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,12 +1,12 @@
-//! Which engine gets a request.
+//! Choice of an engine for a request.
 //!
-//! The estimate of an engine is its last load report, aged by its lag, plus the work that this instance gave it
-//! since (see [`book`]), less the prompt prefix that it is believed to hold (see [`affinity`]). A few candidates
-//! are compared and the best is taken; the candidates are drawn at random, so that instances that see the same
-//! stale reports don't all choose the same engine.
+//! The estimate for an engine is based on its last load report, aged by its lag, plus the work that this instance
+//! has sent to it since (see [`engine_load`]), minus the prompt prefix that it is believed to have cached (see
+//! [`affinity`]). A few candidates are compared and the best is chosen; the candidates are drawn at random, so that
+//! instances with the same stale reports do not all choose the same engine.
 
 mod affinity;
-mod book;
+mod engine_load;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,11 +18,11 @@
 
 pub use affinity::Affinity;
 pub use affinity::Holder;
-pub use book::Book;
-pub use book::Estimate;
-pub use book::Report;
-pub use book::STALE;
-pub use book::View;
+pub use engine_load::EngineLoad;
+pub use engine_load::Estimate;
+pub use engine_load::LoadReport;
+pub use engine_load::LoadView;
+pub use engine_load::MAX_REPORT_AGE;
 
 use crate::config::EngineState;
 use crate::config::Version;
@@ -33,57 +33,59 @@
 use crate::snapshot::Snapshot;
 use crate::time::Time;
 
-/// Engines that are compared beside those that hold the prompt's prefix.
+/// Number of engines to compare besides those that hold the prompt's prefix.
 const CANDIDATES: usize = 8;
 
-/// Engines compared because they hold the prompt's prefix.
+/// Number of engines to compare because they hold the prompt's prefix.
 const HOLDERS: usize = 4;
 
-/// Part of a score that is drawn, so that instances with the same reports don't all choose the same engine.
+/// Maximum random fraction added to a score, so that instances with the same reports do not all choose the same
+/// engine.
 const JITTER: f64 = 0.02;
 
-/// Seconds that another availability zone adds to an estimate.
-const OTHER_ZONE: f64 = 0.005;
+/// Seconds added to the estimate of an engine in another availability zone.
+const OTHER_ZONE_S: f64 = 0.005;
 
-/// Weight of the delay that a request means for the requests of others.
-const HARM: f64 = 0.25;
+/// Weight of the delay that a request causes for the requests of others.
+const DELAY_WEIGHT: f64 = 0.25;
 
 /// How long an engine that refused or broke an attempt before it began gets no work.
-const SUSPECT: Duration = Duration::from_millis(500);
+const SUSPECT_TIME: Duration = Duration::from_millis(500);
 
-/// Deadlines left, in milliseconds, up to which a request has priority 0, 1, 2; above, 3.
-const URGENT: [u128; 3] = [2_000, 8_000, 30_000];
+/// Upper limits of the time to the deadline, in milliseconds, for priorities 0, 1 and 2; above them the priority is
+/// 3.
+const PRIORITY_LIMITS_MS: [u128; 3] = [2_000, 8_000, 30_000];
 
 /// How engines are chosen. All but [`Routing::Estimate`] are baselines for measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Routing {
-    /// In turn, whatever their load.
+    /// Round robin, regardless of load.
     RoundRobin,
-    /// The least load by the last reports alone.
+    /// The lowest load according to the last reports alone.
     LeastReported,
-    /// The best estimate of a few candidates.
+    /// The best estimate among a few candidates.
     #[default]
     Estimate,
 }
 
-/// A request to be placed.
+/// A request that needs an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
-    /// The service.
+pub struct RouteRequest {
+    /// The requested service.
     pub service: ServiceKey,
-    /// Tokens of its prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens that it may generate.
+    /// Maximum number of tokens to generate.
     pub output: u32,
-    /// Digests of the prompt's blocks.
+    /// Digests of the blocks of the prompt.
     pub digests: Vec<u64>,
-    /// When its answer must be whole.
+    /// Deadline for the complete answer.
     pub deadline: Time,
 }
 
-/// Names a request at an engine until [`Router::end`].
+/// Identifies a request at an engine until [`Router::end`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ticket {
+pub struct RequestHandle {
     engine: Name,
     id: u64,
 }
@@ -93,36 +95,36 @@
 pub struct Choice {
     /// The engine.
     pub engine: EngineKey,
-    /// Its name.
+    /// Name of the engine.
     pub name: Name,
-    /// Where it listens.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// To be given back when the attempt ends.
-    pub ticket: Ticket,
-    /// What the request is expected to meet.
+    /// Passed to [`Router::end`] or [`Router::failed`] when the attempt ends.
+    pub handle: RequestHandle,
+    /// Expected delays of the request.
     pub estimate: Estimate,
     /// Priority at the engine; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// What a request would meet at the best engine.
+/// Forecast for a request at the best engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Foreseen {
-    /// What it is expected to meet.
+pub struct Forecast {
+    /// Expected delays of the request.
     pub estimate: Estimate,
-    /// Prompt tokens that are not cached there.
+    /// Number of prompt tokens that are not cached there.
     pub prefill: u32,
-    /// How fast the engine is.
+    /// Speed of the engine.
     pub speed: Speed,
 }
 
-/// Engines that are left out of a choice.
-struct Leave<'a> {
+/// Engines to exclude from a choice.
+struct Exclusions<'a> {
     names: &'a [Name],
     suspects: bool,
 }
 
-/// What this instance knows of engines, and its choice among them.
+/// Load of the engines as known to this instance, and the choice among them.
 #[derive(Debug, Clone)]
 pub struct Router {
     inflight: BTreeMap<Name, u32>,
@@ -131,7 +133,7 @@
     scale: f64,
     version: Version,
     names: BTreeMap<Name, EngineKey>,
-    books: Vec<Book>,
+    loads: Vec<EngineLoad>,
     affinity: Affinity,
     rng: ChaCha8Rng,
     next: u64,
@@ -144,7 +146,7 @@
 }
 
 impl Router {
-    /// A router that knows of no requests.
+    /// Creates a router without requests.
     pub fn new() -> Router {
         Router {
             inflight: BTreeMap::new(),
@@ -153,7 +155,7 @@
             scale: 1.0,
             version: Version::default(),
             names: BTreeMap::new(),
-            books: Vec::new(),
+            loads: Vec::new(),
             affinity: Affinity::default(),
             rng: ChaCha8Rng::seed_from_u64(0),
             next: 0,
@@ -166,37 +168,37 @@
         self
     }
 
-    /// Sets the availability zone whose engines go first.
+    /// Sets the availability zone whose engines are preferred.
     pub fn zone(mut self, zone: Name) -> Router {
         self.zone = Some(zone);
         self
     }
 
-    /// Sets the seed by which candidates are drawn. Instances need different ones.
+    /// Sets the seed for drawing candidates. Each instance needs a different one.
     pub fn seed(mut self, seed: u64) -> Router {
         self.rng = ChaCha8Rng::seed_from_u64(seed);
         self
     }
 
-    /// Sets how many instances send work to the engines.
+    /// Sets the number of instances that send work to the engines.
     pub fn set_instances(&mut self, count: usize) {
         self.scale = count.max(1) as f64;
     }
 
-    /// Takes the load report of `engine`.
-    pub fn report(&mut self, engine: &Name, report: Report) {
+    /// Records a load report of `engine`.
+    pub fn report(&mut self, engine: &Name, report: LoadReport) {
         let Some(key) = self.names.get(engine).copied() else {
             return;
         };
-        let Some(book) = self.books.get_mut(key.index() as usize) else {
+        let Some(load) = self.loads.get_mut(key.index() as usize) else {
             return;
         };
-        if book.report(report) {
+        if load.report(report) {
             self.affinity.forget(key);
         }
     }
 
-    /// Notes that `engine` stored (or evicted) the KV cache of `block`.
+    /// Records that `engine` stored (or evicted) the KV cache of `block`.
     pub fn cache_event(&mut self, now: Time, engine: &Name, block: u64, stored: bool) {
         let Some(key) = self.names.get(engine).copied() else {
             return;
@@ -207,42 +209,50 @@
         }
     }
 
-    /// Notes that cache events of `engine` are missing.
+    /// Records that cache events of `engine` were missed.
     pub fn cache_gap(&mut self, engine: &Name) {
         if let Some(key) = self.names.get(engine) {
             self.affinity.forget(*key);
         }
     }
 
-    /// What is known of `engine`.
-    pub fn book(&self, engine: &Name) -> Option<&Book> {
-        self.books.get(self.names.get(engine)?.index() as usize)
+    /// Returns the known load of `engine`.
+    pub fn engine_load(&self, engine: &Name) -> Option<&EngineLoad> {
+        self.loads.get(self.names.get(engine)?.index() as usize)
     }
 
-    /// Chooses an engine for `ask`, leaving out `except`, and counts the request there. `None` if there is
-    /// none that takes work.
-    pub fn choose(&mut self, now: Time, snapshot: &Snapshot, ask: &Ask, except: &[Name]) -> Option<Choice> {
-        self.follow(snapshot);
+    /// Chooses an engine for `request`, excluding `except`, and counts the request there. `None` if no engine accepts
+    /// work.
+    pub fn choose(
+        &mut self,
+        now: Time,
+        snapshot: &Snapshot,
+        request: &RouteRequest,
+        except: &[Name],
+    ) -> Option<Choice> {
+        self.sync_engines(snapshot);
         let holders = match self.policy {
-            Routing::Estimate => self.affinity.holders(now, &ask.digests),
+            Routing::Estimate => self.affinity.holders(now, &request.digests),
             Routing::RoundRobin | Routing::LeastReported => Vec::new(),
         };
-        let candidates = self.open_candidates(now, snapshot, ask, except, &holders);
-        let Weighed {
+        let candidates = self.eligible_candidates(now, snapshot, request, except, &holders);
+        let Evaluated {
             key,
             cached,
             estimate,
         } = match self.policy {
-            Routing::RoundRobin => self.weigh(now, snapshot, ask, self.in_turn(&candidates)?, 0),
-            Routing::LeastReported => self.weigh(now, snapshot, ask, self.least_reported(&candidates)?, 0),
-            Routing::Estimate => self.best(now, snapshot, ask, &candidates, &holders)?,
+            Routing::RoundRobin => self.evaluate(now, snapshot, request, self.round_robin(&candidates)?, 0),
+            Routing::LeastReported => {
+                self.evaluate(now, snapshot, request, self.least_reported(&candidates)?, 0)
+            }
+            Routing::Estimate => self.best(now, snapshot, request, &candidates, &holders)?,
         };
         let engine = snapshot.engines.get(key)?;
         let id = self.next;
         self.next += 1;
-        self.books[key.index() as usize].send(now, id, ask.prompt.saturating_sub(cached));
+        self.loads[key.index() as usize].send(now, id, request.prompt.saturating_sub(cached));
         if self.policy == Routing::Estimate {
-            for digest in &ask.digests {
+            for digest in &request.digests {
                 self.affinity.store(now, key, *digest);
             }
         }
@@ -250,56 +260,56 @@
             engine: key,
             name: engine.name.clone(),
             address: engine.address,
-            ticket: Ticket {
+            handle: RequestHandle {
                 engine: engine.name.clone(),
                 id,
             },
             estimate,
-            priority: self.priority(now, ask),
+            priority: self.priority(now, request),
         })
     }
 
-    /// The best estimate for `ask`, without counting it anywhere.
-    pub fn foresee(&mut self, now: Time, snapshot: &Snapshot, ask: &Ask) -> Option<Foreseen> {
-        self.follow(snapshot);
-        let holders = self.affinity.holders(now, &ask.digests);
-        let candidates = self.open_candidates(now, snapshot, ask, &[], &holders);
-        let Weighed {
+    /// Returns the best estimate for `request`, without counting the request at an engine.
+    pub fn forecast(&mut self, now: Time, snapshot: &Snapshot, request: &RouteRequest) -> Option<Forecast> {
+        self.sync_engines(snapshot);
+        let holders = self.affinity.holders(now, &request.digests);
+        let candidates = self.eligible_candidates(now, snapshot, request, &[], &holders);
+        let Evaluated {
             key,
             cached,
             estimate,
-        } = self.best(now, snapshot, ask, &candidates, &holders)?;
-        Some(Foreseen {
+        } = self.best(now, snapshot, request, &candidates, &holders)?;
+        Some(Forecast {
             estimate,
-            prefill: ask.prompt.saturating_sub(cached),
+            prefill: request.prompt.saturating_sub(cached),
             speed: self.view(now, snapshot, key).speed,
         })
     }
 
-    /// Notes the first token of a request.
-    pub fn started(&mut self, ticket: &Ticket) {
-        if let Some(book) = self.book_mut(&ticket.engine) {
-            book.start(ticket.id);
+    /// Records the first token of a request.
+    pub fn started(&mut self, handle: &RequestHandle) {
+        if let Some(load) = self.load_mut(&handle.engine) {
+            load.start(handle.id);
         }
     }
 
-    /// Notes that a request ended at its engine.
-    pub fn end(&mut self, ticket: &Ticket) {
-        if let Some(book) = self.book_mut(&ticket.engine) {
-            book.end(ticket.id);
+    /// Records that a request ended at its engine.
+    pub fn end(&mut self, handle: &RequestHandle) {
+        if let Some(load) = self.load_mut(&handle.engine) {
+            load.end(handle.id);
         }
     }
 
-    /// Notes that a request failed at its engine, which gets no work for a moment.
-    pub fn failed(&mut self, now: Time, ticket: &Ticket) {
-        if let Some(book) = self.book_mut(&ticket.engine) {
-            book.end(ticket.id);
-            book.suspect(now + SUSPECT);
+    /// Records that a request failed at its engine, which gets no work for a short time.
+    pub fn failed(&mut self, now: Time, handle: &RequestHandle) {
+        if let Some(load) = self.load_mut(&handle.engine) {
+            load.end(handle.id);
+            load.suspect(now + SUSPECT_TIME);
         }
     }
 
-    /// Picks the serving upstream of `service` with the fewest requests of ours, leaving out `except`, and
-    /// counts the request there. `None` if there is none left. For plain services, which report no load.
+    /// Picks the serving upstream of `service` with the fewest requests of this instance, excluding `except`, and
+    /// counts the request there. `None` if none is left. For plain services, which report no load.
     pub fn pick(&mut self, snapshot: &Snapshot, service: ServiceKey, except: &[Name]) -> Option<EngineKey> {
         let view = snapshot.services.get(service)?;
         let engines = view
@@ -312,142 +322,150 @@
         Some(key)
     }
 
-    /// Requests of this instance at `engine`.
+    /// Returns the number of requests that this instance has at `engine`.
     pub fn in_flight(&self, engine: &Name) -> u32 {
         let picked = self.inflight.get(engine).copied().unwrap_or_default();
-        let chosen = self.book(engine).map_or(0, Book::own);
+        let chosen = self.engine_load(engine).map_or(0, EngineLoad::own_requests);
         picked.saturating_add(u32::try_from(chosen).unwrap_or(u32::MAX))
     }
 
     /// Counts a request that [`Router::pick`] placed at `engine` as ended.
-    pub fn done(&mut self, engine: &Name) {
+    pub fn release(&mut self, engine: &Name) {
         if let Some(count) = self.inflight.get_mut(engine) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Lays the books out anew for another version of the configuration, keeping what is known by name.
-    pub fn follow(&mut self, snapshot: &Snapshot) {
-        if self.version == snapshot.version && self.books.len() == snapshot.engines.len() {
+    /// Rebuilds the table of loads for a new version of the configuration, keeping what is known of each engine by
+    /// its name.
+    pub fn sync_engines(&mut self, snapshot: &Snapshot) {
+        if self.version == snapshot.version && self.loads.len() == snapshot.engines.len() {
             return;
         }
         let mut names = BTreeMap::new();
-        let mut books = Vec::with_capacity(snapshot.engines.len());
+        let mut loads = Vec::with_capacity(snapshot.engines.len());
         for (key, engine) in snapshot.engines.iter() {
             let old = self.names.get(&engine.name);
-            let old = old.and_then(|k| self.books.get_mut(k.index() as usize));
-            books.push(old.map(std::mem::take).unwrap_or_default());
+            let old = old.and_then(|k| self.loads.get_mut(k.index() as usize));
+            loads.push(old.map(std::mem::take).unwrap_or_default());
             names.insert(engine.name.clone(), key);
         }
         if names != self.names {
-            self.affinity = Affinity::new(books.len());
+            self.affinity = Affinity::new(loads.len());
         }
         self.names = names;
-        self.books = books;
+        self.loads = loads;
         self.version = snapshot.version;
     }
 
-    fn book_mut(&mut self, engine: &Name) -> Option<&mut Book> {
+    fn load_mut(&mut self, engine: &Name) -> Option<&mut EngineLoad> {
         let key = self.names.get(engine)?;
-        self.books.get_mut(key.index() as usize)
+        self.loads.get_mut(key.index() as usize)
     }
 
-    fn priority(&self, now: Time, ask: &Ask) -> u8 {
+    fn priority(&self, now: Time, request: &RouteRequest) -> u8 {
         if self.policy != Routing::Estimate {
             return 0;
         }
-        let left = ask.deadline.since(now).as_millis();
-        URGENT.iter().filter(|limit| left > **limit).count() as u8
+        let left = request.deadline.since(now).as_millis();
+        PRIORITY_LIMITS_MS.iter().filter(|limit| left > **limit).count() as u8
     }
 
-    /// The engines to compare. Where only suspects are left they are taken after all: one broken answer must not
-    /// leave a service without engines.
-    fn open_candidates(
+    /// Returns the engines to compare. If all that are left are suspect they are used after all: one failed attempt
+    /// must not leave a service without engines.
+    fn eligible_candidates(
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &Ask,
+        request: &RouteRequest,
         except: &[Name],
         holders: &[Holder],
     ) -> Vec<EngineKey> {
-        let mut leave = Leave {
+        let mut excluded = Exclusions {
             names: except,
             suspects: true,
         };
-        let candidates = self.candidates(now, snapshot, ask, &leave, holders);
+        let candidates = self.candidates(now, snapshot, request, &excluded, holders);
         if !candidates.is_empty() {
             return candidates;
         }
-        leave.suspects = false;
-        self.candidates(now, snapshot, ask, &leave, holders)
+        excluded.suspects = false;
+        self.candidates(now, snapshot, request, &excluded, holders)
     }
 
-    /// The engines to compare: all of a small service; of a large one, some at random and the holders.
+    /// Returns the engines to compare: all of a small service; of a large one a random sample, and the holders.
     fn candidates(
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &Ask,
-        leave: &Leave<'_>,
+        request: &RouteRequest,
+        excluded: &Exclusions<'_>,
         holders: &[Holder],
     ) -> Vec<EngineKey> {
-        let Some(service) = snapshot.services.get(ask.service) else {
+        let Some(service) = snapshot.services.get(request.service) else {
             return Vec::new();
         };
         let engines = &service.engines;
         let all = self.policy != Routing::Estimate || engines.len() <= 2 * CANDIDATES;
         if all {
-            let takes = |key: &&EngineKey| self.is_open(now, snapshot, **key, leave);
+            let takes = |key: &&EngineKey| self.is_eligible(now, snapshot, **key, excluded);
             return engines.iter().filter(takes).copied().collect();
         }
         let mut chosen: Vec<EngineKey> = Vec::with_capacity(CANDIDATES + HOLDERS);
-        let near = holders.iter().take(HOLDERS).map(|h| h.engine);
-        chosen.extend(near.filter(|key| self.is_open(now, snapshot, *key, leave)));
-        let mut zone_mates = 0;
-        // Engines of other zones are drawn too, but only half as many are kept.
+        let holding = holders.iter().take(HOLDERS).map(|h| h.engine);
+        chosen.extend(holding.filter(|key| self.is_eligible(now, snapshot, *key, excluded)));
+        let mut same_zone = 0;
+        // Engines of other zones are drawn too, but only half of them are kept.
         for _ in 0..6 * CANDIDATES {
-            if chosen.len() >= CANDIDATES + HOLDERS || zone_mates >= CANDIDATES {
+            if chosen.len() >= CANDIDATES + HOLDERS || same_zone >= CANDIDATES {
                 break;
             }
             let key = engines[self.rng.random_range(0..engines.len())];
-            if chosen.contains(&key) || !self.is_open(now, snapshot, key, leave) {
+            if chosen.contains(&key) || !self.is_eligible(now, snapshot, key, excluded) {
                 continue;
             }
-            let near = self.is_near(snapshot, key);
-            if !near && self.rng.random_bool(0.5) {
+            let in_zone = self.is_same_zone(snapshot, key);
+            if !in_zone && self.rng.random_bool(0.5) {
                 continue;
             }
-            zone_mates += usize::from(near);
+            same_zone += usize::from(in_zone);
             chosen.push(key);
         }
         chosen
     }
 
-    fn is_open(&self, now: Time, snapshot: &Snapshot, key: EngineKey, leave: &Leave<'_>) -> bool {
+    fn is_eligible(&self, now: Time, snapshot: &Snapshot, key: EngineKey, excluded: &Exclusions<'_>) -> bool {
         let serving = snapshot
             .engines
             .get(key)
-            .is_some_and(|e| e.state == EngineState::Serving && !leave.names.contains(&e.name));
-        let book = self.books.get(key.index() as usize);
-        serving && book.is_some_and(|b| b.is_here(now) && !(leave.suspects && b.is_suspect(now)))
+            .is_some_and(|e| e.state == EngineState::Serving && !excluded.names.contains(&e.name));
+        let load = self.loads.get(key.index() as usize);
+        serving && load.is_some_and(|b| b.is_present(now) && !(excluded.suspects && b.is_suspect(now)))
     }
 
-    fn is_near(&self, snapshot: &Snapshot, key: EngineKey) -> bool {
+    fn is_same_zone(&self, snapshot: &Snapshot, key: EngineKey) -> bool {
         let zone = snapshot.engines.get(key).map(|e| &e.zone);
         self.zone.is_none() || zone == self.zone.as_ref()
     }
 
-    fn view(&self, now: Time, snapshot: &Snapshot, key: EngineKey) -> View {
+    fn view(&self, now: Time, snapshot: &Snapshot, key: EngineKey) -> LoadView {
         let role = snapshot.engines.get(key).and_then(|e| e.role);
-        self.books[key.index() as usize].view(now, role, self.scale)
+        self.loads[key.index() as usize].view(now, role, self.scale)
     }
 
-    fn weigh(&self, now: Time, snapshot: &Snapshot, ask: &Ask, key: EngineKey, cached: u32) -> Weighed {
-        let prompt = ask.prompt.saturating_sub(cached);
-        Weighed {
+    fn evaluate(
+        &self,
+        now: Time,
+        snapshot: &Snapshot,
+        request: &RouteRequest,
+        key: EngineKey,
+        cached: u32,
+    ) -> Evaluated {
+        let prompt = request.prompt.saturating_sub(cached);
+        Evaluated {
             key,
             cached,
-            estimate: self.view(now, snapshot, key).estimate(prompt, ask.output),
+            estimate: self.view(now, snapshot, key).estimate(prompt, request.output),
         }
     }
 
@@ -455,50 +473,50 @@
         &mut self,
         now: Time,
         snapshot: &Snapshot,
-        ask: &Ask,
+        request: &RouteRequest,
         candidates: &[EngineKey],
         holders: &[Holder],
-    ) -> Option<Weighed> {
+    ) -> Option<Evaluated> {
         let mut best = None;
         let mut least = f64::INFINITY;
         for key in candidates {
             let holder = holders.iter().find(|h| h.engine == *key);
-            let cached = holder.map_or(0, |h| h.cached.min(ask.prompt));
-            let weighed = self.weigh(now, snapshot, ask, *key, cached);
-            let zone = match self.is_near(snapshot, *key) {
+            let cached = holder.map_or(0, |h| h.cached.min(request.prompt));
+            let evaluated = self.evaluate(now, snapshot, request, *key, cached);
+            let zone = match self.is_same_zone(snapshot, *key) {
                 true => 0.0,
-                false => OTHER_ZONE,
+                false => OTHER_ZONE_S,
             };
             let jitter = 1.0 + JITTER * self.rng.random::<f64>();
-            let estimate = &weighed.estimate;
-            let score = (estimate.total() + HARM * estimate.harm + zone) * jitter;
+            let estimate = &evaluated.estimate;
+            let score = (estimate.total() + DELAY_WEIGHT * estimate.added_delay + zone) * jitter;
             if score < least {
                 least = score;
-                best = Some(weighed);
+                best = Some(evaluated);
             }
         }
         best
     }
 
-    fn in_turn(&self, candidates: &[EngineKey]) -> Option<EngineKey> {
+    fn round_robin(&self, candidates: &[EngineKey]) -> Option<EngineKey> {
         let turn = usize::try_from(self.next).unwrap_or(0);
         candidates.get(turn % candidates.len().max(1)).copied()
     }
 
     fn least_reported(&self, candidates: &[EngineKey]) -> Option<EngineKey> {
         let load = |key: &&EngineKey| {
-            let report = self.books[key.index() as usize].last();
+            let report = self.loads[key.index() as usize].last();
             report.map_or(0, |r| r.running + r.queued)
         };
         candidates.iter().min_by_key(load).copied()
     }
 }
 
-/// What a request would find at an engine.
+/// Estimate for a request at one engine.
 #[derive(Debug, Clone, Copy)]
-struct Weighed {
+struct Evaluated {
     key: EngineKey,
-    /// Leading tokens of the prompt that the engine is believed to hold.
+    /// Number of leading prompt tokens that the engine is believed to have cached.
     cached: u32,
     estimate: Estimate,
 }
--- a/src/util/metrics/claims.rs
+++ b/src/util/metrics/claims.rs
@@ -46,11 +46,11 @@
     pub fn count(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Granted => "granted",
-            Verdict::Seen(_) => "seen",
+            Verdict::Held(_) => "seen",
             Verdict::Mismatch => "mismatch",
-            Verdict::Never => "never",
-            Verdict::Out(_) => "out",
-            Verdict::Clock => "clock",
+            Verdict::Unclaimed => "never",
+            Verdict::Unavailable(_) => "out",
+            Verdict::ClockSkew => "clock",
             Verdict::Full => "full",
             Verdict::Stopping => "stopping",
         };
