--- a/crates/core/benches/relay.rs
+++ b/crates/core/benches/relay.rs
@@ -9,17 +9,17 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use sequoiastream_core::relay::book::Book;
-use sequoiastream_core::relay::book::Work;
 use sequoiastream_core::relay::budget::Budget;
 use sequoiastream_core::relay::budget::Rule;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::engines::Entry;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::pace::Load;
-use sequoiastream_core::relay::place::Chooser;
-use sequoiastream_core::relay::place::Reading;
+use sequoiastream_core::relay::load_tracker::LoadTracker;
+use sequoiastream_core::relay::load_tracker::Work;
+use sequoiastream_core::relay::placement::EngineSelector;
+use sequoiastream_core::relay::placement::PrefillPlan;
+use sequoiastream_core::relay::prefill_time::Load;
 use sequoiastream_core::relay::prompt::Part;
 use sequoiastream_core::relay::prompt::Prompt;
 use sequoiastream_core::relay::routes::Kind;
@@ -27,7 +27,7 @@
 use sequoiastream_core::relay::routes::Route;
 use sequoiastream_core::relay::routes::Table;
 use sequoiastream_core::relay::routes::Target;
-use sequoiastream_core::relay::stages::plan;
+use sequoiastream_core::relay::stages::plan_orders;
 use sequoiastream_core::relay::workspaces::KeyDigest;
 use sequoiastream_core::relay::workspaces::Workspace;
 use sequoiastream_core::relay::workspaces::Workspaces;
@@ -58,14 +58,14 @@
         stage,
         spot: false,
         sequence: 1,
-        born: 1,
+        create_revision: 1,
     };
     Engine::new(EngineKey(index), entry)
 }
 
 /// Load and health as in a busy fleet: each instance has work at an engine in four.
-fn book(engines: u32, instances: u32) -> Book {
-    let mut book = Book::new();
+fn book(engines: u32, instances: u32) -> LoadTracker {
+    let mut book = LoadTracker::new();
     for peer in 1..instances {
         let at = (0..engines).filter(|engine| (engine + peer).is_multiple_of(4));
         let work = at.map(|engine| {
@@ -73,25 +73,25 @@
                 EngineKey(engine),
                 Work {
                     requests: 1,
-                    reading: Duration::from_millis(1),
+                    prefill: Duration::from_millis(1),
                 },
             )
         });
-        book.on_peer(NOW, &format!("edge{peer}"), work.collect::<BTreeMap<_, _>>());
+        book.on_peer_report(NOW, &format!("edge{peer}"), work.collect::<BTreeMap<_, _>>());
     }
     for index in (0..engines).step_by(4) {
         book.begin(NOW, EngineKey(index), Duration::from_millis(20));
         let prompt = prompt();
-        let reading = Reading {
+        let reading = PrefillPlan {
             engine: engine(index),
-            load: Load::new(&prompt, prompt.input),
-            busy: Duration::from_millis(22),
-            adds: prompt.input,
-            before: Duration::ZERO,
-            takes: Duration::from_millis(25),
-            fetch: None,
+            work: Load::new(&prompt, prompt.input),
+            busy_time: Duration::from_millis(22),
+            new_tokens: prompt.input,
+            queue_time: Duration::ZERO,
+            total_time: Duration::from_millis(25),
+            fetch_from: None,
         };
-        book.on_read(NOW, &reading, Duration::from_millis(25));
+        book.on_prefill(NOW, &reading, Duration::from_millis(25));
     }
     book
 }
@@ -111,24 +111,24 @@
     for (engines, instances) in FLEETS {
         let all: Vec<Engine> = (0..engines).map(engine).collect();
         let book = book(engines, instances);
-        let chooser = Chooser {
-            book: &book,
+        let chooser = EngineSelector {
+            loads: &book,
             now: NOW,
             zone: "zone3",
             tried: &[],
-            memory: Some(1_500_000),
-            turns: 1,
-            draw: 0,
+            memory_tokens: Some(1_500_000),
+            report_turns: 1,
+            tie_breaker: 0,
         };
         let prompt = prompt();
         group.bench_function(BenchmarkId::new("plain", engines), |b| {
-            b.iter(|| chooser.plain(black_box(&all)));
+            b.iter(|| chooser.least_loaded(black_box(&all)));
         });
         group.bench_function(BenchmarkId::new("reader", engines), |b| {
-            b.iter(|| chooser.reader(black_box(&all), Stage::Prefill, &prompt));
+            b.iter(|| chooser.choose_prefill(black_box(&all), Stage::Prefill, &prompt));
         });
         group.bench_function(BenchmarkId::new("generator", engines), |b| {
-            b.iter(|| chooser.generator(black_box(&all), Stage::Decode));
+            b.iter(|| chooser.choose_decode(black_box(&all), Stage::Decode));
         });
     }
     group.finish();
@@ -141,13 +141,13 @@
         let work = (0..engines).step_by(4).map(|e| {
             let work = Work {
                 requests: 2,
-                reading: Duration::from_millis(3),
+                prefill: Duration::from_millis(3),
             };
             (EngineKey(e), work)
         });
         let work: BTreeMap<EngineKey, Work> = work.collect();
         group.bench_function(BenchmarkId::new("load", engines), |b| {
-            b.iter(|| book.on_peer(NOW, "edge1", black_box(work.clone())));
+            b.iter(|| book.on_peer_report(NOW, "edge1", black_box(work.clone())));
         });
     }
     group.finish();
@@ -164,7 +164,7 @@
         });
         let all: Vec<Engine> = all.collect();
         group.bench_function(BenchmarkId::new("plan", engines), |b| {
-            b.iter(|| plan(black_box(&all), &BTreeMap::new(), 0.65));
+            b.iter(|| plan_orders(black_box(&all), &BTreeMap::new(), 0.65));
         });
     }
     group.finish();
--- a/crates/core/src/relay/parts.rs
+++ b/crates/core/src/relay/cached_parts.rs
@@ -10,25 +10,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::relay::by_engine::ByEngine;
+use crate::relay::engine_map::EngineMap;
 use crate::relay::engines::EngineKey;
 use crate::time::Time;
 
 /// Part of an engine's memory that keeps parts: the rest is for requests that run and for parts that nobody shares.
-const KEEPING: f64 = 0.7;
+const CACHE_FRACTION: f64 = 0.7;
 
 /// How long parts are thought to be kept where an engine's memory is not known.
-const LASTING: Duration = Duration::from_secs(10);
+const CACHE_LIFETIME: Duration = Duration::from_secs(10);
 
 /// Parts that are remembered for an engine; beyond, those that were used longest ago are forgotten.
 const MAX_PARTS: usize = 4_096;
 
 /// Readings that wait to be told; beyond, the oldest are not told.
-const MAX_UNTOLD: usize = 256;
+const MAX_UNSENT: usize = 256;
 
 /// One reading, as instances tell it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Read {
+pub struct PrefillRecord {
     /// Hash of the engine's id.
     pub engine: u64,
     /// The last part that others share.
@@ -38,55 +38,55 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Used {
+struct LastUse {
     at: Time,
     /// Tokens that the engine had put into its memory until then.
-    total: u64,
+    tokens_added: u64,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Memory {
-    total: u64,
-    parts: BTreeMap<u64, Used>,
+struct EngineCache {
+    tokens_added: u64,
+    parts: BTreeMap<u64, LastUse>,
 }
 
 /// What is thought to be kept, and what is yet to be told.
 #[derive(Debug, Clone, Default)]
-pub struct Parts {
-    engines: ByEngine<Memory>,
+pub struct CachedParts {
+    engines: EngineMap<EngineCache>,
     /// Own readings, each with the messages in which it went out already.
-    untold: Vec<(Read, u32)>,
+    unsent: Vec<(PrefillRecord, u32)>,
 }
 
-impl Parts {
+impl CachedParts {
     /// Notes a reading at an engine.
-    pub fn on_read(&mut self, now: Time, engine: EngineKey, read: Read) {
-        let memory = self.engines.at(engine);
-        memory.total += u64::from(read.tokens);
-        let used = Used {
+    pub fn on_prefill(&mut self, now: Time, engine: EngineKey, read: PrefillRecord) {
+        let memory = self.engines.get_or_default(engine);
+        memory.tokens_added += u64::from(read.tokens);
+        let used = LastUse {
             at: now,
-            total: memory.total,
+            tokens_added: memory.tokens_added,
         };
         memory.parts.insert(read.part, used);
         if memory.parts.len() > MAX_PARTS {
-            let mut totals: Vec<u64> = memory.parts.values().map(|used| used.total).collect();
+            let mut totals: Vec<u64> = memory.parts.values().map(|used| used.tokens_added).collect();
             totals.sort_unstable();
             let middle = totals[totals.len() / 2];
-            memory.parts.retain(|_, used| used.total > middle);
+            memory.parts.retain(|_, used| used.tokens_added > middle);
         }
     }
 
     /// Notes an own reading, which the peers are to hear of.
-    pub fn on_own(&mut self, now: Time, engine: EngineKey, read: Read) {
-        self.on_read(now, engine, read);
-        if self.untold.len() == MAX_UNTOLD {
-            self.untold.remove(0);
+    pub fn on_own_prefill(&mut self, now: Time, engine: EngineKey, read: PrefillRecord) {
+        self.on_prefill(now, engine, read);
+        if self.unsent.len() == MAX_UNSENT {
+            self.unsent.remove(0);
         }
-        self.untold.push((read, 0));
+        self.unsent.push((read, 0));
     }
 
     /// Whether an engine that holds so many tokens is thought to keep a part.
-    pub fn keeps(&self, now: Time, engine: EngineKey, part: u64, memory: Option<u64>) -> bool {
+    pub fn is_cached(&self, now: Time, engine: EngineKey, part: u64, memory: Option<u64>) -> bool {
         let Some(known) = self.engines.get(engine) else {
             return false;
         };
@@ -94,23 +94,25 @@
             return false;
         };
         match memory {
-            Some(tokens) => ((known.total - used.total) as f64) < tokens as f64 * KEEPING,
-            None => now.since(used.at) < LASTING,
+            Some(tokens) => {
+                ((known.tokens_added - used.tokens_added) as f64) < tokens as f64 * CACHE_FRACTION
+            }
+            None => now.since(used.at) < CACHE_LIFETIME,
         }
     }
 
     /// Own readings for the next message, if each goes out in `turns` of them: that many reach all peers.
-    pub fn tell(&mut self, turns: u32) -> Vec<Read> {
-        let told = self.untold.iter().map(|(read, _)| *read).collect();
-        for (_, sent) in &mut self.untold {
+    pub fn records_to_send(&mut self, turns: u32) -> Vec<PrefillRecord> {
+        let told = self.unsent.iter().map(|(read, _)| *read).collect();
+        for (_, sent) in &mut self.unsent {
             *sent += 1;
         }
-        self.untold.retain(|(_, sent)| *sent < turns);
+        self.unsent.retain(|(_, sent)| *sent < turns);
         told
     }
 
     /// Forgets an engine that is gone.
     pub fn forget(&mut self, engine: EngineKey) {
-        *self.engines.at(engine) = Memory::default();
+        *self.engines.get_or_default(engine) = EngineCache::default();
     }
 }
--- a/crates/core/src/relay/digest.rs
+++ b/crates/core/src/relay/digest.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::relay::book::Work;
-use crate::relay::parts::Read;
+use crate::relay::cached_parts::PrefillRecord;
+use crate::relay::load_tracker::Work;
 use crate::relay::suspects::Note;
 use crate::relay::watchers::Word;
 
@@ -48,7 +48,7 @@
     /// Engines that broke off under a request lately.
     pub notes: Vec<Note>,
     /// What the sender has had read lately.
-    pub reads: Vec<Read>,
+    pub reads: Vec<PrefillRecord>,
     /// Revision of the store up to which the sender knows the engines.
     pub revision: u64,
     /// Milliseconds since the store had nothing beyond that; the largest number if the sender can't tell.
@@ -61,11 +61,11 @@
 
 impl Digest {
     /// The message about `work`; it says nothing of the store yet.
-    pub fn new(work: BTreeMap<String, Work>, notes: Vec<Note>, reads: Vec<Read>) -> Digest {
+    pub fn new(work: BTreeMap<String, Work>, notes: Vec<Note>, reads: Vec<PrefillRecord>) -> Digest {
         let shares = work.into_iter().map(|(engine, work)| Share {
             engine,
             requests: work.requests,
-            reading: u64::try_from(work.reading.as_micros()).unwrap_or(u64::MAX),
+            reading: u64::try_from(work.prefill.as_micros()).unwrap_or(u64::MAX),
         });
         Digest {
             shares: shares.collect(),
--- a/crates/core/src/relay/by_engine.rs
+++ b/crates/core/src/relay/engine_map.rs
@@ -8,11 +8,11 @@
 
 /// Values by engine; a default where none was set.
 #[derive(Debug, Clone, Default)]
-pub struct ByEngine<V> {
+pub struct EngineMap<V> {
     values: Vec<V>,
 }
 
-impl<V> ByEngine<V>
+impl<V> EngineMap<V>
 where
     V: Default,
 {
@@ -22,7 +22,7 @@
     }
 
     /// The value of an engine, to be changed.
-    pub fn at(&mut self, engine: EngineKey) -> &mut V {
+    pub fn get_or_default(&mut self, engine: EngineKey) -> &mut V {
         let index = index(engine);
         if index >= self.values.len() {
             self.values.resize_with(index + 1, V::default);
--- a/crates/core/src/relay/engines.rs
+++ b/crates/core/src/relay/engines.rs
@@ -11,11 +11,11 @@
 /// How long an engine whose entry vanished around an outage of the store may go on getting work. Entries that lapsed
 /// meanwhile are back within about two seconds of the store's return if their engine lives; an engine that has left
 /// must have no work two seconds after the store said so.
-pub const RETURN: Duration = Duration::from_millis(1_700);
+pub const REREGISTRATION_GRACE: Duration = Duration::from_millis(1_700);
 
 /// A call to the store that failed so short a time ago makes a vanished entry doubtful: a store that is back is asked
 /// within the longest pause between two calls.
-pub const DOUBT: Duration = Duration::from_millis(1_300);
+pub const STORE_FAILURE_WINDOW: Duration = Duration::from_millis(1_300);
 
 /// An engine in one of its lives: another registration under the same id is another key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -54,7 +54,7 @@
     /// Counts what the engine wrote of itself.
     pub sequence: u64,
     /// The store's revision at which the registration was created.
-    pub born: u64,
+    pub create_revision: u64,
 }
 
 /// An engine that may be sent work.
@@ -77,27 +77,27 @@
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownEngine {
     engine: Engine,
     revision: u64,
     /// When its entry vanished in doubt.
-    missing: Option<Time>,
+    missing_since: Option<Time>,
 }
 
 /// What is kept of an engine that is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-struct Grave {
+struct Tombstone {
     revision: u64,
     sequence: u64,
 }
 
 /// What the store said of one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
+pub enum EngineUpdate {
     /// Its entry, at this revision.
     Entry(u64, Entry),
     /// The engine of this id is gone since this revision.
-    Gone(u64, String),
+    Removed(u64, String),
 }
 
 /// All engines, as the store last showed them.
@@ -107,14 +107,14 @@
 /// after the engine has left, and work goes to an engine that ends under it. Each engine counts its words.
 #[derive(Debug, Clone, Default)]
 pub struct Engines {
-    known: BTreeMap<String, Known>,
-    gone: BTreeMap<String, Grave>,
+    known: BTreeMap<String, KnownEngine>,
+    tombstones: BTreeMap<String, Tombstone>,
     next: u32,
-    failed: Option<Time>,
+    store_failure: Option<Time>,
 }
 
 /// Ids of engines that are gone, kept against late news of peers.
-const MAX_GONE: usize = 1_024;
+const MAX_TOMBSTONES: usize = 1_024;
 
 impl Engines {
     /// Nobody yet.
@@ -123,42 +123,42 @@
     }
 
     /// Notes that a call to the store failed.
-    pub fn on_failure(&mut self, now: Time) {
-        self.failed = Some(now);
+    pub fn on_store_failure(&mut self, now: Time) {
+        self.store_failure = Some(now);
     }
 
     /// Takes news; whether anything changed.
-    pub fn on_news(&mut self, now: Time, news: News) -> bool {
+    pub fn on_update(&mut self, now: Time, news: EngineUpdate) -> bool {
         match news {
-            News::Entry(revision, entry) => self.on_entry(revision, entry),
-            News::Gone(revision, id) => self.on_gone(now, revision, id),
+            EngineUpdate::Entry(revision, entry) => self.on_entry(revision, entry),
+            EngineUpdate::Removed(revision, id) => self.on_removed(now, revision, id),
         }
     }
 
     /// Takes everything that the store holds as of `revision`; whether anything changed.
-    pub fn on_all(&mut self, now: Time, revision: u64, entries: Vec<(u64, Entry)>) -> bool {
+    pub fn on_snapshot(&mut self, now: Time, revision: u64, entries: Vec<(u64, Entry)>) -> bool {
         let named: BTreeSet<String> = entries.iter().map(|(_, e)| e.id.clone()).collect();
         let mut changed = false;
         for (at, entry) in entries {
             changed |= self.on_entry(at, entry);
         }
-        let absent = |(id, known): (&String, &Known)| {
+        let absent = |(id, known): (&String, &KnownEngine)| {
             (!named.contains(id) && known.revision <= revision).then(|| id.clone())
         };
         let absent: Vec<String> = self.known.iter().filter_map(absent).collect();
         for id in absent {
-            changed |= self.on_gone(now, revision, id);
+            changed |= self.on_removed(now, revision, id);
         }
         changed
     }
 
     fn on_entry(&mut self, revision: u64, entry: Entry) -> bool {
-        let grave = self.gone.get(&entry.id);
+        let grave = self.tombstones.get(&entry.id);
         if grave.is_some_and(|g| g.revision >= revision || g.sequence >= entry.sequence) {
             return false;
         }
         if let Some(known) = self.known.get_mut(&entry.id) {
-            if known.revision > revision || (known.revision == revision && known.missing.is_none()) {
+            if known.revision > revision || (known.revision == revision && known.missing_since.is_none()) {
                 return false;
             }
             known.revision = revision;
@@ -166,8 +166,8 @@
             if known.engine.entry.sequence > entry.sequence {
                 return false;
             }
-            known.missing = None;
-            if known.engine.entry.born == entry.born {
+            known.missing_since = None;
+            if known.engine.entry.create_revision == entry.create_revision {
                 let changed = known.engine.entry != entry;
                 known.engine.entry = entry;
                 return changed;
@@ -176,11 +176,11 @@
         let key = EngineKey(self.next);
         self.next += 1;
         let id = entry.id.clone();
-        self.gone.remove(&id);
-        let known = Known {
+        self.tombstones.remove(&id);
+        let known = KnownEngine {
             engine: Engine::new(key, entry),
             revision,
-            missing: None,
+            missing_since: None,
         };
         self.known.insert(id, known);
         true
@@ -190,25 +190,27 @@
     /// engine at all; every request would be refused until the engines have registered again. An entry that
     /// vanishes within [`DOUBT`] of a failed call keeps its engine for [`RETURN`]. An engine that left for good is
     /// found out by its first refused connection at the latest.
-    fn on_gone(&mut self, now: Time, revision: u64, id: String) -> bool {
-        let doubtful = self.failed.is_some_and(|at| now.since(at) < DOUBT);
+    fn on_removed(&mut self, now: Time, revision: u64, id: String) -> bool {
+        let doubtful = self
+            .store_failure
+            .is_some_and(|at| now.since(at) < STORE_FAILURE_WINDOW);
         match self.known.get_mut(&id) {
             Some(known) if known.revision > revision => false,
             Some(known) if doubtful && !known.engine.entry.leaving => {
                 known.revision = revision;
-                known.missing.get_or_insert(now);
+                known.missing_since.get_or_insert(now);
                 false
             }
             Some(known) => {
                 let sequence = known.engine.entry.sequence;
                 self.known.remove(&id);
-                self.bury(id, Grave { revision, sequence });
+                self.add_tombstone(id, Tombstone { revision, sequence });
                 true
             }
             None => {
-                self.bury(
+                self.add_tombstone(
                     id,
-                    Grave {
+                    Tombstone {
                         revision,
                         sequence: 0,
                     },
@@ -218,27 +220,31 @@
         }
     }
 
-    fn bury(&mut self, id: String, grave: Grave) {
-        let kept = self.gone.entry(id).or_default();
+    fn add_tombstone(&mut self, id: String, grave: Tombstone) {
+        let kept = self.tombstones.entry(id).or_default();
         kept.revision = kept.revision.max(grave.revision);
         kept.sequence = kept.sequence.max(grave.sequence);
-        while self.gone.len() > MAX_GONE {
-            let oldest = self.gone.iter().min_by_key(|(_, g)| g.revision);
+        while self.tombstones.len() > MAX_TOMBSTONES {
+            let oldest = self.tombstones.iter().min_by_key(|(_, g)| g.revision);
             let Some(id) = oldest.map(|(id, _)| id.clone()) else {
                 break;
             };
-            self.gone.remove(&id);
+            self.tombstones.remove(&id);
         }
     }
 
     /// Drops engines whose entry did not come back in time; whether any was.
     pub fn on_tick(&mut self, now: Time) -> bool {
-        let late = |known: &Known| known.missing.is_some_and(|at| now.since(at) >= RETURN);
-        let grave = |known: &Known| Grave {
+        let late = |known: &KnownEngine| {
+            known
+                .missing_since
+                .is_some_and(|at| now.since(at) >= REREGISTRATION_GRACE)
+        };
+        let grave = |known: &KnownEngine| Tombstone {
             revision: known.revision,
             sequence: known.engine.entry.sequence,
         };
-        let lost: Vec<(String, Grave)> = self
+        let lost: Vec<(String, Tombstone)> = self
             .known
             .iter()
             .filter(|(_, known)| late(known))
@@ -246,13 +252,13 @@
             .collect();
         for (id, grave) in &lost {
             self.known.remove(id);
-            self.bury(id.clone(), *grave);
+            self.add_tombstone(id.clone(), *grave);
         }
         !lost.is_empty()
     }
 
     /// The engines that may get new work, by service, in the order of their ids.
-    pub fn open(&self) -> BTreeMap<String, Vec<Engine>> {
+    pub fn available(&self) -> BTreeMap<String, Vec<Engine>> {
         let mut services: BTreeMap<String, Vec<Engine>> = BTreeMap::new();
         let open = self.known.values().filter(|k| !k.engine.entry.leaving);
         for known in open {
@@ -263,8 +269,8 @@
     }
 
     /// Whether an engine's entry is missing in doubt.
-    pub fn is_waiting(&self) -> bool {
-        self.known.values().any(|k| k.missing.is_some())
+    pub fn has_missing(&self) -> bool {
+        self.known.values().any(|k| k.missing_since.is_some())
     }
 
     /// How many are known.
--- a/crates/core/src/relay/hash.rs
+++ b/crates/core/src/relay/hash.rs
@@ -23,7 +23,7 @@
 }
 
 /// The hash of two hashes: that of many pairs is worked out for one request.
-pub fn pair(one: u64, other: u64) -> u64 {
+pub fn hash_pair(one: u64, other: u64) -> u64 {
     mix(mix(one ^ other.rotate_left(32)) ^ other)
 }
 
--- a/crates/core/src/relay/told.rs
+++ b/crates/core/src/relay/peer_work.rs
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::relay::book::Work;
-use crate::relay::by_engine::ByEngine;
+use crate::relay::engine_map::EngineMap;
 use crate::relay::engines::EngineKey;
+use crate::relay::load_tracker::Work;
 use crate::time::Time;
 
 /// What peers said counts for so long: three of their messages may be lost in a row.
-const STALE: Duration = Duration::from_millis(1_000);
+const REPORT_TTL: Duration = Duration::from_millis(1_000);
 
 #[derive(Debug, Clone, Default)]
 struct Report {
@@ -22,17 +22,17 @@
 
 /// The work of all peers that were heard lately.
 #[derive(Debug, Clone, Default)]
-pub struct Told {
+pub struct PeerWork {
     peers: BTreeMap<String, Report>,
     /// Sum over all in `peers`.
-    total: ByEngine<Work>,
+    total: EngineMap<Work>,
     /// No report in `peers` is older.
     oldest: Time,
 }
 
-impl Told {
+impl PeerWork {
     /// Takes the work that a peer says it has now.
-    pub fn on_peer(&mut self, now: Time, peer: &str, work: BTreeMap<EngineKey, Work>) {
+    pub fn on_peer_report(&mut self, now: Time, peer: &str, work: BTreeMap<EngineKey, Work>) {
         if self.is_stale(now, self.oldest) {
             self.expire(now);
         }
@@ -40,12 +40,12 @@
             self.oldest = now;
         }
         for (engine, work) in &work {
-            let total = self.total.at(*engine);
+            let total = self.total.get_or_default(*engine);
             *total = total.plus(*work);
         }
         let report = Report { at: now, work };
         if let Some(before) = self.peers.insert(peer.to_string(), report) {
-            self.take_off(&before);
+            self.subtract(&before);
         }
     }
 
@@ -61,31 +61,31 @@
     }
 
     /// Age of the oldest report that still counts, nothing without one.
-    pub fn oldest(&self, now: Time) -> Duration {
+    pub fn oldest_report_age(&self, now: Time) -> Duration {
         let ages = self.peers.values().map(|r| now.since(r.at));
-        ages.filter(|age| *age <= STALE).max().unwrap_or_default()
+        ages.filter(|age| *age <= REPORT_TTL).max().unwrap_or_default()
     }
 
     fn is_stale(&self, now: Time, at: Time) -> bool {
-        now.since(at) > STALE
+        now.since(at) > REPORT_TTL
     }
 
     /// Drops reports that count no more.
     fn expire(&mut self, now: Time) {
         let (stale, recent): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.peers)
             .into_iter()
-            .partition(|(_, report)| now.since(report.at) > STALE);
+            .partition(|(_, report)| now.since(report.at) > REPORT_TTL);
         self.peers = recent;
         for report in stale.values() {
-            self.take_off(report);
+            self.subtract(report);
         }
         let oldest = self.peers.values().map(|report| report.at).min();
         self.oldest = oldest.unwrap_or(now);
     }
 
-    fn take_off(&mut self, report: &Report) {
+    fn subtract(&mut self, report: &Report) {
         for (engine, work) in &report.work {
-            let total = self.total.at(*engine);
+            let total = self.total.get_or_default(*engine);
             *total = total.minus(*work);
         }
     }
--- a/crates/core/src/relay/stages.rs
+++ b/crates/core/src/relay/stages.rs
@@ -11,7 +11,7 @@
 use crate::relay::engines::Stage;
 
 /// Engines that generate, at least: one may be lost.
-const MIN_GENERATORS: usize = 2;
+const MIN_DECODE_ENGINES: usize = 2;
 
 /// Engines too many or too few that are left so once a service has been split: an engine that is lost for a moment
 /// isn't worth an order.
@@ -19,7 +19,7 @@
 
 /// Reading engines that one core of the instances can keep busy: a core forwards about 150 prompts per second, and the
 /// slowest engines take 80 ms to read one.
-const READERS_PER_CORE: f64 = 12.0;
+const PREFILL_ENGINES_PER_CORE: f64 = 12.0;
 
 /// An order that is to be given.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,7 @@
 /// never ordered back by this limit.
 ///
 /// Guards against taking thousands of engines out of service for seconds, and loading the store, for readers that stay idle.
-pub fn limit_readers(
+pub fn limit_prefill_fraction(
     engines: &[Engine],
     ordered: &BTreeMap<String, Stage>,
     readers: f64,
@@ -45,34 +45,36 @@
         return readers;
     }
     let staged = || engines.iter().filter(|e| e.entry.stage != Stage::Whole);
-    let reading = staged().filter(|e| becomes(e, ordered) == Stage::Prefill).count();
-    let needed = (f64::from(capacity) / 1e3 * READERS_PER_CORE).ceil();
+    let reading = staged()
+        .filter(|e| target_stage(e, ordered) == Stage::Prefill)
+        .count();
+    let needed = (f64::from(capacity) / 1e3 * PREFILL_ENGINES_PER_CORE).ceil();
     let limit = needed.max(reading as f64);
     readers.min(limit / staged().count().max(1) as f64)
 }
 
 /// The stage of an engine after its order, if any, has been carried out.
-fn becomes(engine: &Engine, ordered: &BTreeMap<String, Stage>) -> Stage {
+fn target_stage(engine: &Engine, ordered: &BTreeMap<String, Stage>) -> Stage {
     let ordered = ordered.get(&engine.entry.id);
     ordered.copied().unwrap_or(engine.entry.stage)
 }
 
 /// The orders that bring the engines of a service to the split in which `readers` of 1.0 read. `ordered` are those
 /// that have had their order.
-pub fn plan(engines: &[Engine], ordered: &BTreeMap<String, Stage>, readers: f64) -> Vec<StageOrder> {
+pub fn plan_orders(engines: &[Engine], ordered: &BTreeMap<String, Stage>, readers: f64) -> Vec<StageOrder> {
     let staged: Vec<&Engine> = engines.iter().filter(|e| e.entry.stage != Stage::Whole).collect();
-    let most = staged.len().saturating_sub(MIN_GENERATORS);
+    let most = staged.len().saturating_sub(MIN_DECODE_ENGINES);
     let wanted = ((staged.len() as f64 * readers).round() as usize).min(most);
     // An engine that was ordered to is counted as what it will be.
     let reading = staged
         .iter()
-        .filter(|e| becomes(e, ordered) == Stage::Prefill)
+        .filter(|e| target_stage(e, ordered) == Stage::Prefill)
         .count();
     let generating = staged.len() - reading;
     let is_split = staged.iter().any(|e| ordered.contains_key(&e.entry.id));
     let tolerance = if is_split { TOLERANCE } else { 0 };
     let is_close = reading.abs_diff(wanted) <= tolerance;
-    let is_able = (reading > 0 || wanted == 0) && generating >= MIN_GENERATORS.min(staged.len());
+    let is_able = (reading > 0 || wanted == 0) && generating >= MIN_DECODE_ENGINES.min(staged.len());
     if is_close && is_able {
         return Vec::new();
     }
@@ -81,8 +83,8 @@
         std::cmp::Ordering::Equal => return Vec::new(),
         std::cmp::Ordering::Greater => (Stage::Decode, reading - wanted),
     };
-    let mut zones = Zones::new(
-        staged.into_iter().filter(|e| becomes(e, ordered) != stage),
+    let mut zones = StageCandidates::new(
+        staged.into_iter().filter(|e| target_stage(e, ordered) != stage),
         ordered,
     );
     let next = std::iter::from_fn(|| zones.next());
@@ -94,42 +96,43 @@
 }
 
 /// Engines that could change their stage, by availability zone.
-struct Zones<'e> {
-    zones: BTreeMap<&'e str, Zone<'e>>,
+struct StageCandidates<'e> {
+    zones: BTreeMap<&'e str, ZoneCandidates<'e>>,
 }
 
 #[derive(Debug, Default)]
-struct Zone<'e> {
+struct ZoneCandidates<'e> {
     /// Engines of the stage that is left, ordered to or not.
-    left: usize,
+    remaining: usize,
     /// Those that had no order, by their ids.
-    free: BTreeMap<&'e str, &'e Engine>,
+    without_order: BTreeMap<&'e str, &'e Engine>,
 }
 
-impl<'e> Zones<'e> {
-    fn new<I>(engines: I, ordered: &BTreeMap<String, Stage>) -> Zones<'e>
+impl<'e> StageCandidates<'e> {
+    fn new<I>(engines: I, ordered: &BTreeMap<String, Stage>) -> StageCandidates<'e>
     where
         I: Iterator<Item = &'e Engine>,
     {
-        let mut zones: BTreeMap<&str, Zone<'_>> = BTreeMap::new();
+        let mut zones: BTreeMap<&str, ZoneCandidates<'_>> = BTreeMap::new();
         for engine in engines {
             let zone = zones.entry(engine.entry.zone.as_str()).or_default();
-            zone.left += 1;
+            zone.remaining += 1;
             if !ordered.contains_key(&engine.entry.id) {
-                zone.free.insert(engine.entry.id.as_str(), engine);
+                zone.without_order.insert(engine.entry.id.as_str(), engine);
             }
         }
-        Zones { zones }
+        StageCandidates { zones }
     }
 
     /// The engine that changes next: of the zone with most of its stage left, so that each zone keeps some.
     fn next(&mut self) -> Option<&'e Engine> {
-        let rank = |zone: &Zone<'e>| Some((zone.left, *zone.free.last_key_value()?.0));
+        let rank =
+            |zone: &ZoneCandidates<'e>| Some((zone.remaining, *zone.without_order.last_key_value()?.0));
         let zones = self.zones.values_mut();
         let zone = zones
-            .filter(|zone| !zone.free.is_empty())
+            .filter(|zone| !zone.without_order.is_empty())
             .max_by_key(|zone| rank(zone))?;
-        zone.left -= 1;
-        zone.free.pop_last().map(|(_, engine)| engine)
+        zone.remaining -= 1;
+        zone.without_order.pop_last().map(|(_, engine)| engine)
     }
 }
--- a/src/ops/relay/follow/listen.rs
+++ b/src/ops/relay/follow/listen.rs
@@ -113,7 +113,7 @@
     /// alone, and an engine that has left would keep its work at all who hear of it from that peer.
     fn doubt(&mut self) {
         if self.failures > 0 {
-            self.engines.on_failure(clock::now());
+            self.engines.on_store_failure(clock::now());
         }
     }
 
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -19,9 +19,9 @@
 use rand::RngExt;
 use sequoiastream_core::log_event;
 use sequoiastream_core::relay::engines::EngineKey;
+use sequoiastream_core::relay::engines::EngineUpdate;
 use sequoiastream_core::relay::engines::Engines;
 use sequoiastream_core::relay::engines::Entry;
-use sequoiastream_core::relay::engines::News;
 use sequoiastream_core::relay::lead::Record;
 use sequoiastream_core::relay::routes::Table;
 use sequoiastream_core::relay::watchers;
@@ -264,7 +264,7 @@
         let changes = loop {
             tokio::select! {
                 changes = &mut watch => break changes?,
-                () = tokio::time::sleep(TICK), if self.engines.is_waiting() => self.on_tick(),
+                () = tokio::time::sleep(TICK), if self.engines.has_missing() => self.on_tick(),
                 // Others watch for it again, and know more by now.
                 () = fleet.news() => if !fleet.seat().is_watcher() {
                     self.ask_peer().await;
@@ -316,7 +316,7 @@
                 return;
             }
             tokio::time::sleep(left.min(TICK)).await;
-            if self.engines.is_waiting() {
+            if self.engines.has_missing() {
                 self.on_tick();
             }
         }
@@ -327,7 +327,7 @@
         self.known.on_all(self.shared.translate.keys(), revision, items);
         let entries = items.iter().filter_map(|item| self.entry(item));
         let entries: Vec<(u64, Entry)> = entries.collect();
-        let engines = self.engines.on_all(now, revision, entries);
+        let engines = self.engines.on_snapshot(now, revision, entries);
         self.ordered
             .on_all(now, self.shared.translate.as_ref(), revision, items);
         for item in items {
@@ -356,7 +356,7 @@
                     changed.lead = true;
                 }
                 changed.instances |= self.fleet.on_item(register::listing(&self.shared, item));
-                self.entry(item).map(|(at, entry)| News::Entry(at, entry))
+                self.entry(item).map(|(at, entry)| EngineUpdate::Entry(at, entry))
             }
             Change::Removed { key, revision } => {
                 let translate = self.shared.translate.as_ref();
@@ -368,10 +368,10 @@
                 }
                 changed.instances |= self.fleet.on_removed(register::name(&self.shared, key));
                 let id = self.shared.translate.engine_id(key);
-                id.map(|id| News::Gone(*revision, id.to_string()))
+                id.map(|id| EngineUpdate::Removed(*revision, id.to_string()))
             }
         };
-        changed.engines |= news.is_some_and(|news| self.engines.on_news(now, news));
+        changed.engines |= news.is_some_and(|news| self.engines.on_update(now, news));
     }
 
     fn on_tick(&mut self) {
@@ -442,7 +442,7 @@
     }
 
     fn publish_engines(&self) {
-        let engines = self.engines.open();
+        let engines = self.engines.available();
         let count = self.engines.len();
         self.shared.publish(|view| view.set_engines(engines));
         let view = self.shared.view.load();
@@ -482,7 +482,7 @@
             log_event!(warn, log_event::KV_FAILED, %error, call = "follow");
         }
         let now = clock::now();
-        self.engines.on_failure(now);
+        self.engines.on_store_failure(now);
         self.failed = Some(now);
         let longest = match self.fleet.seat().is_watcher() {
             true => LONGEST,
--- a/src/ops/relay/forward.rs
+++ b/src/ops/relay/forward.rs
@@ -205,7 +205,7 @@
     /// One attempt at a request with a whole answer. `Err(None)` asks for another.
     async fn attempt(&mut self) -> Result<HttpResponse, Option<Reply>> {
         let picked = self.pick(|chooser, engines| {
-            let engine = chooser.plain(engines)?;
+            let engine = chooser.least_loaded(engines)?;
             (!chooser.is_full(engine, QUEUE)).then(|| engine.clone())
         });
         let Some(engine) = picked else {
@@ -336,7 +336,10 @@
     /// Notes what the end of an attempt says of its engine.
     pub fn judge(&self, engine: EngineKey, end: End) {
         self.shared.metrics.attempt(end.label());
-        self.shared.ledger().book.judge(clock::now(), engine, end);
+        self.shared
+            .ledger()
+            .book
+            .on_attempt_end(clock::now(), engine, end);
     }
 
     pub(super) fn log_failure(&self, engine: &Engine, failure: &Failure, call: &str) {
--- a/src/ops/relay/gauges.rs
+++ b/src/ops/relay/gauges.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::relay::book::Work;
+use sequoiastream_core::relay::load_tracker::Work;
 
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
@@ -27,10 +27,10 @@
     metrics.proof_age.set(proven.unwrap_or(-1.0));
     metrics
         .peers_age
-        .set(ledger.book.oldest_report(now).as_secs_f64());
+        .set(ledger.book.oldest_report_age(now).as_secs_f64());
     metrics.forget_services();
     for (service, engines) in view.engines() {
-        let own = sum(engines.iter().map(|e| ledger.book.own(e.key)));
+        let own = sum(engines.iter().map(|e| ledger.book.own_work(e.key)));
         let fleet = sum(engines.iter().map(|e| ledger.book.work(now, e.key)));
         let slots: u32 = engines.iter().map(|e| e.entry.slots).sum();
         let left = ledger.budget.left(now, service, view.instances);
--- a/src/ops/relay/orders.rs
+++ b/src/ops/relay/orders.rs
@@ -19,8 +19,8 @@
 use sequoiastream_core::relay::engines::Stage;
 use sequoiastream_core::relay::records::Absences;
 use sequoiastream_core::relay::stages::StageOrder;
-use sequoiastream_core::relay::stages::limit_readers;
-use sequoiastream_core::relay::stages::plan;
+use sequoiastream_core::relay::stages::limit_prefill_fraction;
+use sequoiastream_core::relay::stages::plan_orders;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Item;
 use sequoiastream_kv::store::Put;
@@ -222,8 +222,8 @@
         .values()
         .filter(|engines| is_steady || is_split(engines));
     let orders = engines.flat_map(|engines| {
-        let readers = limit_readers(engines, ordered, shared.tuning().readers, capacity);
-        let orders = plan(engines, ordered, readers);
+        let readers = limit_prefill_fraction(engines, ordered, shared.tuning().readers, capacity);
+        let orders = plan_orders(engines, ordered, readers);
         if orders.is_empty() {
             return Vec::new();
         }
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -25,12 +25,12 @@
 use sequoiastream_core::membership::Members;
 use sequoiastream_core::membership::Myself;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::relay::book::Work;
 use sequoiastream_core::relay::digest;
 use sequoiastream_core::relay::digest::Digest;
 use sequoiastream_core::relay::digest::FANOUT;
 use sequoiastream_core::relay::digest::LoadPeers;
 use sequoiastream_core::relay::engines::EngineKey;
+use sequoiastream_core::relay::load_tracker::Work;
 use sequoiastream_core::relay::watchers::Seat;
 use sequoiastream_core::time::Time;
 use sequoiastream_peer::PeerError;
@@ -397,11 +397,17 @@
                 let key = keys.get(share.engine.as_str())?;
                 let reading = Duration::from_micros(share.reading);
                 let requests = share.requests;
-                Some((*key, Work { requests, reading }))
+                Some((
+                    *key,
+                    Work {
+                        requests,
+                        prefill: reading,
+                    },
+                ))
             })
             .collect();
         let mut ledger = self.0.shared.ledger();
-        ledger.book.on_peer(now, name.as_str(), work);
+        ledger.book.on_peer_report(now, name.as_str(), work);
         for note in digest.notes {
             ledger.suspects.on_note(now, note);
         }
@@ -409,7 +415,7 @@
         for read in digest.reads {
             // An engine that is not known here yet, or no more, gets no work from here.
             if let Some(engine) = view.hashes().get(&read.engine) {
-                ledger.book.parts.on_read(now, *engine, read);
+                ledger.book.cached_parts.on_prefill(now, *engine, read);
             }
         }
     }
@@ -448,8 +454,11 @@
         let (peers, turns) = self.load_recipients(now, turn);
         let (all, notes, reads) = {
             let mut ledger = self.0.shared.ledger();
-            let reads = ledger.book.parts.tell(u32::try_from(turns).unwrap_or(u32::MAX));
-            (ledger.book.all(), ledger.suspects.notes(now), reads)
+            let reads = ledger
+                .book
+                .cached_parts
+                .records_to_send(u32::try_from(turns).unwrap_or(u32::MAX));
+            (ledger.book.own_by_engine(), ledger.suspects.notes(now), reads)
         };
         let quiet = all.is_empty() && notes.is_empty() && reads.is_empty();
         if self.0.quiet.replace(quiet) && quiet && !digest::is_quiet_turn(turn) {
--- a/src/ops/relay/pick.rs
+++ b/src/ops/relay/pick.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sequoiastream_core::relay::book::Ticket;
 use sequoiastream_core::relay::digest::turns;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::pace::Load;
-use sequoiastream_core::relay::place::Chooser;
-use sequoiastream_core::relay::place::Reading;
+use sequoiastream_core::relay::load_tracker::JobId;
+use sequoiastream_core::relay::placement::EngineSelector;
+use sequoiastream_core::relay::placement::PrefillPlan;
+use sequoiastream_core::relay::prefill_time::Load;
 use sequoiastream_core::relay::prompt::Prompt;
 
 use crate::ops::relay::forward::Forward;
@@ -34,19 +34,19 @@
 /// Work noted at an engine; ends when dropped.
 pub struct Held {
     shared: Arc<Shared>,
-    ticket: Ticket,
+    ticket: JobId,
 }
 
 impl Held {
     /// Notes that the prompt is read.
     pub fn read(&self) {
-        self.shared.ledger().book.read(self.ticket);
+        self.shared.ledger().book.finish_prefill(self.ticket);
     }
 }
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.shared.ledger().book.end(clock::now(), self.ticket);
+        self.shared.ledger().book.finish(clock::now(), self.ticket);
     }
 }
 
@@ -60,18 +60,18 @@
             Stage::Decode => DECODE_READING,
             Stage::Prefill | Stage::Whole => 1,
         };
-        let takes = reading.takes * slower;
-        if is_fresh && self.would_be_late(takes, reading.before) {
+        let takes = reading.total_time * slower;
+        if is_fresh && self.would_be_late(takes, reading.queue_time) {
             return None;
         }
         self.note_sent(&reading);
-        Some((reading.engine, reading.busy))
+        Some((reading.engine, reading.busy_time))
     }
 
     /// The engine at `stage` that reads the prompt.
-    pub(super) fn pick_reader(&self, stage: Stage) -> Option<Reading> {
+    pub(super) fn pick_reader(&self, stage: Stage) -> Option<PrefillPlan> {
         let prompt = self.ask.prompt.as_ref()?;
-        self.pick(|chooser, engines| chooser.reader(engines, stage, prompt))
+        self.pick(|chooser, engines| chooser.choose_prefill(engines, stage, prompt))
     }
 
     /// The engine that generates, near the one that has read the prompt, and how long reading it keeps that engine.
@@ -90,8 +90,8 @@
             let is_open = !is_fresh || !chooser.is_full(engine, part);
             let unread = match (&self.kept, &self.ask.prompt) {
                 (None, Some(prompt)) => {
-                    let pace = chooser.book.pace(&engine.entry.service);
-                    pace.busy(Load::new(prompt, prompt.input)) * DECODE_READING
+                    let pace = chooser.loads.prefill_model(&engine.entry.service);
+                    pace.busy_time(Load::new(prompt, prompt.input)) * DECODE_READING
                 }
                 _ => Duration::ZERO,
             };
@@ -110,14 +110,14 @@
 
     pub(super) fn pick<T, F>(&self, choose: F) -> Option<T>
     where
-        F: FnOnce(&Chooser<'_>, &[Engine]) -> Option<T>,
+        F: FnOnce(&EngineSelector<'_>, &[Engine]) -> Option<T>,
     {
         self.pick_near(None, choose)
     }
 
     pub(super) fn pick_near<T, F>(&self, zone: Option<&str>, choose: F) -> Option<T>
     where
-        F: FnOnce(&Chooser<'_>, &[Engine]) -> Option<T>,
+        F: FnOnce(&EngineSelector<'_>, &[Engine]) -> Option<T>,
     {
         let service = self.service.as_ref()?;
         // The engines of now: one that left since the request came gets no work any more.
@@ -132,27 +132,30 @@
             false => Cow::Borrowed(engines),
         };
         let ledger = self.shared.ledger();
-        let chooser = Chooser {
-            book: &ledger.book,
+        let chooser = EngineSelector {
+            loads: &ledger.book,
             now,
             zone: zone.unwrap_or(self.shared.options.zone.as_str()),
             tried: &self.tried,
-            memory: view
+            memory_tokens: view
                 .table
                 .services
                 .get(service)
                 .and_then(|s| Some(s.memory.as_ref()?.tokens)),
-            turns: turns(view.instances.saturating_sub(1)),
-            draw: self.draw,
+            report_turns: turns(view.instances.saturating_sub(1)),
+            tie_breaker: self.draw,
         };
         choose(&chooser, &staying)
     }
 
     /// Notes which shared parts an engine is sent to read.
-    pub(super) fn note_sent(&self, reading: &Reading) {
+    pub(super) fn note_sent(&self, reading: &PrefillPlan) {
         let part = self.ask.prompt.as_ref().and_then(Prompt::shared);
         if let Some(part) = part {
-            self.shared.ledger().book.on_sent(clock::now(), reading, part.id);
+            self.shared
+                .ledger()
+                .book
+                .on_prefill_sent(clock::now(), reading, part.id);
         }
     }
 
@@ -166,7 +169,7 @@
 }
 
 /// The engine that generates: one that does only that, else one that does everything.
-pub(super) fn generator<'e>(chooser: &Chooser<'_>, engines: &'e [Engine]) -> Option<&'e Engine> {
-    let decode = chooser.generator(engines, Stage::Decode);
-    decode.or_else(|| chooser.generator(engines, Stage::Whole))
+pub(super) fn generator<'e>(chooser: &EngineSelector<'_>, engines: &'e [Engine]) -> Option<&'e Engine> {
+    let decode = chooser.choose_decode(engines, Stage::Decode);
+    decode.or_else(|| chooser.choose_decode(engines, Stage::Whole))
 }
--- a/src/ops/relay/reading.rs
+++ b/src/ops/relay/reading.rs
@@ -7,7 +7,7 @@
 use sequoiastream_core::log_event;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::place::Reading;
+use sequoiastream_core::relay::placement::PrefillPlan;
 use sequoiastream_core::retry;
 use sequoiastream_upstream::channel::Pool;
 
@@ -86,12 +86,12 @@
                 return Ok(());
             };
             let handover = self.handover();
-            let takes = reading.takes + handover;
+            let takes = reading.total_time + handover;
             let is_first = is_fresh && attempt == 0;
             if is_first {
                 self.predicted = Some(clock::now().since(self.ask.arrived) + takes);
             }
-            if is_first && self.would_be_late(takes, reading.before) {
+            if is_first && self.would_be_late(takes, reading.queue_time) {
                 break;
             }
             // Only the first call to read a prompt is free: one for another attempt draws on the budget as well.
@@ -99,7 +99,7 @@
                 break;
             }
             let may_repeat = attempt + 1 < MAX_READS;
-            let patience = may_repeat.then(|| retry::patience(self.ask.left(), reading.takes, 0));
+            let patience = may_repeat.then(|| retry::patience(self.ask.left(), reading.total_time, 0));
             match self.read_at(&reading, patience).await {
                 Ok(()) => return Ok(()),
                 Err(failure) => {
@@ -119,25 +119,27 @@
     pub(super) fn handover(&self) -> Duration {
         let wait = self.pick(|chooser, engines| {
             let engine = generator(chooser, engines)?;
-            let queue = chooser.book.queue(chooser.now, engine.key, engine.entry.slots);
-            Some(queue + chooser.book.handover(chooser.now, engine.key))
+            let queue = chooser
+                .loads
+                .queue_time(chooser.now, engine.key, engine.entry.slots);
+            Some(queue + chooser.loads.handover(chooser.now, engine.key))
         });
         wait.unwrap_or_default()
     }
 
     pub(super) async fn read_at(
         &mut self,
-        reading: &Reading,
+        reading: &PrefillPlan,
         patience: Option<Duration>,
     ) -> Result<(), Failure> {
         self.note_sent(reading);
-        let _held = self.hold(&reading.engine, reading.busy);
+        let _held = self.hold(&reading.engine, reading.busy_time);
         let begun = clock::now();
         let name = self.call_reader(reading, patience).await?;
         let now = clock::now();
         let mut ledger = self.shared.ledger();
-        ledger.book.judge(now, reading.engine.key, End::Answered);
-        ledger.book.on_read(now, reading, now.since(begun));
+        ledger.book.on_attempt_end(now, reading.engine.key, End::Answered);
+        ledger.book.on_prefill(now, reading, now.since(begun));
         drop(ledger);
         self.read = Some(now);
         self.kept = Some(Kept {
@@ -152,14 +154,14 @@
 
     pub(super) async fn call_reader(
         &self,
-        reading: &Reading,
+        reading: &PrefillPlan,
         patience: Option<Duration>,
     ) -> Result<String, Failure> {
         let engine = &reading.engine;
         let names = self.shared.translate.names();
         let extra = Extra {
             prefill: true,
-            fetch: reading.fetch,
+            fetch: reading.fetch_from,
             patience,
             ..Extra::default()
         };
--- a/src/ops/relay/shared.rs
+++ b/src/ops/relay/shared.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use sequoiastream_core::relay::book::Book;
 use sequoiastream_core::relay::budget::Budget;
 use sequoiastream_core::relay::directory::Entrance;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::lead::Record;
+use sequoiastream_core::relay::load_tracker::LoadTracker;
 use sequoiastream_core::relay::routes::Table;
 use sequoiastream_core::relay::suspects::Suspects;
 use sequoiastream_core::relay::usage::Tally;
@@ -99,7 +99,7 @@
 #[derive(Debug)]
 pub struct Ledger {
     /// Load and health of engines.
-    pub book: Book,
+    pub book: LoadTracker,
     /// Budget of extra attempts.
     pub budget: Budget,
     /// Requests that crash engines.
@@ -144,7 +144,7 @@
     /// State before anything is known.
     pub fn new(options: Options, translate: Arc<dyn Translate>, budget: SharedBudget) -> Shared {
         let ledger = Ledger {
-            book: Book::new(),
+            book: LoadTracker::new(),
             budget: Budget::new(options.tuning.rule),
             suspects: Suspects::new(),
             tally: Tally::default(),
--- a/tests/testsuite/relay/book.rs
+++ b/tests/testsuite/relay/book.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use sequoiastream_core::attempt::End;
-use sequoiastream_core::relay::book::Book;
-use sequoiastream_core::relay::book::Work;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::place::Chooser;
+use sequoiastream_core::relay::load_tracker::LoadTracker;
+use sequoiastream_core::relay::load_tracker::Work;
+use sequoiastream_core::relay::placement::EngineSelector;
 use sequoiastream_core::relay::prompt::Prompt;
 use sequoiastream_core::time::Time;
 
@@ -19,29 +19,32 @@
 
 fn work(requests: u32, millis: u64) -> Work {
     let reading = Duration::from_millis(millis);
-    Work { requests, reading }
+    Work {
+        requests,
+        prefill: reading,
+    }
 }
 
 #[test]
 fn work_until_end() {
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     let first = book.begin(Time::ZERO, ENGINE, Duration::from_millis(900));
     let second = book.begin(Time::ZERO, ENGINE, Duration::from_millis(100));
-    assert_eq!(book.own(ENGINE), work(2, 1_000));
-    book.read(first);
-    book.read(first);
-    assert_eq!(book.own(ENGINE), work(2, 100));
+    assert_eq!(book.own_work(ENGINE), work(2, 1_000));
+    book.finish_prefill(first);
+    book.finish_prefill(first);
+    assert_eq!(book.own_work(ENGINE), work(2, 100));
     for ticket in [second, second, first] {
-        book.end(Time::ZERO, ticket);
+        book.finish(Time::ZERO, ticket);
     }
-    assert_eq!(book.own(ENGINE), Work::default());
+    assert_eq!(book.own_work(ENGINE), Work::default());
 }
 
 #[test]
 fn work_of_peers_expires() {
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     book.begin(Time::ZERO, ENGINE, Duration::from_millis(10));
-    book.on_peer(Time::ZERO, "b", BTreeMap::from([(ENGINE, work(4, 400))]));
+    book.on_peer_report(Time::ZERO, "b", BTreeMap::from([(ENGINE, work(4, 400))]));
     assert_eq!(book.work(Time::from_millis(900), ENGINE), work(5, 410));
     assert_eq!(book.work(Time::from_millis(1_100), ENGINE), work(1, 10));
 }
@@ -51,7 +54,7 @@
 /// are let in by it.
 #[test]
 fn handover_forgotten() {
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     let usual = book.handover(Time::ZERO, ENGINE);
     for _ in 0..50 {
         book.on_handover(Time::ZERO, ENGINE, Duration::from_millis(600));
@@ -66,39 +69,39 @@
 /// engine with the least work is the best choice.
 #[test]
 fn avoid_declining() {
-    let mut book = Book::new();
-    book.judge(Time::ZERO, ENGINE, End::Declined);
+    let mut book = LoadTracker::new();
+    book.on_attempt_end(Time::ZERO, ENGINE, End::Declined);
     assert!(book.is_avoided(Time::from_millis(200), ENGINE));
     assert!(!book.is_avoided(Time::from_millis(300), ENGINE));
 }
 
 #[test]
 fn avoid_longer_with_each_fault() {
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        book.judge(Time::ZERO, ENGINE, End::Broken);
+        book.on_attempt_end(Time::ZERO, ENGINE, End::Broken);
         let avoided = (0..20_000)
             .step_by(100)
             .filter(|ms| book.is_avoided(Time::from_millis(*ms), ENGINE));
         pauses.push(avoided.count() / 5);
     }
     assert_eq!(pauses, [1, 2, 4, 8, 16, 16]);
-    book.judge(Time::ZERO, ENGINE, End::Answered);
+    book.on_attempt_end(Time::ZERO, ENGINE, End::Answered);
     assert!(!book.is_avoided(Time::ZERO, ENGINE));
 }
 
 /// What an engine was seen to read, alone, in so many milliseconds.
-fn read(book: &mut Book, now: Time, engine: &Engine, millis: u64) {
+fn read(book: &mut LoadTracker, now: Time, engine: &Engine, millis: u64) {
     let engines = [engine.clone()];
-    let chooser = Chooser {
-        book,
+    let chooser = EngineSelector {
+        loads: book,
         now,
         zone: "a",
         tried: &[],
-        memory: None,
-        turns: 1,
-        draw: 0,
+        memory_tokens: None,
+        report_turns: 1,
+        tie_breaker: 0,
     };
     let prompt = Prompt {
         model: "m".to_string(),
@@ -107,9 +110,9 @@
         parts: Vec::new(),
     };
     let reading = chooser
-        .reader(&engines, Stage::Prefill, &prompt)
+        .choose_prefill(&engines, Stage::Prefill, &prompt)
         .expect("an engine");
-    book.on_read(now, &reading, Duration::from_millis(millis));
+    book.on_prefill(now, &reading, Duration::from_millis(millis));
 }
 
 /// One engine of a service turns slow, and is well again later. Order: its prompts take four times as long, it counts as slow;
@@ -117,7 +120,7 @@
 #[test]
 fn slow_engine_seen_and_forgotten() {
     let engines = fleet(&[Stage::Prefill; 2]);
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     for _ in 0..40 {
         read(&mut book, Time::ZERO, &engines[0], 100);
         read(&mut book, Time::ZERO, &engines[1], 100);
@@ -135,16 +138,19 @@
 
 #[test]
 fn queue_only_over_slots() {
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     for millis in 0..40 {
         let ticket = book.begin(Time::from_millis(millis), ENGINE, Duration::ZERO);
-        book.end(Time::from_millis(millis + 160), ticket);
+        book.finish(Time::from_millis(millis + 160), ticket);
     }
     for _ in 0..15 {
         book.begin(Time::from_millis(500), ENGINE, Duration::ZERO);
     }
-    assert_eq!(book.queue(Time::from_millis(500), ENGINE, 16), Duration::ZERO);
+    assert_eq!(
+        book.queue_time(Time::from_millis(500), ENGINE, 16),
+        Duration::ZERO
+    );
     book.begin(Time::from_millis(500), ENGINE, Duration::ZERO);
-    let wait = book.queue(Time::from_millis(500), ENGINE, 16);
+    let wait = book.queue_time(Time::from_millis(500), ENGINE, 16);
     assert_eq!(wait, Duration::from_millis(10));
 }
--- a/tests/testsuite/relay/digest.rs
+++ b/tests/testsuite/relay/digest.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sequoiastream_core::relay::book::Work;
+use sequoiastream_core::relay::cached_parts::PrefillRecord;
 use sequoiastream_core::relay::digest::Digest;
 use sequoiastream_core::relay::digest::LoadPeers;
 use sequoiastream_core::relay::digest::part;
-use sequoiastream_core::relay::parts::Read;
+use sequoiastream_core::relay::load_tracker::Work;
 use sequoiastream_peer::datagram::MAX_DATAGRAM;
 
 fn peers(count: u16) -> Vec<SocketAddr> {
@@ -83,10 +83,10 @@
 fn trim_keeps_most_work() {
     let work = |index: u32| Work {
         requests: index,
-        reading: Duration::ZERO,
+        prefill: Duration::ZERO,
     };
     let all = (1..=200).map(|index| (format!("i-{index:010}"), work(index)));
-    let reads = (0..10).map(|part| Read {
+    let reads = (0..10).map(|part| PrefillRecord {
         engine: 7,
         part,
         tokens: 1,
--- a/tests/testsuite/relay/engines.rs
+++ b/tests/testsuite/relay/engines.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::relay::engines::DOUBT;
+use sequoiastream_core::relay::engines::EngineUpdate;
 use sequoiastream_core::relay::engines::Engines;
 use sequoiastream_core::relay::engines::Entry;
-use sequoiastream_core::relay::engines::News;
-use sequoiastream_core::relay::engines::RETURN;
+use sequoiastream_core::relay::engines::REREGISTRATION_GRACE;
+use sequoiastream_core::relay::engines::STORE_FAILURE_WINDOW;
 use sequoiastream_core::relay::engines::Stage;
 use sequoiastream_core::time::Time;
 
@@ -14,7 +14,7 @@
 
 fn ready(sequence: u64, born: u64) -> Entry {
     let mut entry = entry("e", Stage::Decode);
-    (entry.sequence, entry.born) = (sequence, born);
+    (entry.sequence, entry.create_revision) = (sequence, born);
     entry
 }
 
@@ -24,12 +24,12 @@
     entry
 }
 
-fn gone(revision: u64) -> News {
-    News::Gone(revision, "e".to_string())
+fn gone(revision: u64) -> EngineUpdate {
+    EngineUpdate::Removed(revision, "e".to_string())
 }
 
 fn open(engines: &Engines) -> usize {
-    engines.open().values().flatten().count()
+    engines.available().values().flatten().count()
 }
 
 /// Work goes to an engine that ends under it. Order: the engine says that it leaves, then an earlier word of it, which
@@ -37,10 +37,10 @@
 #[test]
 fn leaving_older_word_late() {
     let mut engines = Engines::new();
-    engines.on_news(Time::ZERO, News::Entry(5, ready(7, 1)));
-    engines.on_news(Time::ZERO, News::Entry(6, leaving(9)));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(7, 1)));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(6, leaving(9)));
     assert_eq!(open(&engines), 0);
-    engines.on_news(Time::ZERO, News::Entry(7, ready(8, 1)));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(7, ready(8, 1)));
     assert_eq!(open(&engines), 0);
 }
 
@@ -49,20 +49,20 @@
 #[test]
 fn gone_older_word_late() {
     let mut engines = Engines::new();
-    engines.on_news(Time::ZERO, News::Entry(5, ready(7, 1)));
-    engines.on_news(Time::ZERO, gone(6));
-    engines.on_news(Time::ZERO, News::Entry(8, ready(7, 8)));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(7, 1)));
+    engines.on_update(Time::ZERO, gone(6));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(8, ready(7, 8)));
     assert_eq!(open(&engines), 0);
-    engines.on_news(Time::ZERO, News::Entry(9, ready(8, 8)));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(9, ready(8, 8)));
     assert_eq!(open(&engines), 1);
 }
 
 #[test]
 fn revision_never_back() {
     let mut engines = Engines::new();
-    engines.on_news(Time::ZERO, News::Entry(9, leaving(3)));
-    assert!(!engines.on_news(Time::ZERO, News::Entry(8, ready(2, 1))));
-    assert!(!engines.on_news(Time::ZERO, gone(8)));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(9, leaving(3)));
+    assert!(!engines.on_update(Time::ZERO, EngineUpdate::Entry(8, ready(2, 1))));
+    assert!(!engines.on_update(Time::ZERO, gone(8)));
     assert_eq!((engines.len(), open(&engines)), (1, 0));
 }
 
@@ -71,27 +71,27 @@
 #[test]
 fn lapse_with_outage() {
     let mut engines = Engines::new();
-    engines.on_news(Time::ZERO, News::Entry(5, ready(1, 1)));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(1, 1)));
     let back = Time::from_millis(60_000);
-    engines.on_failure(back);
-    engines.on_all(back, 9, Vec::new());
+    engines.on_store_failure(back);
+    engines.on_snapshot(back, 9, Vec::new());
     assert_eq!(open(&engines), 1);
-    engines.on_tick(back + RETURN - Duration::from_millis(1));
+    engines.on_tick(back + REREGISTRATION_GRACE - Duration::from_millis(1));
     assert_eq!(open(&engines), 1);
-    engines.on_tick(back + RETURN);
+    engines.on_tick(back + REREGISTRATION_GRACE);
     assert_eq!(open(&engines), 0);
 }
 
 #[test]
 fn lapse_and_return() {
     let mut engines = Engines::new();
-    engines.on_news(Time::ZERO, News::Entry(5, ready(1, 1)));
-    engines.on_failure(Time::ZERO);
-    engines.on_all(Time::ZERO, 9, Vec::new());
-    engines.on_news(Time::ZERO, News::Entry(11, ready(2, 11)));
-    engines.on_tick(Time::ZERO + RETURN);
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(1, 1)));
+    engines.on_store_failure(Time::ZERO);
+    engines.on_snapshot(Time::ZERO, 9, Vec::new());
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(11, ready(2, 11)));
+    engines.on_tick(Time::ZERO + REREGISTRATION_GRACE);
     assert_eq!(open(&engines), 1);
-    assert!(!engines.is_waiting());
+    assert!(!engines.has_missing());
 }
 
 /// An engine that left without a word gets work for too long. Order: a call to the store fails, a while later the
@@ -99,9 +99,9 @@
 #[test]
 fn gone_long_after_failure() {
     let mut engines = Engines::new();
-    engines.on_news(Time::ZERO, News::Entry(5, ready(1, 1)));
-    engines.on_failure(Time::ZERO);
-    assert!(engines.on_news(Time::ZERO + DOUBT, gone(6)));
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(1, 1)));
+    engines.on_store_failure(Time::ZERO);
+    assert!(engines.on_update(Time::ZERO + STORE_FAILURE_WINDOW, gone(6)));
     assert_eq!(open(&engines), 0);
 }
 
@@ -110,18 +110,18 @@
 #[test]
 fn key_new_with_birth() {
     let mut engines = Engines::new();
-    engines.on_news(Time::ZERO, News::Entry(5, ready(1, 1)));
-    let before = engines.open()["chat"][0].key;
-    engines.on_news(Time::ZERO, News::Entry(6, ready(2, 1)));
-    assert_eq!(engines.open()["chat"][0].key, before);
-    engines.on_news(Time::ZERO, News::Entry(7, ready(3, 7)));
-    assert_ne!(engines.open()["chat"][0].key, before);
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(1, 1)));
+    let before = engines.available()["chat"][0].key;
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(6, ready(2, 1)));
+    assert_eq!(engines.available()["chat"][0].key, before);
+    engines.on_update(Time::ZERO, EngineUpdate::Entry(7, ready(3, 7)));
+    assert_ne!(engines.available()["chat"][0].key, before);
 }
 
 #[test]
 fn all_drops_absent() {
     let mut engines = Engines::new();
-    engines.on_all(Time::ZERO, 5, vec![(4, ready(1, 1))]);
-    assert!(engines.on_all(Time::ZERO, 9, Vec::new()));
+    engines.on_snapshot(Time::ZERO, 5, vec![(4, ready(1, 1))]);
+    assert!(engines.on_snapshot(Time::ZERO, 9, Vec::new()));
     assert!(engines.is_empty());
 }
--- a/tests/testsuite/relay/instance.rs
+++ b/tests/testsuite/relay/instance.rs
@@ -158,7 +158,7 @@
             },
             spot: false,
             sequence: sequence.parse().map_err(|e| Malformed::new("engine", e))?,
-            born: item.created,
+            create_revision: item.created,
         })
     }
 
--- a/tests/testsuite/relay/mod.rs
+++ b/tests/testsuite/relay/mod.rs
@@ -53,7 +53,7 @@
         stage,
         spot: false,
         sequence: 1,
-        born: 1,
+        create_revision: 1,
     }
 }
 
--- a/tests/testsuite/relay/pace.rs
+++ b/tests/testsuite/relay/pace.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::relay::pace::Load;
-use sequoiastream_core::relay::pace::Pace;
+use sequoiastream_core::relay::prefill_time::Load;
+use sequoiastream_core::relay::prefill_time::PrefillModel;
 use sequoiastream_core::relay::prompt::Prompt;
 
 /// An engine: milliseconds of a reading, of a thousand tokens, of a million pairs.
@@ -39,19 +39,19 @@
     (shared + own, own)
 }
 
-fn learn(pace: &mut Pace, line: Line, readings: u32) {
+fn learn(pace: &mut PrefillModel, line: Line, readings: u32) {
     for turn in 0..readings {
         let (input, own) = size(turn);
-        pace.on_alone(Load::new(&prompt(input), own), takes(line, input, own));
+        pace.on_uncontended(Load::new(&prompt(input), own), takes(line, input, own));
     }
 }
 
 /// By how much the expected time is off, for all sizes, as a part of the true one.
-fn worst(pace: &Pace, line: Line) -> f64 {
+fn worst(pace: &PrefillModel, line: Line) -> f64 {
     let sizes = (0..15).map(size).chain([(17_000, 17_000), (40_000, 20_000)]);
     let errors = sizes.map(|(input, own)| {
         let true_time = takes(line, input, own).as_secs_f64();
-        let expected = pace.fixed() + pace.busy(Load::new(&prompt(input), own));
+        let expected = pace.fixed_latency() + pace.busy_time(Load::new(&prompt(input), own));
         (expected.as_secs_f64() / true_time - 1.0).abs()
     });
     errors.fold(0.0, f64::max)
@@ -63,7 +63,7 @@
 #[test]
 fn pace_of_any_engine() {
     for line in [SLOW, FAST] {
-        let mut pace = Pace::default();
+        let mut pace = PrefillModel::default();
         learn(&mut pace, line, 60);
         let off = worst(&pace, line);
         assert!(off < 0.15, "{line:?}: {off}");
@@ -74,9 +74,9 @@
 /// is let in that could correct it. One reading moves the line by a part of what was expected.
 #[test]
 fn pace_one_wild_reading() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillModel::default();
     learn(&mut pace, SLOW, 30);
-    pace.on_alone(Load::new(&prompt(17_020), 3_720), Duration::from_secs(9));
+    pace.on_uncontended(Load::new(&prompt(17_020), 3_720), Duration::from_secs(9));
     let off = worst(&pace, SLOW);
     assert!(off < 0.5, "{off}");
     learn(&mut pace, SLOW, 60);
@@ -87,14 +87,14 @@
 /// be kept, and counts as a slow engine.
 #[test]
 fn pace_parts_lost_now_and_then() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillModel::default();
     for turn in 0..210 {
         let (input, own) = size(turn);
         let read = if turn % 7 == 0 { input } else { own };
-        pace.on_alone(Load::new(&prompt(input), own), takes(SLOW, input, read));
+        pace.on_uncontended(Load::new(&prompt(input), own), takes(SLOW, input, read));
     }
     let (input, own) = size(0);
-    let expected = pace.fixed() + pace.busy(Load::new(&prompt(input), own));
+    let expected = pace.fixed_latency() + pace.busy_time(Load::new(&prompt(input), own));
     let true_time = takes(SLOW, input, own);
     assert!(
         expected < true_time.mul_f64(1.5) && expected > true_time.mul_f64(0.8),
@@ -104,7 +104,7 @@
 
 #[test]
 fn pace_follows_other_engines() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillModel::default();
     learn(&mut pace, FAST, 300);
     learn(&mut pace, SLOW, 600);
     let off = worst(&pace, SLOW);
@@ -114,11 +114,11 @@
 /// A service that asks for one size only, for hours: the line stays where it is, and nothing grows without end.
 #[test]
 fn pace_one_size_for_hours() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillModel::default();
     for _ in 0..200_000 {
-        pace.on_alone(Load::new(&prompt(9_190), 2_890), takes(SLOW, 9_190, 2_890));
+        pace.on_uncontended(Load::new(&prompt(9_190), 2_890), takes(SLOW, 9_190, 2_890));
     }
-    let expected = pace.fixed() + pace.busy(Load::new(&prompt(9_190), 2_890));
+    let expected = pace.fixed_latency() + pace.busy_time(Load::new(&prompt(9_190), 2_890));
     let true_time = takes(SLOW, 9_190, 2_890).as_secs_f64();
     assert!(
         (expected.as_secs_f64() / true_time - 1.0).abs() < 0.02,
--- a/tests/testsuite/relay/place.rs
+++ b/tests/testsuite/relay/place.rs
@@ -5,28 +5,28 @@
 use std::time::Duration;
 
 use sequoiastream_core::attempt::End;
-use sequoiastream_core::relay::book::Book;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::pace::Load;
-use sequoiastream_core::relay::pace::Pace;
-use sequoiastream_core::relay::place::Chooser;
+use sequoiastream_core::relay::load_tracker::LoadTracker;
+use sequoiastream_core::relay::placement::EngineSelector;
+use sequoiastream_core::relay::prefill_time::Load;
+use sequoiastream_core::relay::prefill_time::PrefillModel;
 use sequoiastream_core::relay::prompt::Part;
 use sequoiastream_core::relay::prompt::Prompt;
 use sequoiastream_core::time::Time;
 
 use super::fleet;
 
-fn chooser<'a>(book: &'a Book, tried: &'a [EngineKey]) -> Chooser<'a> {
-    Chooser {
-        book,
+fn chooser<'a>(book: &'a LoadTracker, tried: &'a [EngineKey]) -> EngineSelector<'a> {
+    EngineSelector {
+        loads: book,
         now: Time::ZERO,
         zone: "a",
         tried,
-        memory: None,
-        turns: 1,
-        draw: 0,
+        memory_tokens: None,
+        report_turns: 1,
+        tie_breaker: 0,
     }
 }
 
@@ -55,8 +55,8 @@
     engines
 }
 
-fn home(book: &Book, engines: &[Engine], session: u64) -> EngineKey {
-    let reading = chooser(book, &[]).reader(engines, Stage::Prefill, &prompt(session));
+fn home(book: &LoadTracker, engines: &[Engine], session: u64) -> EngineKey {
+    let reading = chooser(book, &[]).choose_prefill(engines, Stage::Prefill, &prompt(session));
     reading.expect("an engine").engine.key
 }
 
@@ -69,8 +69,8 @@
     reversed.reverse();
     let mut homes: BTreeMap<EngineKey, u32> = BTreeMap::new();
     for session in 0..700 {
-        let key = home(&Book::new(), &engines, session);
-        assert_eq!(home(&Book::new(), &reversed, session), key);
+        let key = home(&LoadTracker::new(), &engines, session);
+        assert_eq!(home(&LoadTracker::new(), &reversed, session), key);
         *homes.entry(key).or_default() += 1;
     }
     assert_eq!(homes.len(), 7);
@@ -82,17 +82,17 @@
     let engines = fleet(&[Stage::Prefill; 7]);
     let left = &engines[1..];
     for session in 0..300 {
-        let before = home(&Book::new(), &engines, session);
-        let after = home(&Book::new(), left, session);
+        let before = home(&LoadTracker::new(), &engines, session);
+        let after = home(&LoadTracker::new(), left, session);
         assert!(before == after || before == EngineKey(0));
     }
 }
 
 /// Notes that an engine was sent a prompt of a session.
-fn sent(book: &mut Book, engines: &[Engine], key: EngineKey, session: u64) {
+fn sent(book: &mut LoadTracker, engines: &[Engine], key: EngineKey, session: u64) {
     let only: Vec<Engine> = engines.iter().filter(|e| e.key == key).cloned().collect();
-    let reading = chooser(book, &[]).reader(&only, Stage::Prefill, &prompt(session));
-    book.on_sent(Time::ZERO, &reading.expect("an engine"), session);
+    let reading = chooser(book, &[]).choose_prefill(&only, Stage::Prefill, &prompt(session));
+    book.on_prefill_sent(Time::ZERO, &reading.expect("an engine"), session);
 }
 
 /// Calls queue at one engine while others idle. Cause: a session's home is kept whatever the wait there. Where no engine keeps
@@ -101,12 +101,12 @@
 #[test]
 fn reader_leaves_long_queue() {
     let engines = fleet(&[Stage::Prefill; 3]);
-    let pace = Pace::default();
-    let all = pace.busy(Load::new(&prompt(5), 9_000));
-    let own = pace.busy(Load::new(&prompt(5), 3_000));
-    let fetch = Book::new().handover(Time::ZERO, EngineKey(0));
+    let pace = PrefillModel::default();
+    let all = pace.busy_time(Load::new(&prompt(5), 9_000));
+    let own = pace.busy_time(Load::new(&prompt(5), 3_000));
+    let fetch = LoadTracker::new().handover(Time::ZERO, EngineKey(0));
     for (is_kept, worth_waiting) in [(false, (all - own) * 12), (true, fetch * 13)] {
-        let mut book = Book::new();
+        let mut book = LoadTracker::new();
         let key = home(&book, &engines, 5);
         if is_kept {
             sent(&mut book, &engines, key, 5);
@@ -123,7 +123,7 @@
 #[test]
 fn reader_where_parts_are() {
     let engines = fleet(&[Stage::Prefill; 3]);
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     let key = home(&book, &engines, 5);
     let other = engines.iter().map(|e| e.key).find(|k| *k != key).expect("others");
     sent(&mut book, &engines, other, 5);
@@ -139,28 +139,31 @@
 fn reader_counts_time() {
     let engines = fleet(&[Stage::Prefill, Stage::Prefill, Stage::Decode]);
     let before = Duration::from_millis(40);
-    let pace = Pace::default();
+    let pace = PrefillModel::default();
     let [all, own] = [9_000, 3_000].map(|tokens| Load::new(&prompt(5), tokens));
-    let fetch = Book::new().handover(Time::ZERO, EngineKey(0));
+    let fetch = LoadTracker::new().handover(Time::ZERO, EngineKey(0));
     let cases = [
         (None, all, Duration::ZERO, 9_000),
         (Some(EngineKey(0)), own, Duration::ZERO, 3_000),
         (Some(EngineKey(1)), own, fetch, 9_000),
     ];
     for (keeper, load, besides, adds) in cases {
-        let mut book = Book::new();
+        let mut book = LoadTracker::new();
         if let Some(keeper) = keeper {
             sent(&mut book, &engines, keeper, 5);
         }
         book.begin(Time::ZERO, EngineKey(0), before);
         book.begin(Time::ZERO, EngineKey(1), Duration::from_secs(9));
-        let reading = chooser(&book, &[]).reader(&engines, Stage::Prefill, &prompt(5));
+        let reading = chooser(&book, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(5));
         let reading = reading.expect("an engine");
         assert_eq!(reading.engine.key, EngineKey(0), "{keeper:?}");
-        assert_eq!((reading.load, reading.adds), (load, adds), "{keeper:?}");
-        assert_eq!((reading.busy, reading.before), (pace.busy(load), before));
-        let takes = pace.fixed() + before + pace.busy(load) + besides;
-        assert_eq!(reading.takes, takes, "{keeper:?}");
+        assert_eq!((reading.work, reading.new_tokens), (load, adds), "{keeper:?}");
+        assert_eq!(
+            (reading.busy_time, reading.queue_time),
+            (pace.busy_time(load), before)
+        );
+        let takes = pace.fixed_latency() + before + pace.busy_time(load) + besides;
+        assert_eq!(reading.total_time, takes, "{keeper:?}");
     }
 }
 
@@ -169,13 +172,13 @@
 #[test]
 fn reader_fetches_from_home() {
     let engines = addressed(&[Stage::Prefill; 5]);
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     let key = home(&book, &engines, 5);
     book.begin(Time::ZERO, key, Duration::from_secs(9));
-    let reading = chooser(&book, &[]).reader(&engines, Stage::Prefill, &prompt(5));
+    let reading = chooser(&book, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(5));
     let reading = reading.expect("an engine");
     assert_ne!(reading.engine.key, key);
-    assert_eq!(reading.fetch, Some(address(key.0)));
+    assert_eq!(reading.fetch_from, Some(address(key.0)));
 }
 
 /// Parts are read again by their new home. Order: an engine is added and is the home of some parts from now on. The one that
@@ -183,14 +186,14 @@
 #[test]
 fn reader_fetches_from_last_home() {
     let engines = addressed(&[Stage::Prefill; 5]);
-    let book = Book::new();
+    let book = LoadTracker::new();
     let mut moved = 0;
     for session in 0..300 {
         let before = home(&book, &engines[..4], session);
-        let reading = chooser(&book, &[]).reader(&engines, Stage::Prefill, &prompt(session));
+        let reading = chooser(&book, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(session));
         let reading = reading.expect("an engine");
         if reading.engine.key != before {
-            assert_eq!(reading.fetch, Some(address(before.0)));
+            assert_eq!(reading.fetch_from, Some(address(before.0)));
             moved += 1;
         }
     }
@@ -200,10 +203,10 @@
 #[test]
 fn reader_fetches_nothing() {
     let engines = addressed(&[Stage::Prefill; 2]);
-    let book = Book::new();
+    let book = LoadTracker::new();
     let fetch = |engines: &[Engine], prompt: &Prompt| {
-        let reading = chooser(&book, &[]).reader(engines, Stage::Prefill, prompt);
-        reading.expect("an engine").fetch
+        let reading = chooser(&book, &[]).choose_prefill(engines, Stage::Prefill, prompt);
+        reading.expect("an engine").fetch_from
     };
     assert_eq!(fetch(&engines[..1], &prompt(5)), None, "nobody else");
     let mut own = prompt(5);
@@ -214,26 +217,26 @@
 #[test]
 fn generator_of_its_stage() {
     let engines = fleet(&[Stage::Prefill, Stage::Decode, Stage::Whole]);
-    let book = Book::new();
+    let book = LoadTracker::new();
     let chooser = chooser(&book, &[]);
-    let picked = [Stage::Decode, Stage::Whole].map(|s| chooser.generator(&engines, s).map(|e| e.key));
+    let picked = [Stage::Decode, Stage::Whole].map(|s| chooser.choose_decode(&engines, s).map(|e| e.key));
     assert_eq!(picked, [Some(EngineKey(1)), Some(EngineKey(2))]);
-    assert_eq!(chooser.generator(&engines[..1], Stage::Decode), None);
+    assert_eq!(chooser.choose_decode(&engines[..1], Stage::Decode), None);
 }
 
 #[test]
 fn plain_untried_and_sound() {
     let engines = fleet(&[Stage::Whole; 3]);
-    let mut book = Book::new();
-    book.judge(Time::ZERO, EngineKey(0), End::Broken);
+    let mut book = LoadTracker::new();
+    book.on_attempt_end(Time::ZERO, EngineKey(0), End::Broken);
     let tried = [EngineKey(1)];
-    let picked = chooser(&book, &tried).plain(&engines).map(|e| e.key);
+    let picked = chooser(&book, &tried).least_loaded(&engines).map(|e| e.key);
     assert_eq!(picked, Some(EngineKey(2)));
     let tried = [EngineKey(1), EngineKey(2)];
-    let picked = chooser(&book, &tried).plain(&engines).map(|e| e.key);
+    let picked = chooser(&book, &tried).least_loaded(&engines).map(|e| e.key);
     assert_eq!(picked, Some(EngineKey(0)), "an unsound one is better than none");
     let tried = [EngineKey(0), EngineKey(1), EngineKey(2)];
-    assert_eq!(chooser(&book, &tried).plain(&engines), None);
+    assert_eq!(chooser(&book, &tried).least_loaded(&engines), None);
 }
 
 /// An engine fails half of its requests while its status check is good. Order: it is never avoided, since every other
@@ -241,14 +244,14 @@
 #[test]
 fn plain_avoids_failing() {
     let engines = fleet(&[Stage::Whole; 2]);
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     for _ in 0..20 {
-        book.judge(Time::ZERO, EngineKey(0), End::Failed);
-        book.judge(Time::ZERO, EngineKey(0), End::Answered);
-        book.judge(Time::ZERO, EngineKey(1), End::Answered);
+        book.on_attempt_end(Time::ZERO, EngineKey(0), End::Failed);
+        book.on_attempt_end(Time::ZERO, EngineKey(0), End::Answered);
+        book.on_attempt_end(Time::ZERO, EngineKey(1), End::Answered);
     }
     book.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
-    let picked = chooser(&book, &[]).plain(&engines).map(|e| e.key);
+    let picked = chooser(&book, &[]).least_loaded(&engines).map(|e| e.key);
     assert_eq!(picked, Some(EngineKey(1)));
 }
 
@@ -257,32 +260,32 @@
 #[test]
 fn plain_forgives_failing() {
     let engines = fleet(&[Stage::Whole; 2]);
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     for _ in 0..40 {
-        book.judge(Time::ZERO, EngineKey(0), End::Failed);
-        book.judge(Time::ZERO, EngineKey(1), End::Answered);
+        book.on_attempt_end(Time::ZERO, EngineKey(0), End::Failed);
+        book.on_attempt_end(Time::ZERO, EngineKey(1), End::Answered);
     }
     book.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
     let mut chooser = chooser(&book, &[]);
-    assert_eq!(chooser.plain(&engines).map(|e| e.key), Some(EngineKey(1)));
+    assert_eq!(chooser.least_loaded(&engines).map(|e| e.key), Some(EngineKey(1)));
     chooser.now = Time::from_millis(6_000);
-    assert_eq!(chooser.plain(&engines).map(|e| e.key), Some(EngineKey(0)));
+    assert_eq!(chooser.least_loaded(&engines).map(|e| e.key), Some(EngineKey(0)));
 }
 
 #[test]
 fn plain_near_before_far() {
     let mut engines = fleet(&[Stage::Whole; 2]);
     engines[0].entry.zone = "b".to_string();
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     assert_eq!(
-        chooser(&book, &[]).plain(&engines).map(|e| e.key),
+        chooser(&book, &[]).least_loaded(&engines).map(|e| e.key),
         Some(EngineKey(1))
     );
     for _ in 0..3 {
         book.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
     }
     assert_eq!(
-        chooser(&book, &[]).plain(&engines).map(|e| e.key),
+        chooser(&book, &[]).least_loaded(&engines).map(|e| e.key),
         Some(EngineKey(0))
     );
 }
@@ -290,7 +293,7 @@
 #[test]
 fn full_by_part() {
     let engines = fleet(&[Stage::Decode]);
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     for _ in 0..12 {
         book.begin(Time::ZERO, EngineKey(0), Duration::ZERO);
     }
@@ -304,15 +307,15 @@
 #[test]
 fn generator_under_old_news() {
     let engines = fleet(&[Stage::Decode; 20]);
-    let mut book = Book::new();
+    let mut book = LoadTracker::new();
     book.begin(Time::ZERO, engines[19].key, Duration::ZERO);
     let chosen = |turns: usize, draw: u64| {
-        let chooser = Chooser {
-            turns,
-            draw: draw.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        let chooser = EngineSelector {
+            report_turns: turns,
+            tie_breaker: draw.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             ..chooser(&book, &[])
         };
-        chooser.generator(&engines, Stage::Decode).expect("one").key
+        chooser.choose_decode(&engines, Stage::Decode).expect("one").key
     };
     let mut counts: BTreeMap<EngineKey, u32> = BTreeMap::new();
     for draw in 0..1_000 {
--- a/tests/testsuite/relay/seeded.rs
+++ b/tests/testsuite/relay/seeded.rs
@@ -12,12 +12,12 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use sequoiastream_core::relay::engines::DOUBT;
 use sequoiastream_core::relay::engines::EngineKey;
+use sequoiastream_core::relay::engines::EngineUpdate;
 use sequoiastream_core::relay::engines::Engines;
 use sequoiastream_core::relay::engines::Entry;
-use sequoiastream_core::relay::engines::News;
-use sequoiastream_core::relay::engines::RETURN;
+use sequoiastream_core::relay::engines::REREGISTRATION_GRACE;
+use sequoiastream_core::relay::engines::STORE_FAILURE_WINDOW;
 use sequoiastream_core::relay::engines::Stage;
 use sequoiastream_core::relay::suspects::CRASHES;
 use sequoiastream_core::relay::suspects::Note;
@@ -64,27 +64,33 @@
 struct Store {
     revision: u64,
     items: Truth,
-    log: Vec<(u64, News)>,
+    log: Vec<(u64, EngineUpdate)>,
 }
 
 impl Store {
     fn put(&mut self, mut entry: Entry) {
         self.revision += 1;
-        entry.born = self.items.get(&entry.id).map_or(self.revision, |(_, e)| e.born);
+        entry.create_revision = self
+            .items
+            .get(&entry.id)
+            .map_or(self.revision, |(_, e)| e.create_revision);
         self.items
             .insert(entry.id.clone(), (self.revision, entry.clone()));
-        self.log.push((self.revision, News::Entry(self.revision, entry)));
+        self.log
+            .push((self.revision, EngineUpdate::Entry(self.revision, entry)));
     }
 
     fn remove(&mut self, id: &str) {
         if self.items.remove(id).is_some() {
             self.revision += 1;
-            self.log
-                .push((self.revision, News::Gone(self.revision, id.to_string())));
+            self.log.push((
+                self.revision,
+                EngineUpdate::Removed(self.revision, id.to_string()),
+            ));
         }
     }
 
-    fn since(&self, revision: u64) -> Vec<News> {
+    fn since(&self, revision: u64) -> Vec<EngineUpdate> {
         let later = self.log.iter().filter(|(at, _)| *at > revision);
         later.map(|(_, news)| news.clone()).collect()
     }
@@ -139,38 +145,38 @@
 }
 
 impl Instance {
-    fn note(&mut self, now: Time, news: &News) {
-        let (News::Entry(at, Entry { id, .. }) | News::Gone(at, id)) = news;
+    fn note(&mut self, now: Time, news: &EngineUpdate) {
+        let (EngineUpdate::Entry(at, Entry { id, .. }) | EngineUpdate::Removed(at, id)) = news;
         let seen = self.seen.entry(id.clone()).or_default();
         if *at <= *seen {
             return;
         }
         *seen = *at;
         match news {
-            News::Entry(_, entry) if entry.leaving => {
+            EngineUpdate::Entry(_, entry) if entry.leaving => {
                 let left = self.left.entry(entry.id.clone()).or_default();
                 *left = entry.sequence.max(*left);
             }
-            News::Entry(..) => {}
-            News::Gone(_, id) => {
+            EngineUpdate::Entry(..) => {}
+            EngineUpdate::Removed(_, id) => {
                 let last = self.items.get(id).map_or(0, |(_, e)| e.sequence);
                 self.gone.insert(id.clone(), (now, last));
             }
         }
         match news {
-            News::Entry(at, entry) => {
+            EngineUpdate::Entry(at, entry) => {
                 self.items.insert(entry.id.clone(), (*at, entry.clone()));
             }
-            News::Gone(_, id) => {
+            EngineUpdate::Removed(_, id) => {
                 self.items.remove(id);
             }
         }
     }
 
-    fn on_watch(&mut self, now: Time, revision: u64, news: Vec<News>) {
+    fn on_watch(&mut self, now: Time, revision: u64, news: Vec<EngineUpdate>) {
         for news in news {
             self.note(now, &news);
-            self.engines.on_news(now, news);
+            self.engines.on_update(now, news);
         }
         self.known = revision;
     }
@@ -178,18 +184,22 @@
     fn on_all(&mut self, now: Time, revision: u64, entries: Vec<(u64, Entry)>) {
         let named: BTreeSet<&String> = entries.iter().map(|(_, e)| &e.id).collect();
         let absent = self.items.keys().filter(|id| !named.contains(id));
-        let gone: Vec<News> = absent.map(|id| News::Gone(revision, id.clone())).collect();
-        let put = entries.iter().map(|(at, entry)| News::Entry(*at, entry.clone()));
+        let gone: Vec<EngineUpdate> = absent
+            .map(|id| EngineUpdate::Removed(revision, id.clone()))
+            .collect();
+        let put = entries
+            .iter()
+            .map(|(at, entry)| EngineUpdate::Entry(*at, entry.clone()));
         for news in gone.into_iter().chain(put) {
             self.note(now, &news);
         }
-        self.engines.on_all(now, revision, entries);
+        self.engines.on_snapshot(now, revision, entries);
         self.known = revision;
         self.started = true;
     }
 
     fn open(&self) -> BTreeMap<String, (EngineKey, Entry)> {
-        let services = self.engines.open();
+        let services = self.engines.available();
         let engines = services.into_values().flatten();
         engines.map(|e| (e.entry.id.clone(), (e.key, e.entry))).collect()
     }
@@ -202,14 +212,17 @@
                 "{id} has left with word {left}, and gets work by {entry:?}"
             );
             if let Some((at, last)) = self.gone.get(&id) {
-                let kept = now.since(*at) <= RETURN + STEP;
+                let kept = now.since(*at) <= REREGISTRATION_GRACE + STEP;
                 assert!(
                     kept || entry.sequence > *last,
                     "{id} is gone since {at}, and gets work at {now}"
                 );
             }
-            let life = self.keys.entry(key).or_insert((id.clone(), entry.born));
-            assert_eq!(*life, (id, entry.born), "a key of two engines");
+            let life = self
+                .keys
+                .entry(key)
+                .or_insert((id.clone(), entry.create_revision));
+            assert_eq!(*life, (id, entry.create_revision), "a key of two engines");
         }
     }
 }
@@ -348,7 +361,7 @@
             instance.cut = instance.cut.saturating_sub(1);
             let away = faulty && (self.out > 0 || instance.cut > 0 || self.random.random_bool(0.02));
             if away {
-                instance.engines.on_failure(now);
+                instance.engines.on_store_failure(now);
                 self.ask_peer(index, now);
             } else if !self.instances[index].started || self.random.random_bool(0.05) {
                 let (revision, all) = (self.store.revision, self.store.all());
@@ -383,7 +396,10 @@
 /// any of what the module's words name, mixed by the seed.
 #[test]
 fn engines_as_the_store_says() {
-    assert!(DOUBT < RETURN, "the quiet time at the end covers both");
+    assert!(
+        STORE_FAILURE_WINDOW < REREGISTRATION_GRACE,
+        "the quiet time at the end covers both"
+    );
     for seed in seeds_or(SEEDS).chain(SHOWED) {
         let _failing = Failing(seed);
         World::new(seed).run();
--- a/tests/testsuite/relay/stages.rs
+++ b/tests/testsuite/relay/stages.rs
@@ -4,8 +4,8 @@
 
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::Stage;
-use sequoiastream_core::relay::stages::limit_readers;
-use sequoiastream_core::relay::stages::plan;
+use sequoiastream_core::relay::stages::limit_prefill_fraction;
+use sequoiastream_core::relay::stages::plan_orders;
 
 use super::fleet;
 
@@ -23,7 +23,7 @@
 /// Stages after the orders were carried out.
 fn ordered(engines: &[Engine], before: &BTreeMap<String, Stage>, readers: f64) -> BTreeMap<String, Stage> {
     let mut after = before.clone();
-    for order in plan(engines, before, readers) {
+    for order in plan_orders(engines, before, readers) {
         let second = after.insert(order.engine, order.stage);
         assert_eq!(second, None, "an engine gets one order in its life");
     }
@@ -41,7 +41,7 @@
     ];
     for ((readers, generators), part, orders) in cases {
         let engines = split(readers, generators);
-        let planned = plan(&engines, &BTreeMap::new(), part);
+        let planned = plan_orders(&engines, &BTreeMap::new(), part);
         assert_eq!(planned.len(), orders, "{readers}:{generators}");
     }
 }
@@ -59,18 +59,18 @@
     ];
     for ((readers, generators), capacity, expected) in cases {
         let engines = split(readers, generators);
-        let limited = limit_readers(&engines, &BTreeMap::new(), 0.65, capacity);
+        let limited = limit_prefill_fraction(&engines, &BTreeMap::new(), 0.65, capacity);
         assert_eq!(limited, expected, "{readers}:{generators} at {capacity}");
     }
     let engines = split(36, 54);
-    let readers = limit_readers(&engines, &BTreeMap::new(), 0.65, 1_000);
-    assert_eq!(plan(&engines, &BTreeMap::new(), readers), Vec::new());
+    let readers = limit_prefill_fraction(&engines, &BTreeMap::new(), 0.65, 1_000);
+    assert_eq!(plan_orders(&engines, &BTreeMap::new(), readers), Vec::new());
 }
 
 #[test]
 fn plan_small_services() {
     for engines in [split(0, 1), split(0, 2), split(0, 0), fleet(&[Stage::Whole; 6])] {
-        assert_eq!(plan(&engines, &BTreeMap::new(), 0.55), Vec::new());
+        assert_eq!(plan_orders(&engines, &BTreeMap::new(), 0.55), Vec::new());
     }
 }
 
@@ -90,7 +90,7 @@
 fn plan_counts_orders_on_their_way() {
     let engines = split(3, 6);
     let given = ordered(&engines, &BTreeMap::new(), 0.55);
-    assert_eq!(plan(&engines, &given, 0.55), Vec::new());
+    assert_eq!(plan_orders(&engines, &given, 0.55), Vec::new());
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let mut left = engines.clone();
     left.remove(0);
     assert_eq!(
-        plan(&left, &given, 0.55),
+        plan_orders(&left, &given, 0.55),
         Vec::new(),
         "one lost engine is not worth an order"
     );
@@ -109,7 +109,7 @@
 #[test]
 fn plan_spreads_over_zones() {
     let engines = split(0, 9);
-    let zones: Vec<String> = plan(&engines, &BTreeMap::new(), 0.34)
+    let zones: Vec<String> = plan_orders(&engines, &BTreeMap::new(), 0.34)
         .iter()
         .filter_map(|order| engines.iter().find(|e| e.entry.id == order.engine))
         .map(|e| e.entry.zone.clone())
--- a/tests/testsuite/relay/told.rs
+++ b/tests/testsuite/relay/told.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use bolero::TypeGenerator;
-use sequoiastream_core::relay::book::Work;
 use sequoiastream_core::relay::engines::EngineKey;
-use sequoiastream_core::relay::told::Told;
+use sequoiastream_core::relay::load_tracker::Work;
+use sequoiastream_core::relay::peer_work::PeerWork;
 use sequoiastream_core::time::Time;
 
 /// How long a report counts.
@@ -28,7 +28,7 @@
         let engines = self.work.iter().map(|(engine, requests, reading)| {
             let work = Work {
                 requests: u32::from(*requests),
-                reading: Duration::from_micros(u64::from(*reading)),
+                prefill: Duration::from_micros(u64::from(*reading)),
             };
             (EngineKey(u32::from(*engine) % ENGINES), work)
         });
@@ -41,13 +41,13 @@
 #[test]
 fn sum_as_reports_say() {
     bolero::check!().with_type::<Vec<Message>>().for_each(|messages| {
-        let mut told = Told::default();
+        let mut told = PeerWork::default();
         let mut reports: BTreeMap<u8, (Time, BTreeMap<EngineKey, Work>)> = BTreeMap::new();
         let mut now = Time::from_millis(5_000);
         for message in messages {
             now = now + Duration::from_millis(u64::from(message.pause) * 5);
             let peer = message.peer % 5;
-            told.on_peer(now, &peer.to_string(), message.work());
+            told.on_peer_report(now, &peer.to_string(), message.work());
             reports.insert(peer, (now, message.work()));
             for later in [0, 300, 1_000, 1_001] {
                 let then = now + Duration::from_millis(later);
