--- a/crates/core/benches/relay.rs
+++ b/crates/core/benches/relay.rs
@@ -19,7 +19,7 @@
 use sequoiastream_core::relay::load_tracker::Work;
 use sequoiastream_core::relay::placement::EngineSelector;
 use sequoiastream_core::relay::placement::PrefillPlan;
-use sequoiastream_core::relay::prefill_time::Load;
+use sequoiastream_core::relay::prefill_time::PrefillWork;
 use sequoiastream_core::relay::prompt::Part;
 use sequoiastream_core::relay::prompt::Prompt;
 use sequoiastream_core::relay::routes::Kind;
@@ -84,7 +84,7 @@
         let prompt = prompt();
         let reading = PrefillPlan {
             engine: engine(index),
-            work: Load::new(&prompt, prompt.input),
+            work: PrefillWork::new(&prompt, prompt.input),
             busy_time: Duration::from_millis(22),
             new_tokens: prompt.input,
             queue_time: Duration::ZERO,
--- a/crates/core/src/relay/placement.rs
+++ b/crates/core/src/relay/placement.rs
@@ -13,7 +13,7 @@
 use crate::relay::engines::Stage;
 use crate::relay::hash::hash_pair;
 use crate::relay::load_tracker::LoadTracker;
-use crate::relay::prefill_time::Load;
+use crate::relay::prefill_time::PrefillWork;
 use crate::relay::prompt::Prompt;
 use crate::time::Time;
 
@@ -41,7 +41,7 @@
     /// The engine.
     pub engine: Engine,
     /// What it has to read for it.
-    pub work: Load,
+    pub work: PrefillWork,
     /// Tokens that it has to put into its memory for it.
     pub new_tokens: u32,
     /// How long that keeps it from others.
@@ -61,19 +61,19 @@
 
 /// Where an engine has the shared parts of a prompt from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Parts {
+enum PartSource {
     /// It keeps them.
-    Kept,
+    Cached,
     /// Another engine keeps them.
     Fetched,
     /// They have to be read.
-    Read,
+    Prefilled,
 }
 
 /// What it would come to if an engine read a prompt.
 struct Estimate<'e> {
     engine: &'e Engine,
-    parts: Parts,
+    source: PartSource,
     queue_time: Duration,
     total_time: Duration,
     /// What it takes, and what the reading costs all others.
@@ -85,13 +85,13 @@
 struct PrefillCosts {
     fixed_latency: Duration,
     /// The request's own part.
-    own: Duration,
+    own_time: Duration,
     /// All of it.
-    all: Duration,
+    full_time: Duration,
     /// The engine where requests with these parts meet.
     home: Option<EngineKey>,
     /// How long fetching the parts takes, if an engine keeps them.
-    fetch: Option<Duration>,
+    fetch_time: Option<Duration>,
 }
 
 /// What a choice is made by.
@@ -121,7 +121,7 @@
 
     /// The engine that reads a prompt, of those at `stage`, and when it will have read it.
     pub fn choose_prefill(&self, engines: &[Engine], stage: Stage, prompt: &Prompt) -> Option<PrefillPlan> {
-        let open = self.open(at_stage(engines, stage));
+        let open = self.candidates(at_stage(engines, stage));
         let shared = prompt.shared();
         let homes = shared.map_or([None, None], |part| home_engines(&open, part.id));
         let keeps = |e: &Engine| {
@@ -137,29 +137,29 @@
             .chain(open.iter().copied())
             .find(|e| keeps(e));
         let pace = self.loads.prefill_model(&open.first()?.entry.service);
-        let loads = [prompt.input, prompt.own_tokens()].map(|tokens| Load::new(prompt, tokens));
+        let loads = [prompt.input, prompt.own_tokens()].map(|tokens| PrefillWork::new(prompt, tokens));
         let need = PrefillCosts {
             fixed_latency: pace.fixed_latency(),
-            own: pace.busy_time(loads[1]),
-            all: pace.busy_time(loads[0]),
+            own_time: pace.busy_time(loads[1]),
+            full_time: pace.busy_time(loads[0]),
             home: homes[0].map(|e| e.key),
-            fetch: keeper.map(|e| self.loads.handover(self.now, e.key)),
+            fetch_time: keeper.map(|e| self.loads.handover(self.now, e.key)),
         };
         let estimates = open.iter().map(|e| self.estimate(e, keeps(e), need));
         let best = estimates.min_by_key(|e| (e.cost, e.engine.key))?;
         // Where nobody is known to keep the parts, the home may all the same: asking it costs nothing.
         let mut sources = keeper.into_iter().chain(homes.into_iter().flatten());
-        let source = sources.find(|e| e.key != best.engine.key && best.parts != Parts::Kept);
-        let reads = usize::from(best.parts != Parts::Read);
+        let source = sources.find(|e| e.key != best.engine.key && best.source != PartSource::Cached);
+        let reads = usize::from(best.source != PartSource::Prefilled);
         Some(PrefillPlan {
             engine: best.engine.clone(),
             work: loads[reads],
-            new_tokens: if best.parts == Parts::Kept {
+            new_tokens: if best.source == PartSource::Cached {
                 prompt.own_tokens()
             } else {
                 prompt.input
             },
-            busy_time: [need.all, need.own][reads],
+            busy_time: [need.full_time, need.own_time][reads],
             queue_time: best.queue_time,
             total_time: best.total_time,
             fetch_from: source.map(|e| e.entry.address),
@@ -169,17 +169,17 @@
     fn estimate<'e>(&self, engine: &'e Engine, keeps: bool, need: PrefillCosts) -> Estimate<'e> {
         let slowness = self.loads.slowness(self.now, engine.key);
         let before = self.loads.work(self.now, engine.key).prefill;
-        let anew = need.all.saturating_sub(need.own);
+        let anew = need.full_time.saturating_sub(need.own_time);
         // What is read or fetched anew costs this request its time, and all behind it the engine's, or its memory. What
         // no engine keeps costs the same everywhere, but at home others find it without being told.
-        let (parts, besides, weight) = match (keeps, need.fetch) {
-            (true, _) => (Parts::Kept, Duration::ZERO, 0.0),
-            (false, Some(fetch)) if fetch < anew => (Parts::Fetched, fetch, CACHE_MISS_WEIGHT),
-            (false, Some(_)) => (Parts::Read, anew, CACHE_MISS_WEIGHT),
-            (false, None) if need.home == Some(engine.key) => (Parts::Read, anew, 0.0),
-            (false, None) => (Parts::Read, anew, OFF_HOME_WEIGHT),
+        let (parts, besides, weight) = match (keeps, need.fetch_time) {
+            (true, _) => (PartSource::Cached, Duration::ZERO, 0.0),
+            (false, Some(fetch)) if fetch < anew => (PartSource::Fetched, fetch, CACHE_MISS_WEIGHT),
+            (false, Some(_)) => (PartSource::Prefilled, anew, CACHE_MISS_WEIGHT),
+            (false, None) if need.home == Some(engine.key) => (PartSource::Prefilled, anew, 0.0),
+            (false, None) => (PartSource::Prefilled, anew, OFF_HOME_WEIGHT),
         };
-        let plain = need.fixed_latency + before + need.own + besides;
+        let plain = need.fixed_latency + before + need.own_time + besides;
         let cost = match weight > 0.0 {
             true => plain + besides.mul_f64(weight),
             false => plain,
@@ -191,7 +191,7 @@
         };
         Estimate {
             engine,
-            parts,
+            source: parts,
             queue_time: before,
             total_time: takes,
             cost,
@@ -216,7 +216,7 @@
             0 | 1 => 0,
             _ => hash_pair(e.hash, self.tie_breaker),
         };
-        let open = self.open(engines);
+        let open = self.candidates(engines);
         open.into_iter()
             .min_by_key(|e| (self.wait_time(e), drawn(e), e.key))
     }
@@ -228,7 +228,7 @@
     }
 
     /// Healthy engines that were not tried yet; else those that were not tried; else none.
-    fn open<'e, I>(&self, engines: I) -> Vec<&'e Engine>
+    fn candidates<'e, I>(&self, engines: I) -> Vec<&'e Engine>
     where
         I: Iterator<Item = &'e Engine>,
     {
--- a/crates/core/src/relay/prefill_time.rs
+++ b/crates/core/src/relay/prefill_time.rs
@@ -17,7 +17,7 @@
 const PRIOR_MEAN: [f64; COEFFICIENTS] = [15.0, 2.5, 0.05];
 
 /// Doubt about each of these, squared: known engines differ by about so much.
-const DOUBT: [f64; COEFFICIENTS] = [400.0, 25.0, 0.09];
+const PRIOR_VARIANCE: [f64; COEFFICIENTS] = [400.0, 25.0, 0.09];
 
 /// Spread of a reading's time around the line in milliseconds, squared: two calls between availability zones, and
 /// steps of the engine that had begun.
@@ -35,17 +35,17 @@
 
 /// What an engine reads for one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Load {
+pub struct PrefillWork {
     tokens: f64,
     pairs: f64,
 }
 
-impl Load {
+impl PrefillWork {
     /// The last `tokens` of a prompt; those before are kept.
-    pub fn new(prompt: &Prompt, tokens: u32) -> Load {
+    pub fn new(prompt: &Prompt, tokens: u32) -> PrefillWork {
         let input = f64::from(prompt.input);
         let tokens = f64::from(tokens);
-        Load {
+        PrefillWork {
             tokens,
             pairs: tokens * (input - tokens).max(0.0) + tokens * tokens / 2.0,
         }
@@ -78,7 +78,7 @@
 
 impl PrefillModel {
     /// Time for which a reading keeps an engine from others.
-    pub fn busy_time(&self, load: Load) -> Duration {
+    pub fn busy_time(&self, load: PrefillWork) -> Duration {
         let [_, tokens, pairs] = load.features();
         let [_, token, pair] = self.coefficients;
         millis(token * tokens + pair * pairs)
@@ -90,7 +90,7 @@
     }
 
     /// Takes a reading that had an engine for itself.
-    pub fn on_uncontended(&mut self, load: Load, took: Duration) {
+    pub fn on_uncontended(&mut self, load: PrefillWork, took: Duration) {
         let row = load.features();
         let expected = dot(&self.coefficients, &row);
         let most = (expected * RESIDUAL_LIMIT).max(MIN_RESIDUAL_LIMIT);
@@ -111,7 +111,7 @@
     /// the line runs away. The prior's weight doesn't fade, so that the matrix can always be solved.
     fn fit(&self) -> [f64; COEFFICIENTS] {
         let mut rows: [[f64; COEFFICIENTS + 1]; COEFFICIENTS] = std::array::from_fn(|i| {
-            let weight = NOISE_VARIANCE / DOUBT[i];
+            let weight = NOISE_VARIANCE / PRIOR_VARIANCE[i];
             std::array::from_fn(|j| match j {
                 COEFFICIENTS => self.times[i] + weight * PRIOR_MEAN[i],
                 j if j == i => self.products[i][j] + weight,
--- a/src/ops/relay/pick.rs
+++ b/src/ops/relay/pick.rs
@@ -10,7 +10,7 @@
 use sequoiastream_core::relay::load_tracker::JobId;
 use sequoiastream_core::relay::placement::EngineSelector;
 use sequoiastream_core::relay::placement::PrefillPlan;
-use sequoiastream_core::relay::prefill_time::Load;
+use sequoiastream_core::relay::prefill_time::PrefillWork;
 use sequoiastream_core::relay::prompt::Prompt;
 
 use crate::ops::relay::forward::Forward;
@@ -91,7 +91,7 @@
             let unread = match (&self.kept, &self.ask.prompt) {
                 (None, Some(prompt)) => {
                     let pace = chooser.loads.prefill_model(&engine.entry.service);
-                    pace.busy_time(Load::new(prompt, prompt.input)) * DECODE_READING
+                    pace.busy_time(PrefillWork::new(prompt, prompt.input)) * DECODE_READING
                 }
                 _ => Duration::ZERO,
             };
--- a/tests/testsuite/relay/pace.rs
+++ b/tests/testsuite/relay/pace.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use sequoiastream_core::relay::prefill_time::Load;
 use sequoiastream_core::relay::prefill_time::PrefillModel;
+use sequoiastream_core::relay::prefill_time::PrefillWork;
 use sequoiastream_core::relay::prompt::Prompt;
 
 /// An engine: milliseconds of a reading, of a thousand tokens, of a million pairs.
@@ -42,7 +42,7 @@
 fn learn(pace: &mut PrefillModel, line: Line, readings: u32) {
     for turn in 0..readings {
         let (input, own) = size(turn);
-        pace.on_uncontended(Load::new(&prompt(input), own), takes(line, input, own));
+        pace.on_uncontended(PrefillWork::new(&prompt(input), own), takes(line, input, own));
     }
 }
 
@@ -51,7 +51,7 @@
     let sizes = (0..15).map(size).chain([(17_000, 17_000), (40_000, 20_000)]);
     let errors = sizes.map(|(input, own)| {
         let true_time = takes(line, input, own).as_secs_f64();
-        let expected = pace.fixed_latency() + pace.busy_time(Load::new(&prompt(input), own));
+        let expected = pace.fixed_latency() + pace.busy_time(PrefillWork::new(&prompt(input), own));
         (expected.as_secs_f64() / true_time - 1.0).abs()
     });
     errors.fold(0.0, f64::max)
@@ -76,7 +76,7 @@
 fn pace_one_wild_reading() {
     let mut pace = PrefillModel::default();
     learn(&mut pace, SLOW, 30);
-    pace.on_uncontended(Load::new(&prompt(17_020), 3_720), Duration::from_secs(9));
+    pace.on_uncontended(PrefillWork::new(&prompt(17_020), 3_720), Duration::from_secs(9));
     let off = worst(&pace, SLOW);
     assert!(off < 0.5, "{off}");
     learn(&mut pace, SLOW, 60);
@@ -91,10 +91,10 @@
     for turn in 0..210 {
         let (input, own) = size(turn);
         let read = if turn % 7 == 0 { input } else { own };
-        pace.on_uncontended(Load::new(&prompt(input), own), takes(SLOW, input, read));
+        pace.on_uncontended(PrefillWork::new(&prompt(input), own), takes(SLOW, input, read));
     }
     let (input, own) = size(0);
-    let expected = pace.fixed_latency() + pace.busy_time(Load::new(&prompt(input), own));
+    let expected = pace.fixed_latency() + pace.busy_time(PrefillWork::new(&prompt(input), own));
     let true_time = takes(SLOW, input, own);
     assert!(
         expected < true_time.mul_f64(1.5) && expected > true_time.mul_f64(0.8),
@@ -116,9 +116,9 @@
 fn pace_one_size_for_hours() {
     let mut pace = PrefillModel::default();
     for _ in 0..200_000 {
-        pace.on_uncontended(Load::new(&prompt(9_190), 2_890), takes(SLOW, 9_190, 2_890));
+        pace.on_uncontended(PrefillWork::new(&prompt(9_190), 2_890), takes(SLOW, 9_190, 2_890));
     }
-    let expected = pace.fixed_latency() + pace.busy_time(Load::new(&prompt(9_190), 2_890));
+    let expected = pace.fixed_latency() + pace.busy_time(PrefillWork::new(&prompt(9_190), 2_890));
     let true_time = takes(SLOW, 9_190, 2_890).as_secs_f64();
     assert!(
         (expected.as_secs_f64() / true_time - 1.0).abs() < 0.02,
--- a/tests/testsuite/relay/place.rs
+++ b/tests/testsuite/relay/place.rs
@@ -10,8 +10,8 @@
 use sequoiastream_core::relay::engines::Stage;
 use sequoiastream_core::relay::load_tracker::LoadTracker;
 use sequoiastream_core::relay::placement::EngineSelector;
-use sequoiastream_core::relay::prefill_time::Load;
 use sequoiastream_core::relay::prefill_time::PrefillModel;
+use sequoiastream_core::relay::prefill_time::PrefillWork;
 use sequoiastream_core::relay::prompt::Part;
 use sequoiastream_core::relay::prompt::Prompt;
 use sequoiastream_core::time::Time;
@@ -102,8 +102,8 @@
 fn reader_leaves_long_queue() {
     let engines = fleet(&[Stage::Prefill; 3]);
     let pace = PrefillModel::default();
-    let all = pace.busy_time(Load::new(&prompt(5), 9_000));
-    let own = pace.busy_time(Load::new(&prompt(5), 3_000));
+    let all = pace.busy_time(PrefillWork::new(&prompt(5), 9_000));
+    let own = pace.busy_time(PrefillWork::new(&prompt(5), 3_000));
     let fetch = LoadTracker::new().handover(Time::ZERO, EngineKey(0));
     for (is_kept, worth_waiting) in [(false, (all - own) * 12), (true, fetch * 13)] {
         let mut book = LoadTracker::new();
@@ -140,7 +140,7 @@
     let engines = fleet(&[Stage::Prefill, Stage::Prefill, Stage::Decode]);
     let before = Duration::from_millis(40);
     let pace = PrefillModel::default();
-    let [all, own] = [9_000, 3_000].map(|tokens| Load::new(&prompt(5), tokens));
+    let [all, own] = [9_000, 3_000].map(|tokens| PrefillWork::new(&prompt(5), tokens));
     let fetch = LoadTracker::new().handover(Time::ZERO, EngineKey(0));
     let cases = [
         (None, all, Duration::ZERO, 9_000),
