--- a/crates/core/src/relay/engine_map.rs
+++ b/crates/core/src/relay/engine_map.rs
@@ -1,12 +1,12 @@
-//! One value for each engine, found in constant time.
+//! A map from engines to values with lookup in constant time.
 //!
-//! Every request looks at each engine of its service. Keys count up from zero through an instance's life, so that a
-//! vector holds their values: a fleet of 600 engines that has 110 of them replaced a day fills it slower than the
-//! instance is itself replaced.
+//! Every request looks at each engine of its service. Keys are assigned in ascending order from zero during an
+//! instance's life, so the values are stored in a vector: in a fleet of 600 engines, of which 110 are replaced a day,
+//! it grows more slowly than the instance itself is replaced.
 
 use crate::relay::engines::EngineKey;
 
-/// Values by engine; a default where none was set.
+/// Values by engine; the default value where none was set.
 #[derive(Debug, Clone, Default)]
 pub struct EngineMap<V> {
     values: Vec<V>,
@@ -16,12 +16,12 @@
 where
     V: Default,
 {
-    /// The value of an engine, if one was ever set at it or behind it.
+    /// Returns an engine's value, `None` if neither it nor an engine with a higher key was ever set.
     pub fn get(&self, engine: EngineKey) -> Option<&V> {
         self.values.get(index(engine))
     }
 
-    /// The value of an engine, to be changed.
+    /// Returns an engine's value for modification, inserting the default if there is none.
     pub fn get_or_default(&mut self, engine: EngineKey) -> &mut V {
         let index = index(engine);
         if index >= self.values.len() {
@@ -30,12 +30,12 @@
         &mut self.values[index]
     }
 
-    /// All values with their engines, in the order of the keys.
+    /// Iterates over all values with their engines, in the order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (EngineKey, &V)> {
         (0..).map(EngineKey).zip(&self.values)
     }
 
-    /// All values with their engines, to be changed.
+    /// Iterates over all values with their engines for modification, in the order of the keys.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (EngineKey, &mut V)> {
         (0..).map(EngineKey).zip(&mut self.values)
     }
--- a/crates/core/src/relay/engines.rs
+++ b/crates/core/src/relay/engines.rs
@@ -1,4 +1,4 @@
-//! The engines that registered themselves, and which of them may get work.
+//! Registered engines, and which of them may get work.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,68 +8,68 @@
 use crate::relay::hash::Hash;
 use crate::time::Time;
 
-/// How long an engine whose entry vanished around an outage of the store may go on getting work. Entries that lapsed
-/// meanwhile are back within about two seconds of the store's return if their engine lives; an engine that has left
-/// must have no work two seconds after the store said so.
+/// How long an engine may still get work if its entry disappeared around an outage of the store. Entries that expired
+/// during the outage are back within about two seconds of the store's return if their engines are alive. An engine
+/// that has left must get no work two seconds after the store reported it.
 pub const REREGISTRATION_GRACE: Duration = Duration::from_millis(1_700);
 
-/// A call to the store that failed so short a time ago makes a vanished entry doubtful: a store that is back is asked
-/// within the longest pause between two calls.
+/// If a call to the store failed less than this time ago, the removal of an entry is not trusted. A store that has
+/// come back is called within the longest pause between two calls, which this time covers.
 pub const STORE_FAILURE_WINDOW: Duration = Duration::from_millis(1_300);
 
-/// An engine in one of its lives: another registration under the same id is another key.
+/// Identifies one registration of an engine: a new registration under the same id gets a new key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EngineKey(pub u32);
 
-/// Which part of a model's work an engine does.
+/// Part of a model's work that an engine does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Everything, or it runs no model.
+    /// All of it, or the engine runs no model.
     Whole,
-    /// Reads prompts for others.
+    /// Computes prefills for other engines.
     Prefill,
-    /// Generates, and reads prompts that nobody read for it.
+    /// Generates, and computes the prefill of prompts for which no other engine did.
     Decode,
 }
 
-/// What an engine registered.
+/// Registration of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Its id, new with each start.
+    /// Id of the engine, new with each start.
     pub id: String,
-    /// The service it is of.
+    /// Service that the engine belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it said that it leaves.
+    /// Whether it announced that it is leaving.
     pub leaving: bool,
-    /// Which part of the work it does.
+    /// Part of the work that it does.
     pub stage: Stage,
-    /// Whether it may be reclaimed, and costs less for that.
+    /// Whether it is a spot machine: cheaper, and may be reclaimed at any time.
     pub spot: bool,
-    /// Counts what the engine wrote of itself.
+    /// Sequence number of the engine's own updates to its entry.
     pub sequence: u64,
-    /// The store's revision at which the registration was created.
+    /// Store revision at which the registration was created.
     pub create_revision: u64,
 }
 
 /// An engine that may be sent work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Engine {
-    /// Its key.
+    /// Key of this registration.
     pub key: EngineKey,
-    /// What it registered.
+    /// Its registration.
     pub entry: Entry,
     /// Hash of its id.
     pub hash: u64,
 }
 
 impl Engine {
-    /// The engine with this key that registered so.
+    /// Creates an engine from its registration.
     pub fn new(key: EngineKey, entry: Entry) -> Engine {
         let hash = Hash::new().with(entry.id.as_bytes()).value();
         Engine { key, entry, hash }
@@ -80,31 +80,32 @@
 struct KnownEngine {
     engine: Engine,
     revision: u64,
-    /// When its entry vanished in doubt.
+    /// When its entry disappeared, if the removal is not trusted.
     missing_since: Option<Time>,
 }
 
-/// What is kept of an engine that is gone.
+/// What is kept of an engine that was removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct Tombstone {
     revision: u64,
     sequence: u64,
 }
 
-/// What the store said of one engine.
+/// A change to one engine in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineUpdate {
-    /// Its entry, at this revision.
+    /// The engine's entry, with its revision.
     Entry(u64, Entry),
-    /// The engine of this id is gone since this revision.
+    /// The engine with this id was removed at this revision.
     Removed(u64, String),
 }
 
-/// All engines, as the store last showed them.
+/// All engines, as last seen in the store.
 ///
-/// Neither revisions nor what an engine wrote of itself go back. Failure guarded against: an engine says that it
-/// leaves, and an earlier word of it reaches the store later; the entry shows it as ready again, or is created anew
-/// after the engine has left, and work goes to an engine that ends under it. Each engine counts its words.
+/// Neither store revisions nor an engine's own updates may go backwards. Failure guarded against: an engine announces
+/// that it is leaving, and an earlier update of it reaches the store afterwards. The entry then shows it as ready
+/// again, or is created anew after the engine has left, and work goes to an engine that is shutting down. Each engine
+/// therefore numbers its updates.
 #[derive(Debug, Clone, Default)]
 pub struct Engines {
     known: BTreeMap<String, KnownEngine>,
@@ -113,37 +114,37 @@
     store_failure: Option<Time>,
 }
 
-/// Ids of engines that are gone, kept against late news of peers.
+/// Maximum number of removed engines that are remembered to reject late updates from peers.
 const MAX_TOMBSTONES: usize = 1_024;
 
 impl Engines {
-    /// Nobody yet.
+    /// Creates an empty registry.
     pub fn new() -> Engines {
         Engines::default()
     }
 
-    /// Notes that a call to the store failed.
+    /// Records that a call to the store failed.
     pub fn on_store_failure(&mut self, now: Time) {
         self.store_failure = Some(now);
     }
 
-    /// Takes news; whether anything changed.
-    pub fn on_update(&mut self, now: Time, news: EngineUpdate) -> bool {
-        match news {
+    /// Applies an update; returns whether anything changed.
+    pub fn on_update(&mut self, now: Time, update: EngineUpdate) -> bool {
+        match update {
             EngineUpdate::Entry(revision, entry) => self.on_entry(revision, entry),
             EngineUpdate::Removed(revision, id) => self.on_removed(now, revision, id),
         }
     }
 
-    /// Takes everything that the store holds as of `revision`; whether anything changed.
+    /// Applies the complete contents of the store as of `revision`; returns whether anything changed.
     pub fn on_snapshot(&mut self, now: Time, revision: u64, entries: Vec<(u64, Entry)>) -> bool {
-        let named: BTreeSet<String> = entries.iter().map(|(_, e)| e.id.clone()).collect();
+        let present: BTreeSet<String> = entries.iter().map(|(_, e)| e.id.clone()).collect();
         let mut changed = false;
         for (at, entry) in entries {
             changed |= self.on_entry(at, entry);
         }
         let absent = |(id, known): (&String, &KnownEngine)| {
-            (!named.contains(id) && known.revision <= revision).then(|| id.clone())
+            (!present.contains(id) && known.revision <= revision).then(|| id.clone())
         };
         let absent: Vec<String> = self.known.iter().filter_map(absent).collect();
         for id in absent {
@@ -153,8 +154,8 @@
     }
 
     fn on_entry(&mut self, revision: u64, entry: Entry) -> bool {
-        let grave = self.tombstones.get(&entry.id);
-        if grave.is_some_and(|g| g.revision >= revision || g.sequence >= entry.sequence) {
+        let tombstone = self.tombstones.get(&entry.id);
+        if tombstone.is_some_and(|t| t.revision >= revision || t.sequence >= entry.sequence) {
             return false;
         }
         if let Some(known) = self.known.get_mut(&entry.id) {
@@ -162,7 +163,7 @@
                 return false;
             }
             known.revision = revision;
-            // The entry's revision is the store's count, its sequence the engine's own.
+            // The revision is assigned by the store, the sequence number by the engine.
             if known.engine.entry.sequence > entry.sequence {
                 return false;
             }
@@ -186,17 +187,17 @@
         true
     }
 
-    /// Failure guarded against: the store was away, all entries lapsed meanwhile, and on its return it shows no
-    /// engine at all; every request would be refused until the engines have registered again. An entry that
-    /// vanishes within [`DOUBT`] of a failed call keeps its engine for [`RETURN`]. An engine that left for good is
-    /// found out by its first refused connection at the latest.
+    /// Failure guarded against: the store was down, all entries expired meanwhile, and on its return it shows no
+    /// engines at all; every request would be refused until the engines have registered again. If an entry disappears
+    /// within [`STORE_FAILURE_WINDOW`] of a failed call, its engine is kept for [`REREGISTRATION_GRACE`]. An engine
+    /// that has really left is detected by its first refused connection at the latest.
     fn on_removed(&mut self, now: Time, revision: u64, id: String) -> bool {
-        let doubtful = self
+        let is_untrusted = self
             .store_failure
             .is_some_and(|at| now.since(at) < STORE_FAILURE_WINDOW);
         match self.known.get_mut(&id) {
             Some(known) if known.revision > revision => false,
-            Some(known) if doubtful && !known.engine.entry.leaving => {
+            Some(known) if is_untrusted && !known.engine.entry.leaving => {
                 known.revision = revision;
                 known.missing_since.get_or_insert(now);
                 false
@@ -220,12 +221,12 @@
         }
     }
 
-    fn add_tombstone(&mut self, id: String, grave: Tombstone) {
+    fn add_tombstone(&mut self, id: String, tombstone: Tombstone) {
         let kept = self.tombstones.entry(id).or_default();
-        kept.revision = kept.revision.max(grave.revision);
-        kept.sequence = kept.sequence.max(grave.sequence);
+        kept.revision = kept.revision.max(tombstone.revision);
+        kept.sequence = kept.sequence.max(tombstone.sequence);
         while self.tombstones.len() > MAX_TOMBSTONES {
-            let oldest = self.tombstones.iter().min_by_key(|(_, g)| g.revision);
+            let oldest = self.tombstones.iter().min_by_key(|(_, t)| t.revision);
             let Some(id) = oldest.map(|(id, _)| id.clone()) else {
                 break;
             };
@@ -233,52 +234,52 @@
         }
     }
 
-    /// Drops engines whose entry did not come back in time; whether any was.
+    /// Removes engines whose entry did not come back in time; returns whether any was removed.
     pub fn on_tick(&mut self, now: Time) -> bool {
-        let late = |known: &KnownEngine| {
+        let is_overdue = |known: &KnownEngine| {
             known
                 .missing_since
                 .is_some_and(|at| now.since(at) >= REREGISTRATION_GRACE)
         };
-        let grave = |known: &KnownEngine| Tombstone {
+        let tombstone = |known: &KnownEngine| Tombstone {
             revision: known.revision,
             sequence: known.engine.entry.sequence,
         };
-        let lost: Vec<(String, Tombstone)> = self
+        let overdue: Vec<(String, Tombstone)> = self
             .known
             .iter()
-            .filter(|(_, known)| late(known))
-            .map(|(id, known)| (id.clone(), grave(known)))
+            .filter(|(_, known)| is_overdue(known))
+            .map(|(id, known)| (id.clone(), tombstone(known)))
             .collect();
-        for (id, grave) in &lost {
+        for (id, tombstone) in &overdue {
             self.known.remove(id);
-            self.add_tombstone(id.clone(), *grave);
+            self.add_tombstone(id.clone(), *tombstone);
         }
-        !lost.is_empty()
+        !overdue.is_empty()
     }
 
-    /// The engines that may get new work, by service, in the order of their ids.
+    /// Returns the engines that may get new work, by service, in the order of their ids.
     pub fn available(&self) -> BTreeMap<String, Vec<Engine>> {
         let mut services: BTreeMap<String, Vec<Engine>> = BTreeMap::new();
-        let open = self.known.values().filter(|k| !k.engine.entry.leaving);
-        for known in open {
+        let available = self.known.values().filter(|k| !k.engine.entry.leaving);
+        for known in available {
             let service = services.entry(known.engine.entry.service.clone()).or_default();
             service.push(known.engine.clone());
         }
         services
     }
 
-    /// Whether an engine's entry is missing in doubt.
+    /// Whether any engine is kept although its entry has disappeared.
     pub fn has_missing(&self) -> bool {
         self.known.values().any(|k| k.missing_since.is_some())
     }
 
-    /// How many are known.
+    /// Returns the number of known engines.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none is known.
+    /// Whether no engine is known.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/crates/core/src/relay/load_tracker.rs
+++ b/crates/core/src/relay/load_tracker.rs
@@ -1,6 +1,7 @@
-//! What an instance knows of the load and health of each engine.
+//! Load and health of each engine, as known to this instance.
 //!
-//! Two sources: the work that this instance has there, to the moment, and what its peers last said of theirs.
+//! There are two sources: the work that this instance has at an engine, which is always up to date, and the last
+//! reports of its peers about theirs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,61 +16,66 @@
 use crate::relay::prefill_time::PrefillModel;
 use crate::time::Time;
 
-/// How long an engine gets no new work after its first fault, if another can take it; doubles with each.
+/// How long an engine gets no new work after its first fault, if another engine can take it; doubles with each further
+/// fault.
 const BASE_BACKOFF: Duration = Duration::from_millis(500);
 
-/// How long an engine that declined gets no new work, if another can take it: a slot is free again after about that.
+/// How long an engine that declined a request gets no new work, if another engine can take it: a slot becomes free
+/// again after about this time.
 const DECLINE_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Doublings of [`AVOID`]: 8 s at most, the time a crashed engine takes to come back.
+/// Maximum number of doublings of [`BASE_BACKOFF`]: the limit is 8 s, the time a crashed engine takes to come back.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Part of a new observation in the mean rate of failures.
+/// Weight of a new observation in the mean failure rate.
 const FAILURE_GAIN: f64 = 0.1;
 
-/// A mean rate of failures below this is none: it sets no engine back, and costs time to work out.
+/// A mean failure rate below this counts as zero: it does not affect the choice of an engine, and computing its decay
+/// costs time.
 const MIN_FAILURE_RATE: f64 = 0.001;
 
-/// Time in which that mean loses half of its weight while nothing is seen.
+/// Half-life of the mean failure rate while there are no observations.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Part of a new observation in an engine's slowness: a slow engine shows after about ten prompts.
+/// Weight of a new observation in an engine's slowness: a slow engine is recognized after about ten prompts.
 const SLOWNESS_GAIN: f64 = 0.1;
 
-/// Slowness outside is taken for a fault of the measurement: a call that waited in the network, parts that were kept.
+/// Observed slowness is clamped to this range. Values outside it are measurement errors: a call was delayed in the
+/// network, or parts were cached.
 const SLOWNESS_RANGE: std::ops::RangeInclusive<f64> = 0.25..=8.0;
 
-/// A slowness that is none: readings scatter by so much, and a request that leaves its home for it has its shared parts
-/// read again.
+/// Slowness in this range counts as 1: prefill times vary by this much, and a request that leaves its home because of
+/// it has its shared parts computed again.
 const NORMAL_SLOWNESS: std::ops::RangeInclusive<f64> = 0.67..=1.5;
 
-/// Time in which what was seen of an engine's slowness loses half of its weight: slow ones are avoided, and nothing else
-/// would tell that they are well again.
+/// Half-life of an engine's observed slowness: slow engines are avoided, so that nothing else would show that they
+/// have recovered.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// Part of a new observation in the mean time that requests stay at an engine.
+/// Weight of a new observation in the mean time that requests spend at an engine.
 const RESIDENCE_GAIN: f64 = 0.05;
 
-/// Time from a prompt's being read to the first event, until it was seen: transfer, a step and two calls.
+/// Assumed time from the end of a prefill to the first event, until it has been measured: a transfer, a step and two
+/// calls.
 const DEFAULT_HANDOVER: Duration = Duration::from_millis(15);
 
-/// Time in which what was seen of it loses half of its weight.
+/// Half-life of the measured handover time.
 const HANDOVER_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Part of a new observation in the mean of that time.
+/// Weight of a new observation in the mean handover time.
 const HANDOVER_GAIN: f64 = 0.1;
 
-/// Work at an engine.
+/// Amount of work at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Work {
-    /// Requests.
+    /// Requests in progress.
     pub requests: u32,
-    /// Time that the reading of prompts which are not read yet takes.
+    /// Time needed for the prefills that are not complete yet.
     pub prefill: Duration,
 }
 
 impl Work {
-    /// Both together.
+    /// Returns the sum of both.
     pub fn plus(self, other: Work) -> Work {
         Work {
             requests: self.requests + other.requests,
@@ -77,7 +83,7 @@
         }
     }
 
-    /// This without the other, never below nothing.
+    /// Returns the difference; neither value drops below zero.
     pub fn minus(self, other: Work) -> Work {
         Work {
             requests: self.requests.saturating_sub(other.requests),
@@ -86,7 +92,7 @@
     }
 }
 
-/// One piece of work that this instance has at an engine.
+/// Identifies a piece of work that this instance has at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobId(u64);
 
@@ -102,19 +108,21 @@
     own: Work,
     consecutive_faults: u32,
     avoid_until: Option<Time>,
-    /// Mean rate of failed attempts, and when it was last seen.
+    /// Time of the last update, and the mean rate of failed attempts.
     failure_rate: (Time, f64),
-    /// Mean time that readings took against what was expected, and when it was last seen.
+    /// Time of the last update, and the mean ratio of measured to expected prefill times.
     slowness: Option<(Time, f64)>,
-    /// Mean time from a prompt's being read to the first event here, and when it was last seen.
+    /// Time of the last update, and the mean time from the end of a prefill to the first event received here.
     handover: Option<(Time, Duration)>,
-    /// Mean time for which a request stays at the engine, in seconds.
+    /// Mean time that a request spends at the engine, in seconds.
     mean_residence: Option<f64>,
 }
 
 impl EngineState {
-    /// Failure guarded against: an engine fails for a while, gets nothing any more, and is left out for ever, since
-    /// nothing is seen that could clear it.
+    /// Returns the mean failure rate, decayed to `now`.
+    ///
+    /// Failure guarded against: an engine fails for a while, gets no more work and is excluded for ever, since there
+    /// are no further observations that could clear it.
     fn failure_rate(&self, now: Time) -> f64 {
         let (at, mean) = self.failure_rate;
         if mean < MIN_FAILURE_RATE {
@@ -124,133 +132,132 @@
     }
 }
 
-/// What is left of an observation's weight after `passed`, if half goes in each `half`.
-fn decay(passed: Duration, half: Duration) -> f64 {
-    0.5_f64.powf(passed.as_secs_f64() / half.as_secs_f64())
+/// Returns the remaining weight of an observation after `passed`, if half of it is lost in each `half_life`.
+fn decay(passed: Duration, half_life: Duration) -> f64 {
+    0.5_f64.powf(passed.as_secs_f64() / half_life.as_secs_f64())
 }
 
-/// The load and health of all engines, as this instance sees them.
+/// Load and health of all engines, as seen by this instance.
 #[derive(Debug, Clone, Default)]
 pub struct LoadTracker {
     engines: EngineMap<EngineState>,
     jobs: BTreeMap<JobId, Job>,
     peer_work: PeerWork,
     next_job: u64,
-    /// What reading takes the engines of each service.
+    /// Model of the prefill time for each service.
     prefill_models: BTreeMap<String, PrefillModel>,
-    /// Which engine keeps which shared parts of prompts.
+    /// Shared prompt parts that each engine has cached.
     pub cached_parts: CachedParts,
 }
 
 impl LoadTracker {
-    /// Nothing known.
+    /// Creates a tracker without observations.
     pub fn new() -> LoadTracker {
         LoadTracker::default()
     }
 
-    /// Notes work that is sent to an engine.
-    pub fn begin(&mut self, now: Time, engine: EngineKey, reading: Duration) -> JobId {
-        let ticket = JobId(self.next_job);
+    /// Records work that is sent to an engine; `prefill` is the expected time of its prefill.
+    pub fn begin(&mut self, now: Time, engine: EngineKey, prefill: Duration) -> JobId {
+        let id = JobId(self.next_job);
         self.next_job += 1;
-        let load = self.engines.get_or_default(engine);
-        load.own = load.own.plus(Work {
-            requests: 1,
-            prefill: reading,
-        });
-        let since = now;
+        let state = self.engines.get_or_default(engine);
+        state.own = state.own.plus(Work { requests: 1, prefill });
+        let started_at = now;
         self.jobs.insert(
-            ticket,
+            id,
             Job {
                 engine,
-                prefill: reading,
-                started_at: since,
+                prefill,
+                started_at,
             },
         );
-        ticket
+        id
     }
 
-    /// Notes that the prompt of a piece of work is read.
-    pub fn finish_prefill(&mut self, ticket: JobId) {
-        let Some(job) = self.jobs.get_mut(&ticket) else {
+    /// Records that the prefill of a job is complete.
+    pub fn finish_prefill(&mut self, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let reading = std::mem::take(&mut job.prefill);
-        let load = self.engines.get_or_default(job.engine);
-        load.own.prefill = load.own.prefill.saturating_sub(reading);
+        let prefill = std::mem::take(&mut job.prefill);
+        let state = self.engines.get_or_default(job.engine);
+        state.own.prefill = state.own.prefill.saturating_sub(prefill);
     }
 
-    /// Notes that a piece of work is over; a second call changes nothing.
-    pub fn finish(&mut self, now: Time, ticket: JobId) {
-        self.finish_prefill(ticket);
-        let Some(job) = self.jobs.remove(&ticket) else {
+    /// Records that a job has ended; a second call changes nothing.
+    pub fn finish(&mut self, now: Time, id: JobId) {
+        self.finish_prefill(id);
+        let Some(job) = self.jobs.remove(&id) else {
             return;
         };
-        let load = self.engines.get_or_default(job.engine);
-        load.own.requests = load.own.requests.saturating_sub(1);
-        let stay = now.since(job.started_at).as_secs_f64();
-        let mean = load.mean_residence.unwrap_or(stay);
-        load.mean_residence = Some(mean + RESIDENCE_GAIN * (stay - mean));
+        let state = self.engines.get_or_default(job.engine);
+        state.own.requests = state.own.requests.saturating_sub(1);
+        let residence = now.since(job.started_at).as_secs_f64();
+        let mean = state.mean_residence.unwrap_or(residence);
+        state.mean_residence = Some(mean + RESIDENCE_GAIN * (residence - mean));
     }
 
-    /// Notes what the end of an attempt says of the engine.
+    /// Updates the health of an engine from the outcome of an attempt.
     pub fn on_attempt_end(&mut self, now: Time, engine: EngineKey, end: End) {
-        let load = self.engines.get_or_default(engine);
+        let state = self.engines.get_or_default(engine);
         let failed = f64::from(u8::from(end.is_fault()));
-        let mean = load.failure_rate(now);
-        load.failure_rate = (now, mean + FAILURE_GAIN * (failed - mean));
+        let mean = state.failure_rate(now);
+        state.failure_rate = (now, mean + FAILURE_GAIN * (failed - mean));
         match end {
             End::Answered => {
-                load.consecutive_faults = 0;
-                load.avoid_until = None;
+                state.consecutive_faults = 0;
+                state.avoid_until = None;
             }
             End::Failed => {}
-            // Failure guarded against: an engine that declines all has no work, so it looks like the best choice.
-            End::Declined => load.avoid_until = Some(now + DECLINE_BACKOFF),
+            // Failure guarded against: an engine that declines all requests has no work, so it looks like the best
+            // choice.
+            End::Declined => state.avoid_until = Some(now + DECLINE_BACKOFF),
             End::Unsent | End::Misdirected | End::Broken | End::Silent => {
-                let pause = BASE_BACKOFF * (1 << load.consecutive_faults.min(MAX_DOUBLINGS));
-                load.consecutive_faults += 1;
-                load.avoid_until = Some(now + pause);
+                let backoff = BASE_BACKOFF * (1 << state.consecutive_faults.min(MAX_DOUBLINGS));
+                state.consecutive_faults += 1;
+                state.avoid_until = Some(now + backoff);
             }
         }
     }
 
-    /// What reading takes the engines of a service.
+    /// Returns the model of the prefill time for a service; the default model if nothing has been measured.
     pub fn prefill_model(&self, service: &str) -> PrefillModel {
         self.prefill_models.get(service).cloned().unwrap_or_default()
     }
 
-    /// Notes that an engine read a prompt in `took`.
-    pub fn on_prefill(&mut self, now: Time, reading: &PrefillPlan, took: Duration) {
-        let entry = &reading.engine.entry;
-        if reading.queue_time.is_zero() {
-            let pace = self.prefill_models.entry(entry.service.clone()).or_default();
-            pace.on_uncontended(reading.work, took);
+    /// Records that an engine completed a prefill in `took`.
+    pub fn on_prefill(&mut self, now: Time, plan: &PrefillPlan, took: Duration) {
+        let entry = &plan.engine.entry;
+        if plan.queue_time.is_zero() {
+            let model = self.prefill_models.entry(entry.service.clone()).or_default();
+            model.on_uncontended(plan.work, took);
         }
-        let key = reading.engine.key;
+        let key = plan.engine.key;
         let mean = self.mean_slowness(now, key);
-        let plain = reading.total_time.as_secs_f64() / self.slowness(now, key);
-        if plain <= 0.0 {
+        let expected = plan.total_time.as_secs_f64() / self.slowness(now, key);
+        if expected <= 0.0 {
             return;
         }
-        let seen = (took.as_secs_f64() / plain).clamp(*SLOWNESS_RANGE.start(), *SLOWNESS_RANGE.end());
+        let seen = (took.as_secs_f64() / expected).clamp(*SLOWNESS_RANGE.start(), *SLOWNESS_RANGE.end());
         self.engines.get_or_default(key).slowness = Some((now, mean + SLOWNESS_GAIN * (seen - mean)));
     }
 
-    /// Notes that an engine is sent a prompt to read: whoever asks for the same parts behind it finds them there.
-    pub fn on_prefill_sent(&mut self, now: Time, reading: &PrefillPlan, part: u64) {
-        let read = PrefillRecord {
-            engine: reading.engine.hash,
+    /// Records that a prefill was sent to an engine: later requests with the same shared part find it cached there.
+    pub fn on_prefill_sent(&mut self, now: Time, plan: &PrefillPlan, part: u64) {
+        let record = PrefillRecord {
+            engine: plan.engine.hash,
             part,
-            tokens: reading.new_tokens,
+            tokens: plan.new_tokens,
         };
-        self.cached_parts.on_own_prefill(now, reading.engine.key, read);
+        self.cached_parts.on_own_prefill(now, plan.engine.key, record);
     }
 
-    /// Time that readings take at an engine against what they take the engines of its service; 1 if nothing is known.
+    /// Returns the ratio of an engine's prefill times to those expected for its service; 1 if there are no
+    /// observations.
     pub fn slowness(&self, now: Time, engine: EngineKey) -> f64 {
-        let seen = self.engines.get(engine).and_then(|load| load.slowness);
-        // What is ordinary when it was seen is ordinary when it has faded; working that out for each engine takes longer
-        // than all else of a choice.
+        let seen = self.engines.get(engine).and_then(|state| state.slowness);
+        // A value in the normal range stays in it as it decays. Computing the decay for each engine would take longer
+        // than the rest of a choice.
         if seen.is_none_or(|(_, mean)| NORMAL_SLOWNESS.contains(&mean)) {
             return 1.0;
         }
@@ -262,39 +269,39 @@
     }
 
     fn mean_slowness(&self, now: Time, engine: EngineKey) -> f64 {
-        let seen = self.engines.get(engine).and_then(|load| load.slowness);
+        let seen = self.engines.get(engine).and_then(|state| state.slowness);
         let Some((at, mean)) = seen else {
             return 1.0;
         };
         1.0 + (mean - 1.0) * decay(now.since(at), SLOWNESS_HALF_LIFE)
     }
 
-    /// How long a request waits at an engine with `slots` before it is worked on.
+    /// Returns how long a request waits for a slot at an engine with `slots`.
     pub fn queue_time(&self, now: Time, engine: EngineKey, slots: u32) -> Duration {
         let requests = self.work(now, engine).requests;
         let waiting = (requests + 1).saturating_sub(slots.max(1));
-        let stay = self
+        let residence = self
             .engines
             .get(engine)
-            .and_then(|load| load.mean_residence)
+            .and_then(|state| state.mean_residence)
             .unwrap_or_default();
-        Duration::from_secs_f64(stay * f64::from(waiting) / f64::from(slots.max(1)))
+        Duration::from_secs_f64(residence * f64::from(waiting) / f64::from(slots.max(1)))
     }
 
-    /// Notes how long it took from a prompt's being read to the first event, at an engine with slots to spare.
+    /// Records the time from the end of a prefill to the first event, at an engine with free slots.
     pub fn on_handover(&mut self, now: Time, engine: EngineKey, took: Duration) {
         let mean = self.handover(now, engine);
         let mean = mean.mul_f64(1.0 - HANDOVER_GAIN) + took.mul_f64(HANDOVER_GAIN);
         self.engines.get_or_default(engine).handover = Some((now, mean));
     }
 
-    /// How long it takes from a prompt's being read to the first event at an engine.
+    /// Returns the expected time from the end of a prefill to the first event at an engine.
     ///
-    /// Failure guarded against: links are slow for a while, the mean grows beyond what any request can wait, all are
-    /// refused, and so nothing is seen any more that could correct it. What was seen loses half of its weight in each
-    /// [`FORGET`].
+    /// Failure guarded against: links are slow for a while, the mean grows beyond what any request can wait, all
+    /// requests are refused, and so there are no further observations that could correct it. The weight of earlier
+    /// observations therefore halves every [`HANDOVER_HALF_LIFE`].
     pub fn handover(&self, now: Time, engine: EngineKey) -> Duration {
-        let seen = self.engines.get(engine).and_then(|load| load.handover);
+        let seen = self.engines.get(engine).and_then(|state| state.handover);
         let Some((at, mean)) = seen else {
             return DEFAULT_HANDOVER;
         };
@@ -302,53 +309,57 @@
         mean.mul_f64(weight) + DEFAULT_HANDOVER.mul_f64(1.0 - weight)
     }
 
-    /// Notes the work that a peer says it has.
+    /// Records the work that a peer reports.
     pub fn on_peer_report(&mut self, now: Time, peer: &str, work: BTreeMap<EngineKey, Work>) {
         self.peer_work.on_peer_report(now, peer, work);
     }
 
-    /// Work at an engine, of this instance and of those peers that were heard lately.
+    /// Returns the work at an engine, of this instance and of the peers with a recent report.
     pub fn work(&self, now: Time, engine: EngineKey) -> Work {
         self.own_work(engine).plus(self.peer_work.work(now, engine))
     }
 
-    /// Age of the oldest report of a peer that still counts, nothing without one.
+    /// Returns the age of the oldest report of a peer that is still in use, zero if there is none.
     pub fn oldest_report_age(&self, now: Time) -> Duration {
         self.peer_work.oldest_report_age(now)
     }
 
-    /// Work of this instance at an engine.
+    /// Returns the work of this instance at an engine.
     pub fn own_work(&self, engine: EngineKey) -> Work {
-        self.engines.get(engine).map_or_else(Work::default, |l| l.own)
+        self.engines.get(engine).map_or_else(Work::default, |s| s.own)
     }
 
-    /// Work of this instance at every engine where it has some.
+    /// Returns the work of this instance at every engine where it has any.
     pub fn own_by_engine(&self) -> BTreeMap<EngineKey, Work> {
         let busy = self.jobs.values().map(|job| job.engine);
         busy.map(|key| (key, self.own_work(key))).collect()
     }
 
-    /// Whether an engine is to get no work now if another can take it.
+    /// Whether an engine is to get no new work at present, if another engine can take it.
     pub fn is_avoided(&self, now: Time, engine: EngineKey) -> bool {
-        let load = self.engines.get(engine);
-        load.and_then(|l| l.avoid_until).is_some_and(|until| now < until)
+        let state = self.engines.get(engine);
+        state.and_then(|s| s.avoid_until).is_some_and(|until| now < until)
     }
 
-    /// Mean rate of failed attempts at an engine, 0 to 1, over about its last ten.
+    /// Returns the mean rate of failed attempts at an engine, 0 to 1, over about its last ten attempts.
     pub fn failure_rate(&self, now: Time, engine: EngineKey) -> f64 {
         self.engines
             .get(engine)
-            .map_or(0.0, |load| load.failure_rate(now))
+            .map_or(0.0, |state| state.failure_rate(now))
     }
 
-    /// Forgets engines that `known` denies and that have no work left.
+    /// Discards the state of engines for which `known` returns false and at which this instance has no requests.
     pub fn retain<F>(&mut self, known: F)
     where
         F: Fn(EngineKey) -> bool,
     {
-        let gone = |key: EngineKey, load: &EngineState| !known(key) && load.own.requests == 0;
-        for (key, load) in self.engines.iter_mut().filter(|(key, load)| gone(*key, load)) {
-            *load = EngineState::default();
+        let is_gone = |key: EngineKey, state: &EngineState| !known(key) && state.own.requests == 0;
+        for (key, state) in self
+            .engines
+            .iter_mut()
+            .filter(|(key, state)| is_gone(*key, state))
+        {
+            *state = EngineState::default();
             self.cached_parts.forget(key);
         }
     }
--- a/crates/core/src/relay/peer_work.rs
+++ b/crates/core/src/relay/peer_work.rs
@@ -1,7 +1,7 @@
-//! What peers said of their work, summed up by engine.
+//! Work that peers report, summed up by engine.
 //!
-//! A choice looks at every engine; with hundreds of peers it can't ask what each of them said. The sum is kept
-//! instead, and changes with each message.
+//! A choice looks at every engine. With hundreds of peers, it can't look up what each of them reported, so the sum is
+//! kept and updated with each message.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::relay::load_tracker::Work;
 use crate::time::Time;
 
-/// What peers said counts for so long: three of their messages may be lost in a row.
+/// How long a peer's report is used: three of its messages in a row may be lost.
 const REPORT_TTL: Duration = Duration::from_millis(1_000);
 
 #[derive(Debug, Clone, Default)]
@@ -20,18 +20,18 @@
     work: BTreeMap<EngineKey, Work>,
 }
 
-/// The work of all peers that were heard lately.
+/// Work of all peers with a recent report.
 #[derive(Debug, Clone, Default)]
 pub struct PeerWork {
     peers: BTreeMap<String, Report>,
-    /// Sum over all in `peers`.
+    /// Sum of all reports in `peers`.
     total: EngineMap<Work>,
-    /// No report in `peers` is older.
+    /// Lower bound of the times of the reports in `peers`.
     oldest: Time,
 }
 
 impl PeerWork {
-    /// Takes the work that a peer says it has now.
+    /// Replaces the work that a peer reported earlier.
     pub fn on_peer_report(&mut self, now: Time, peer: &str, work: BTreeMap<EngineKey, Work>) {
         if self.is_stale(now, self.oldest) {
             self.expire(now);
@@ -44,23 +44,23 @@
             *total = total.plus(*work);
         }
         let report = Report { at: now, work };
-        if let Some(before) = self.peers.insert(peer.to_string(), report) {
-            self.subtract(&before);
+        if let Some(previous) = self.peers.insert(peer.to_string(), report) {
+            self.subtract(&previous);
         }
     }
 
-    /// Work of the peers at an engine.
+    /// Returns the work of the peers at an engine.
     pub fn work(&self, now: Time, engine: EngineKey) -> Work {
         if !self.is_stale(now, self.oldest) {
             return self.total.get(engine).copied().unwrap_or_default();
         }
-        // Until the next message: one report at least may count no more.
+        // At least one report may be outdated, and the sum is not corrected until the next message.
         let recent = self.peers.values().filter(|r| !self.is_stale(now, r.at));
         let work = recent.filter_map(|r| r.work.get(&engine));
         work.fold(Work::default(), |sum, work| sum.plus(*work))
     }
 
-    /// Age of the oldest report that still counts, nothing without one.
+    /// Returns the age of the oldest report that is still in use, zero if there is none.
     pub fn oldest_report_age(&self, now: Time) -> Duration {
         let ages = self.peers.values().map(|r| now.since(r.at));
         ages.filter(|age| *age <= REPORT_TTL).max().unwrap_or_default()
@@ -70,7 +70,7 @@
         now.since(at) > REPORT_TTL
     }
 
-    /// Drops reports that count no more.
+    /// Removes outdated reports.
     fn expire(&mut self, now: Time) {
         let (stale, recent): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.peers)
             .into_iter()
--- a/crates/core/src/relay/placement.rs
+++ b/crates/core/src/relay/placement.rs
@@ -1,8 +1,9 @@
-//! Which engine gets a request.
+//! Selects the engine for each request.
 //!
-//! A prompt's shared parts cost more to read than all else, so its requests go where those parts were read before:
-//! every instance works out the same home for a part by rendezvous hashing, without a message. The home is left when
-//! the wait there is longer than reading the parts anew elsewhere takes.
+//! Most of the cost of a prompt is the prefill of the parts it shares with other prompts, so a request goes to an
+//! engine that has these parts cached. Every instance computes the same home engine for a part by rendezvous hashing,
+//! without exchanging messages. A request leaves the home when the queue there takes longer than a prefill of the
+//! shared parts elsewhere.
 
 use std::cell::LazyCell;
 use std::net::SocketAddr;
@@ -17,236 +18,247 @@
 use crate::relay::prompt::Prompt;
 use crate::time::Time;
 
-/// What one request in progress counts when waits are compared: about the time of a batch's step, which every further
-/// request makes longer.
+/// Cost of one request in progress when wait times are compared: about the duration of one batch step, which every
+/// further request makes longer.
 const REQUEST_COST: Duration = Duration::from_micros(500);
 
-/// How often the reading or fetching of shared parts anew counts besides this request's own wait, when engines are
-/// compared. Under load an engine that reads them has no time for others, and memory that takes them in drops others'.
+/// Weight of the time to compute or fetch shared parts again when engines are compared, in addition to this request's
+/// own wait. Under load, an engine that computes them has no time for other requests, and storing them evicts parts
+/// that other requests use.
 const CACHE_MISS_WEIGHT: f64 = 12.0;
 
-/// How often reading parts that no engine keeps counts besides, elsewhere than at their home: with 1 an instance reads
-/// at one engine what others read at the next in the same moment.
+/// Weight of the time to compute parts that no engine has cached, if it is done elsewhere than at their home. With a
+/// weight of 1, one instance has the parts computed at one engine while others have them computed at the next.
 const OFF_HOME_WEIGHT: f64 = 12.0;
 
-/// What another availability zone counts: half a round trip.
+/// Cost of an engine in another availability zone: half a round trip.
 const CROSS_ZONE_COST: Duration = Duration::from_micros(750);
 
-/// A mean rate of failures from which on an engine counts as failing, if others of its service are half as bad.
+/// Mean failure rate from which an engine counts as failing, provided that another engine of its service has at most
+/// half of its rate.
 const FAILING_RATE: f64 = 0.3;
 
-/// A prompt that an engine is to read.
+/// A prefill that was assigned to an engine, with its expected times.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PrefillPlan {
-    /// The engine.
+    /// The engine that computes the prefill.
     pub engine: Engine,
-    /// What it has to read for it.
+    /// Tokens that the engine has to process.
     pub work: PrefillWork,
-    /// Tokens that it has to put into its memory for it.
+    /// Tokens that the engine has to add to its cache.
     pub new_tokens: u32,
-    /// How long that keeps it from others.
+    /// Time for which the prefill keeps the engine from other requests.
     pub busy_time: Duration,
-    /// How long what it has to read before that takes.
+    /// Time until the engine has finished the prefills that are queued before this one.
     pub queue_time: Duration,
-    /// How long it takes until the prompt is read, with all that is before it.
+    /// Time until the prefill is complete, including the queue time.
     pub total_time: Duration,
-    /// The other engine that most probably keeps its shared parts.
+    /// Another engine that most probably has the shared parts in its cache.
     ///
-    /// Failure guarded against: an engine leaves, or its home is avoided for a long queue, and parts of many thousand
-    /// tokens are read again though an engine a few milliseconds away keeps them. An engine that is told whom to ask
-    /// fetches what it lacks and reads only the rest; it is the home for all others, and for the home the engine that
-    /// was the home before it came. Where nothing is kept the question costs nothing.
+    /// Failure guarded against: an engine leaves, or a home is avoided because of its long queue, and many thousand
+    /// tokens are computed again although an engine a few milliseconds away has them cached. An engine that is given
+    /// this address fetches what it lacks and computes only the rest. If no engine is known to have the parts, the
+    /// address is that of the home or, for the home itself, of the engine that was the home before it joined. If
+    /// nothing is cached there, asking costs nothing.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// Where an engine has the shared parts of a prompt from.
+/// How an engine obtains the shared parts of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PartSource {
-    /// It keeps them.
+    /// They are in its cache.
     Cached,
-    /// Another engine keeps them.
+    /// It fetches them from another engine's cache.
     Fetched,
-    /// They have to be read.
+    /// It computes them.
     Prefilled,
 }
 
-/// What it would come to if an engine read a prompt.
+/// Expected times and cost of a prefill at one engine.
 struct Estimate<'e> {
     engine: &'e Engine,
     source: PartSource,
     queue_time: Duration,
     total_time: Duration,
-    /// What it takes, and what the reading costs all others.
+    /// Expected time of this request, plus what the prefill costs all other requests.
     cost: Duration,
 }
 
-/// What reading a prompt takes, where its shared parts are kept and elsewhere.
+/// Expected times of a prefill, with and without its shared parts cached.
 #[derive(Debug, Clone, Copy)]
 struct PrefillCosts {
     fixed_latency: Duration,
-    /// The request's own part.
+    /// Time for the tokens that no other request shares.
     own_time: Duration,
-    /// All of it.
+    /// Time for the whole prompt.
     full_time: Duration,
-    /// The engine where requests with these parts meet.
+    /// Home engine of the shared part.
     home: Option<EngineKey>,
-    /// How long fetching the parts takes, if an engine keeps them.
+    /// Time to fetch the shared parts, if any engine has them cached.
     fetch_time: Option<Duration>,
 }
 
-/// What a choice is made by.
+/// Inputs to the choice of an engine for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSelector<'a> {
-    /// Load and health.
+    /// Load and health of the engines.
     pub loads: &'a LoadTracker,
-    /// Now.
+    /// The current time.
     pub now: Time,
     /// Availability zone of this instance, or of the engine that holds the prompt.
     pub zone: &'a str,
-    /// Engines that failed this request already.
+    /// Engines at which this request failed already.
     pub tried: &'a [EngineKey],
-    /// Tokens that an engine's memory holds, if that is known.
+    /// Tokens that an engine's memory holds, if known.
     pub memory_tokens: Option<u64>,
-    /// In how many turns all peers are told of a choice made here.
+    /// Number of turns in which the load messages of this instance reach all its peers.
     pub report_turns: usize,
-    /// Drawn for the request.
+    /// Random value of this request, used to choose among equal engines.
     pub tie_breaker: u64,
 }
 
 impl EngineSelector<'_> {
-    /// The engine for a request without a prompt: a healthy one of the same zone with the least work.
+    /// Returns the engine for a request without a prompt: a healthy one with the shortest wait, where another
+    /// availability zone counts as half a round trip. `None` if every engine has been tried.
     pub fn least_loaded<'e>(&self, engines: &'e [Engine]) -> Option<&'e Engine> {
         self.least_wait(engines.iter())
     }
 
-    /// The engine that reads a prompt, of those at `stage`, and when it will have read it.
+    /// Returns the engine at `stage` that computes the prefill of `prompt`, with the expected times. `None` if every
+    /// engine at this stage has been tried.
     pub fn choose_prefill(&self, engines: &[Engine], stage: Stage, prompt: &Prompt) -> Option<PrefillPlan> {
-        let open = self.candidates(at_stage(engines, stage));
+        let candidates = self.candidates(at_stage(engines, stage));
         let shared = prompt.shared();
-        let homes = shared.map_or([None, None], |part| home_engines(&open, part.id));
-        let keeps = |e: &Engine| {
+        let homes = shared.map_or([None, None], |part| home_engines(&candidates, part.id));
+        let is_cached = |e: &Engine| {
             shared.is_some_and(|p| {
                 self.loads
                     .cached_parts
                     .is_cached(self.now, e.key, p.id, self.memory_tokens)
             })
         };
-        let keeper = homes
+        let holder = homes
             .into_iter()
             .flatten()
-            .chain(open.iter().copied())
-            .find(|e| keeps(e));
-        let pace = self.loads.prefill_model(&open.first()?.entry.service);
-        let loads = [prompt.input, prompt.own_tokens()].map(|tokens| PrefillWork::new(prompt, tokens));
-        let need = PrefillCosts {
-            fixed_latency: pace.fixed_latency(),
-            own_time: pace.busy_time(loads[1]),
-            full_time: pace.busy_time(loads[0]),
+            .chain(candidates.iter().copied())
+            .find(|e| is_cached(e));
+        let model = self.loads.prefill_model(&candidates.first()?.entry.service);
+        let work = [prompt.input, prompt.own_tokens()].map(|tokens| PrefillWork::new(prompt, tokens));
+        let costs = PrefillCosts {
+            fixed_latency: model.fixed_latency(),
+            own_time: model.busy_time(work[1]),
+            full_time: model.busy_time(work[0]),
             home: homes[0].map(|e| e.key),
-            fetch_time: keeper.map(|e| self.loads.handover(self.now, e.key)),
+            fetch_time: holder.map(|e| self.loads.handover(self.now, e.key)),
         };
-        let estimates = open.iter().map(|e| self.estimate(e, keeps(e), need));
+        let estimates = candidates.iter().map(|e| self.estimate(e, is_cached(e), costs));
         let best = estimates.min_by_key(|e| (e.cost, e.engine.key))?;
-        // Where nobody is known to keep the parts, the home may all the same: asking it costs nothing.
-        let mut sources = keeper.into_iter().chain(homes.into_iter().flatten());
+        // If no engine is known to have the parts cached, the home may have them nevertheless: asking it costs
+        // nothing.
+        let mut sources = holder.into_iter().chain(homes.into_iter().flatten());
         let source = sources.find(|e| e.key != best.engine.key && best.source != PartSource::Cached);
-        let reads = usize::from(best.source != PartSource::Prefilled);
+        let without_shared = usize::from(best.source != PartSource::Prefilled);
         Some(PrefillPlan {
             engine: best.engine.clone(),
-            work: loads[reads],
+            work: work[without_shared],
             new_tokens: if best.source == PartSource::Cached {
                 prompt.own_tokens()
             } else {
                 prompt.input
             },
-            busy_time: [need.full_time, need.own_time][reads],
+            busy_time: [costs.full_time, costs.own_time][without_shared],
             queue_time: best.queue_time,
             total_time: best.total_time,
             fetch_from: source.map(|e| e.entry.address),
         })
     }
 
-    fn estimate<'e>(&self, engine: &'e Engine, keeps: bool, need: PrefillCosts) -> Estimate<'e> {
+    fn estimate<'e>(&self, engine: &'e Engine, is_cached: bool, costs: PrefillCosts) -> Estimate<'e> {
         let slowness = self.loads.slowness(self.now, engine.key);
-        let before = self.loads.work(self.now, engine.key).prefill;
-        let anew = need.full_time.saturating_sub(need.own_time);
-        // What is read or fetched anew costs this request its time, and all behind it the engine's, or its memory. What
-        // no engine keeps costs the same everywhere, but at home others find it without being told.
-        let (parts, besides, weight) = match (keeps, need.fetch_time) {
+        let queue_time = self.loads.work(self.now, engine.key).prefill;
+        let shared_time = costs.full_time.saturating_sub(costs.own_time);
+        // Parts that are computed or fetched again delay this request, and they cost the requests behind it time or
+        // memory of the engine. Parts that no engine has cached cost the same everywhere, but at the home other
+        // instances find them without being told.
+        let (source, extra_time, weight) = match (is_cached, costs.fetch_time) {
             (true, _) => (PartSource::Cached, Duration::ZERO, 0.0),
-            (false, Some(fetch)) if fetch < anew => (PartSource::Fetched, fetch, CACHE_MISS_WEIGHT),
-            (false, Some(_)) => (PartSource::Prefilled, anew, CACHE_MISS_WEIGHT),
-            (false, None) if need.home == Some(engine.key) => (PartSource::Prefilled, anew, 0.0),
-            (false, None) => (PartSource::Prefilled, anew, OFF_HOME_WEIGHT),
+            (false, Some(fetch)) if fetch < shared_time => (PartSource::Fetched, fetch, CACHE_MISS_WEIGHT),
+            (false, Some(_)) => (PartSource::Prefilled, shared_time, CACHE_MISS_WEIGHT),
+            (false, None) if costs.home == Some(engine.key) => (PartSource::Prefilled, shared_time, 0.0),
+            (false, None) => (PartSource::Prefilled, shared_time, OFF_HOME_WEIGHT),
         };
-        let plain = need.fixed_latency + before + need.own_time + besides;
+        let expected = costs.fixed_latency + queue_time + costs.own_time + extra_time;
         let cost = match weight > 0.0 {
-            true => plain + besides.mul_f64(weight),
-            false => plain,
+            true => expected + extra_time.mul_f64(weight),
+            false => expected,
         };
-        // Most engines are as fast as their service; the product takes a third of a choice's time.
-        let [takes, cost] = match slowness == 1.0 {
-            true => [plain, cost],
-            false => [plain, cost].map(|time| time.mul_f64(slowness)),
+        // Most engines are as fast as the mean of their service. Skip the multiplication for them: it takes a third of
+        // the time of a choice.
+        let [total_time, cost] = match slowness == 1.0 {
+            true => [expected, cost],
+            false => [expected, cost].map(|time| time.mul_f64(slowness)),
         };
         Estimate {
             engine,
-            source: parts,
-            queue_time: before,
-            total_time: takes,
+            source,
+            queue_time,
+            total_time,
             cost,
         }
     }
 
-    /// The engine that generates, of those at `stage`.
+    /// Returns the engine at `stage` that generates the answer. `None` if every engine at this stage has been tried.
     pub fn choose_decode<'e>(&self, engines: &'e [Engine], stage: Stage) -> Option<&'e Engine> {
         self.least_wait(at_stage(engines, stage))
     }
 
-    /// The healthy engine with the least wait; of several with the same, where peers hear late of each other's choices, one
-    /// that is drawn.
+    /// Returns the healthy engine with the shortest wait. Ties are broken at random if peers learn of each other's
+    /// choices with a delay.
     ///
-    /// Failure guarded against: of many instances each sends to the first of the idle engines, all to the same one, and
-    /// requests wait there while the others stay idle.
+    /// Failure guarded against: many instances each send to the first of the idle engines, which is the same one for
+    /// all, and requests wait there while the other engines stay idle.
     fn least_wait<'e, I>(&self, engines: I) -> Option<&'e Engine>
     where
         I: Iterator<Item = &'e Engine>,
     {
-        let drawn = |e: &Engine| match self.report_turns {
+        let tie_breaker = |e: &Engine| match self.report_turns {
             0 | 1 => 0,
             _ => hash_pair(e.hash, self.tie_breaker),
         };
-        let open = self.candidates(engines);
-        open.into_iter()
-            .min_by_key(|e| (self.wait_time(e), drawn(e), e.key))
+        let candidates = self.candidates(engines);
+        candidates
+            .into_iter()
+            .min_by_key(|e| (self.wait_time(e), tie_breaker(e), e.key))
     }
 
-    /// Whether an engine has `part` of the work that it can do at once.
+    /// Whether the requests at an engine fill at least the fraction `part` of its slots.
     pub fn is_full(&self, engine: &Engine, part: f64) -> bool {
         let slots = f64::from(engine.entry.slots.max(1));
         f64::from(self.loads.work(self.now, engine.key).requests) >= slots * part
     }
 
-    /// Healthy engines that were not tried yet; else those that were not tried; else none.
+    /// Returns the healthy engines that have not been tried yet. If there are none, returns the unhealthy ones that
+    /// have not been tried; the result is empty if all have been tried.
     fn candidates<'e, I>(&self, engines: I) -> Vec<&'e Engine>
     where
         I: Iterator<Item = &'e Engine>,
     {
-        let fresh: Vec<&Engine> = engines.filter(|e| !self.tried.contains(&e.key)).collect();
-        let failures = |e: &Engine| self.loads.failure_rate(self.now, e.key);
-        let least = LazyCell::new(|| fresh.iter().map(|e| failures(e)).fold(1.0, f64::min));
-        let healthy = |e: &Engine| {
-            let failures = failures(e);
-            !self.loads.is_avoided(self.now, e.key) && (failures < FAILING_RATE || failures < 2.0 * *least)
+        let untried: Vec<&Engine> = engines.filter(|e| !self.tried.contains(&e.key)).collect();
+        let failure_rate = |e: &Engine| self.loads.failure_rate(self.now, e.key);
+        let lowest = LazyCell::new(|| untried.iter().map(|e| failure_rate(e)).fold(1.0, f64::min));
+        let is_healthy = |e: &Engine| {
+            let failure_rate = failure_rate(e);
+            !self.loads.is_avoided(self.now, e.key)
+                && (failure_rate < FAILING_RATE || failure_rate < 2.0 * *lowest)
         };
-        let sound: Vec<&Engine> = fresh.iter().copied().filter(|e| healthy(e)).collect();
-        match sound.is_empty() {
-            true => fresh,
-            false => sound,
+        let healthy: Vec<&Engine> = untried.iter().copied().filter(|e| is_healthy(e)).collect();
+        match healthy.is_empty() {
+            true => untried,
+            false => healthy,
         }
     }
 
-    /// The wait at an engine that generates.
+    /// Returns the expected wait at an engine that generates.
     fn wait_time(&self, engine: &Engine) -> Duration {
         let work = self.loads.work(self.now, engine.key);
         let zone = if engine.entry.zone == self.zone {
@@ -262,8 +274,8 @@
     engines.iter().filter(move |e| e.entry.stage == stage)
 }
 
-/// The engine at which the requests with this part meet, and the one that takes its place when it goes: highest hash
-/// of both, so that one engine's end moves only its own parts.
+/// Returns the home engine of a part, and the engine that becomes its home if the first one leaves: those with the
+/// highest hash of engine and part, so that the loss of one engine moves only its own parts.
 fn home_engines<'e>(engines: &[&'e Engine], part: u64) -> [Option<&'e Engine>; 2] {
     let rank = |e: &Engine| (hash_pair(e.hash, part), e.key);
     let mut best: [Option<&Engine>; 2] = [None, None];
--- a/crates/core/src/relay/prefill_time.rs
+++ b/crates/core/src/relay/prefill_time.rs
@@ -1,39 +1,43 @@
-//! What reading a prompt takes the engines of a service, learned from their own answers.
+//! Model of the prefill time of a service's engines, learned from their answers.
 //!
-//! Reading takes a fixed time until the first token, a time for each token, and a time for each pair of a token with one
-//! before it: long contexts cost more than their length. Engines differ by a factor of five in each of these, so that
-//! no constant serves two deployments. The three are the coefficients of a line, fitted by least squares to readings that
-//! had an engine for themselves; recent ones count more, and a weak prior stands in for what was not seen.
+//! A prefill takes a fixed time until the first token, a time for each token, and a time for each pair of a token and
+//! an earlier one: the cost of long contexts grows faster than their length. Engines differ by a factor of five in
+//! each of these, so no constant suits two deployments. The three times are the coefficients of a linear model, fitted
+//! by least squares to prefills that ran alone on their engine. Recent prefills have more weight, and a weak prior
+//! stands in for what has not been observed.
 
 use std::time::Duration;
 
 use crate::relay::prompt::Prompt;
 
-/// Coefficients: the fixed time, the time of a thousand tokens, the time of a million pairs.
+/// Number of coefficients: the fixed time, the time for a thousand tokens and the time for a million pairs, in this
+/// order.
 const COEFFICIENTS: usize = 3;
 
-/// What is believed before any reading: milliseconds of a fast engine. A belief that is too low lets the first requests
-/// in, and they correct it; one that is too high would refuse them, and nobody would.
+/// Coefficients that are assumed before any observation, in milliseconds, as of a fast engine. If they are too low,
+/// the first requests are accepted and correct them; if they were too high, these requests would be refused, and
+/// nothing would correct them.
 const PRIOR_MEAN: [f64; COEFFICIENTS] = [15.0, 2.5, 0.05];
 
-/// Doubt about each of these, squared: known engines differ by about so much.
+/// Variance of the prior coefficients: known engines differ by about this much.
 const PRIOR_VARIANCE: [f64; COEFFICIENTS] = [400.0, 25.0, 0.09];
 
-/// Spread of a reading's time around the line in milliseconds, squared: two calls between availability zones, and
-/// steps of the engine that had begun.
+/// Variance of a prefill's time around the model, in square milliseconds: two calls between availability zones, and
+/// steps that the engine had begun.
 const NOISE_VARIANCE: f64 = 100.0;
 
-/// Part of the weight of earlier readings that stays with each: the last two hundred count.
+/// Factor by which each observation reduces the weight of the earlier ones: about the last two hundred count.
 const FORGETTING_FACTOR: f64 = 0.995;
 
-/// Most by which one reading may differ from the line, as a part of what was expected: one that had to read parts that
-/// were thought to be kept says nothing of the speed.
+/// Maximum residual of an observation, as a fraction of the expected time: a prefill that had to compute parts which
+/// were assumed to be cached says nothing about the engine's speed.
 const RESIDUAL_LIMIT: f64 = 0.5;
 
-/// Least by which it may differ, in milliseconds, so that a wrong belief is corrected within a few readings.
+/// Lower bound of the residual limit, in milliseconds, so that wrong coefficients are corrected within a few
+/// observations.
 const MIN_RESIDUAL_LIMIT: f64 = 30.0;
 
-/// What an engine reads for one request.
+/// Tokens and pairs of tokens that an engine processes for one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefillWork {
     tokens: f64,
@@ -41,7 +45,7 @@
 }
 
 impl PrefillWork {
-    /// The last `tokens` of a prompt; those before are kept.
+    /// Work for the last `tokens` of a prompt; those before them are cached.
     pub fn new(prompt: &Prompt, tokens: u32) -> PrefillWork {
         let input = f64::from(prompt.input);
         let tokens = f64::from(tokens);
@@ -56,13 +60,13 @@
     }
 }
 
-/// The line.
+/// Linear model of the prefill time.
 #[derive(Debug, Clone)]
 pub struct PrefillModel {
     coefficients: [f64; COEFFICIENTS],
-    /// Weighted sum of the products of each reading's features.
+    /// Weighted sum of the outer products of the feature vectors.
     products: [[f64; COEFFICIENTS]; COEFFICIENTS],
-    /// Weighted sum of each reading's features times what it took.
+    /// Weighted sum of the feature vectors times the observed times, in milliseconds.
     times: [f64; COEFFICIENTS],
 }
 
@@ -77,38 +81,39 @@
 }
 
 impl PrefillModel {
-    /// Time for which a reading keeps an engine from others.
-    pub fn busy_time(&self, load: PrefillWork) -> Duration {
-        let [_, tokens, pairs] = load.features();
+    /// Returns the time for which a prefill keeps an engine from other requests.
+    pub fn busy_time(&self, work: PrefillWork) -> Duration {
+        let [_, tokens, pairs] = work.features();
         let [_, token, pair] = self.coefficients;
         millis(token * tokens + pair * pairs)
     }
 
-    /// Time that every reading takes besides: it doesn't keep the engine from others.
+    /// Returns the additional time of every prefill, during which the engine can process other requests.
     pub fn fixed_latency(&self) -> Duration {
         millis(self.coefficients[0])
     }
 
-    /// Takes a reading that had an engine for itself.
-    pub fn on_uncontended(&mut self, load: PrefillWork, took: Duration) {
-        let row = load.features();
-        let expected = dot(&self.coefficients, &row);
-        let most = (expected * RESIDUAL_LIMIT).max(MIN_RESIDUAL_LIMIT);
-        let error = (took.as_secs_f64() * 1e3 - expected).clamp(-most, most);
+    /// Updates the model from a prefill that ran alone on its engine.
+    pub fn on_uncontended(&mut self, work: PrefillWork, took: Duration) {
+        let features = work.features();
+        let expected = dot(&self.coefficients, &features);
+        let limit = (expected * RESIDUAL_LIMIT).max(MIN_RESIDUAL_LIMIT);
+        let error = (took.as_secs_f64() * 1e3 - expected).clamp(-limit, limit);
         for i in 0..COEFFICIENTS {
-            self.times[i] = self.times[i] * FORGETTING_FACTOR + row[i] * (expected + error);
+            self.times[i] = self.times[i] * FORGETTING_FACTOR + features[i] * (expected + error);
             for j in 0..COEFFICIENTS {
-                self.products[i][j] = self.products[i][j] * FORGETTING_FACTOR + row[i] * row[j];
+                self.products[i][j] = self.products[i][j] * FORGETTING_FACTOR + features[i] * features[j];
             }
         }
-        // No part of the time is negative, however the readings scatter.
-        self.coefficients = self.fit().map(|part| part.max(0.0));
+        // No coefficient is negative, however much the observations scatter.
+        self.coefficients = self.fit().map(|value| value.max(0.0));
     }
 
-    /// The line that fits the readings and the prior best.
+    /// Returns the coefficients that fit the observations and the prior best.
     ///
-    /// Failure guarded against: a service asks for one size only, the readings say nothing of the other coefficients, and
-    /// the line runs away. The prior's weight doesn't fade, so that the matrix can always be solved.
+    /// Failure guarded against: all requests of a service have the same size, the observations say nothing about the
+    /// other coefficients, and these diverge. The weight of the prior doesn't decay, so the system of equations always
+    /// has a solution.
     fn fit(&self) -> [f64; COEFFICIENTS] {
         let mut rows: [[f64; COEFFICIENTS + 1]; COEFFICIENTS] = std::array::from_fn(|i| {
             let weight = NOISE_VARIANCE / PRIOR_VARIANCE[i];
@@ -123,21 +128,21 @@
     }
 }
 
-/// Gauss-Jordan elimination; the matrix is positive definite, so that no pivot is zero.
+/// Gauss-Jordan elimination; the matrix is positive definite, so no pivot is zero.
 fn eliminate(rows: &mut [[f64; COEFFICIENTS + 1]; COEFFICIENTS]) {
     for pivot in 0..COEFFICIENTS {
-        let by = rows[pivot];
+        let pivot_row = rows[pivot];
         for (_, row) in rows.iter_mut().enumerate().filter(|(i, _)| *i != pivot) {
-            let factor = row[pivot] / by[pivot];
-            for (cell, part) in row.iter_mut().zip(by) {
-                *cell -= factor * part;
+            let factor = row[pivot] / pivot_row[pivot];
+            for (cell, value) in row.iter_mut().zip(pivot_row) {
+                *cell -= factor * value;
             }
         }
     }
 }
 
-fn dot(one: &[f64; COEFFICIENTS], other: &[f64; COEFFICIENTS]) -> f64 {
-    one.iter().zip(other).map(|(a, b)| a * b).sum()
+fn dot(left: &[f64; COEFFICIENTS], right: &[f64; COEFFICIENTS]) -> f64 {
+    left.iter().zip(right).map(|(a, b)| a * b).sum()
 }
 
 fn millis(millis: f64) -> Duration {
