--- a/crates/core/src/relay/load_message.rs
+++ b/crates/core/src/relay/load_message.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::relay::book::Work;
-use crate::relay::parts::Read;
+use crate::relay::cached_parts::PrefillRecord;
+use crate::relay::load_tracker::Work;
 use crate::relay::suspects::CrashNote;
 use crate::relay::watchers::SyncStatus;
 
@@ -49,7 +49,7 @@
     /// Engines that recently broke off a request.
     pub notes: Vec<CrashNote>,
     /// Prompts that the sender recently had processed.
-    pub reads: Vec<Read>,
+    pub reads: Vec<PrefillRecord>,
     /// Revision of the store up to which the sender knows the engines.
     pub revision: u64,
     /// Milliseconds since the store had nothing beyond that revision; `u32::MAX` if the sender can't tell.
@@ -62,11 +62,15 @@
 
 impl LoadMessage {
     /// A message with the load `work`, without a status of the store.
-    pub fn new(work: BTreeMap<String, Work>, notes: Vec<CrashNote>, reads: Vec<Read>) -> LoadMessage {
+    pub fn new(
+        work: BTreeMap<String, Work>,
+        notes: Vec<CrashNote>,
+        reads: Vec<PrefillRecord>,
+    ) -> LoadMessage {
         let shares = work.into_iter().map(|(engine, work)| EngineLoad {
             engine,
             requests: work.requests,
-            reading: u64::try_from(work.reading.as_micros()).unwrap_or(u64::MAX),
+            reading: u64::try_from(work.prefill.as_micros()).unwrap_or(u64::MAX),
         });
         LoadMessage {
             shares: shares.collect(),
--- a/src/ops/relay/shared.rs
+++ b/src/ops/relay/shared.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use sequoiastream_core::relay::book::Book;
 use sequoiastream_core::relay::budget::RetryBudget;
 use sequoiastream_core::relay::directory::Endpoint;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
 use sequoiastream_core::relay::leader_lease::LeaseRecord;
+use sequoiastream_core::relay::load_tracker::LoadTracker;
 use sequoiastream_core::relay::routes::RoutingTable;
 use sequoiastream_core::relay::suspects::Suspects;
 use sequoiastream_core::relay::usage::Tally;
@@ -99,7 +99,7 @@
 #[derive(Debug)]
 pub struct Ledger {
     /// Load and health of engines.
-    pub book: Book,
+    pub book: LoadTracker,
     /// Budget of extra attempts.
     pub budget: RetryBudget,
     /// Requests that crash engines.
@@ -144,7 +144,7 @@
     /// State before anything is known.
     pub fn new(options: Options, translate: Arc<dyn Translate>, budget: SharedBudget) -> Shared {
         let ledger = Ledger {
-            book: Book::new(),
+            book: LoadTracker::new(),
             budget: RetryBudget::new(options.tuning.rule),
             suspects: Suspects::new(),
             tally: Tally::default(),
