--- a/crates/core/benches/relay.rs
+++ b/crates/core/benches/relay.rs
@@ -183,7 +183,7 @@
             gap_target: Duration::from_millis(150),
             priority: 1,
             max_attempts: 3,
-            sticky: true,
+            affine: true,
             public: false,
             targets: vec![RouteTarget {
                 service: "assistente".to_string(),
--- a/crates/core/src/relay/routes.rs
+++ b/crates/core/src/relay/routes.rs
@@ -81,7 +81,7 @@
     /// Maximum number of engines that one request may be sent to.
     pub max_attempts: u32,
     /// Whether its requests carry a prompt and are better sent to an engine that has parts of it cached.
-    pub sticky: bool,
+    pub affine: bool,
     /// Whether its requests need no key.
     pub public: bool,
     /// Services that its requests are sent to.
--- a/src/ops/relay/head.rs
+++ b/src/ops/relay/head.rs
@@ -109,7 +109,7 @@
             true => number(&self.headers, &names.resume).map_err(|_| "the last event")?,
             false => None,
         };
-        let prompt = match route.sticky || route.kind.is_stream() {
+        let prompt = match route.affine || route.kind.is_stream() {
             true => prompt(shared, &self.headers),
             false => None,
         };
--- a/tests/testsuite/relay/instance.rs
+++ b/tests/testsuite/relay/instance.rs
@@ -232,7 +232,7 @@
         gap_target: Duration::ZERO,
         priority: 0,
         max_attempts: 2,
-        sticky: false,
+        affine: false,
         public: false,
         targets: vec![RouteTarget {
             service: "chat".to_string(),
--- a/tests/testsuite/relay/routes.rs
+++ b/tests/testsuite/relay/routes.rs
@@ -24,7 +24,7 @@
         gap_target: Duration::ZERO,
         priority: 0,
         max_attempts: 1,
-        sticky: false,
+        affine: false,
         public: false,
         targets,
     }
