--- a/crates/core/src/claims/mod.rs
+++ b/crates/core/src/claims/mod.rs
@@ -16,7 +16,7 @@
 //! 3. A token is granted only after it was seen to be stored there.
 //!
 //! Safety therefore does not depend on which instance believes that it owns a shard: the version of the entry is the
-//! fencing number, and a write by a stale owner has no effect. Ownership only lets concurrent claims share one
+//! fencing token, and a write by a stale owner has no effect. Ownership only lets concurrent claims share one
 //! write.
 
 mod bucket;
--- a/crates/core/src/config/command.rs
+++ b/crates/core/src/config/command.rs
@@ -24,7 +24,7 @@
     pub zone: Name,
     /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Whether the engine checks fencing numbers.
+    /// Whether the engine checks fencing tokens.
     pub fencing: Fencing,
     /// Its fixed role; `None` leaves the role to the planner.
     pub role: Option<Role>,
@@ -140,7 +140,7 @@
         /// The fingerprint in hexadecimal.
         fingerprint: String,
     },
-    /// Declares that an order to an engine that ignores fencing numbers can no longer arrive, although nothing
+    /// Declares that an order to an engine that ignores fencing tokens can no longer arrive, although nothing
     /// shows that it took effect.
     ReleaseOrder {
         /// The engine.
--- a/crates/core/src/config/model.rs
+++ b/crates/core/src/config/model.rs
@@ -48,13 +48,13 @@
     }
 }
 
-/// Whether an engine refuses orders with an outdated fencing number.
+/// Whether an engine refuses orders with an outdated fencing token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
     /// The engine refuses such orders.
     Checked,
-    /// The engine ignores the number.
+    /// The engine ignores the token.
     Ignored,
 }
 
@@ -123,7 +123,7 @@
     pub zone: Name,
     /// Address on which it listens.
     pub address: SocketAddr,
-    /// Whether it checks fencing numbers.
+    /// Whether it checks fencing tokens.
     pub fencing: Fencing,
     /// Whether it gets work.
     pub state: EngineState,
--- a/crates/core/src/relay/leader_lease.rs
+++ b/crates/core/src/relay/leader_lease.rs
@@ -1,7 +1,7 @@
 //! Selects the instance that calls the platform's API on behalf of the fleet, and limits when it may.
 //!
 //! The leader is the holder of a lease in the store. The revision at which its record was created is its fencing
-//! number: that of a later holder is higher. The API may not check it, so a late call must be impossible, not just
+//! token: that of a later holder is higher. The API may not check it, so a late call must be impossible, not just
 //! rejected: a holder counts its lease from when the renewal was sent and stops a margin before the lease ends, and a
 //! successor waits for the length of a lease before its first call.
 
@@ -52,7 +52,7 @@
 pub struct LeaderLease {
     lease: Duration,
     belief: LocalLease,
-    /// Fencing number, and when calls may begin.
+    /// Fencing token, and when calls may begin.
     held: Option<(u64, Time)>,
     /// Since when the store shows no holder.
     free_since: Option<Time>,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Notes that the lease was acquired with this fencing number, by a grant sent at `sent`.
+    /// Notes that the lease was acquired with this fencing token, by a grant sent at `sent`.
     ///
     /// Guards against a last call of the former holder that is still on its way, also if this instance was the holder
     /// before that one: no call is sent until the length of a lease has passed.
@@ -131,7 +131,7 @@
         self.held.is_some()
     }
 
-    /// The fencing number for a call that is sent now; `None` if none may be sent.
+    /// The fencing token for a call that is sent now; `None` if none may be sent.
     pub fn fence(&self, now: Time) -> Option<u64> {
         let (fence, from) = self.held?;
         (now >= from && self.belief.is_valid(now)).then_some(fence)
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -39,7 +39,7 @@
     pub zone: Name,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Whether it checks fencing numbers.
+    /// Whether it checks fencing tokens.
     pub fencing: Fencing,
     /// Whether it takes work.
     pub state: EngineState,
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -62,7 +62,7 @@
     pub role: Role,
     /// The model that it has loaded at first.
     pub model: String,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an old fencing token.
     pub checked: bool,
     /// How long a role change takes it away.
     pub away: Duration,
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -68,7 +68,7 @@
                 .long("fencing")
                 .value_parser(["checked", "ignored"])
                 .default_value("checked")
-                .help("Whether orders with an old fencing number are refused"),
+                .help("Whether orders with an old fencing token are refused"),
         )
 }
 
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -160,7 +160,7 @@
     ///
     /// # Errors
     ///
-    /// [`UpstreamError::Stale`] if the engine has seen a higher fencing number: the order has no effect.
+    /// [`UpstreamError::Stale`] if the engine has seen a higher fencing token: the order has no effect.
     /// After any other error but [`UpstreamError::Connect`] the order may have taken effect.
     pub async fn order(&self, to: SocketAddr, order: &OrderBody) -> Result<(), UpstreamError> {
         let url = format!("http://{to}/v1/order");
--- a/crates/upstream/src/error.rs
+++ b/crates/upstream/src/error.rs
@@ -27,8 +27,8 @@
     /// The answer could not be read.
     #[error("could not read the upstream's answer: {0}")]
     Malformed(String),
-    /// The engine has seen a higher fencing number.
-    #[error("the engine has seen fencing number {0}")]
+    /// The engine has seen a higher fencing token.
+    #[error("the engine has seen fencing token {0}")]
     Stale(u64),
 }
 
--- a/src/ops/relay/lead.rs
+++ b/src/ops/relay/lead.rs
@@ -68,7 +68,7 @@
 pub struct Leadership(Rc<State>);
 
 impl Leadership {
-    /// The fencing number of a call that leaves now; `None` if none may leave.
+    /// The fencing token of a call that leaves now; `None` if none may leave.
     pub fn fence(&self, now: Time) -> Option<u64> {
         self.0.lead.borrow().fence(now)
     }
--- a/src/ops/relay/orders.rs
+++ b/src/ops/relay/orders.rs
@@ -296,7 +296,7 @@
     true
 }
 
-/// Creates the record; its revision is the fencing number. `None` if somebody else has created it.
+/// Creates the record; its revision is the fencing token. `None` if somebody else has created it.
 async fn create(
     shared: &Shared,
     store: &dyn Store,
--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -122,7 +122,7 @@
     let named = |name: &str| log.requests[0].header(name).map(str::to_string);
     assert_eq!(named("x-holder").as_deref(), Some("one"));
     let fence: u64 = named("x-fence")
-        .expect("a fencing number")
+        .expect("a fencing token")
         .parse()
         .expect("a number");
     assert!(fence > 0);
--- a/tests/testsuite/relay/lead.rs
+++ b/tests/testsuite/relay/lead.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The lease and the fencing number, or whether the lease has ended.
+    /// The lease and the fencing token, or whether the lease has ended.
     fn call(&mut self, now: Time, call: Call) -> Result<(u64, u64), bool> {
         self.revision += 1;
         let until = now + LEASE;
@@ -145,7 +145,7 @@
     rng: ChaCha8Rng,
     store: Store,
     instances: Vec<Instance>,
-    /// Calls to the API on their way: when they arrive, whose they are and under which number.
+    /// Calls to the API on their way: when they arrive, whose they are and under which token.
     calls: BTreeSet<(Time, usize, u64)>,
     /// Calls in the order in which they arrived.
     arrived: Vec<(Time, usize, u64)>,
@@ -299,12 +299,12 @@
     for pair in arrived.windows(2) {
         assert!(
             pair[0].2 <= pair[1].2,
-            "seed {seed}: a lower number after a higher one: {pair:?}"
+            "seed {seed}: a lower fencing token after a higher one: {pair:?}"
         );
         let is_same = pair[0].1 == pair[1].1;
         assert!(
             is_same || pair[0].2 < pair[1].2,
-            "seed {seed}: two with one number: {pair:?}"
+            "seed {seed}: two with one fencing token: {pair:?}"
         );
     }
     let mut holders: Vec<(Time, Time, usize)> = Vec::new();
--- a/tests/testsuite/whole/engines.rs
+++ b/tests/testsuite/whole/engines.rs
@@ -1,4 +1,4 @@
-//! The engines: one checks fencing numbers, one ignores them. Both check what reaches them.
+//! The engines: one checks fencing tokens, one ignores them. Both check what reaches them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -62,8 +62,8 @@
     }
 
     /// An order arrives. What takes effect must be the last recorded order, come after all before it, and be the
-    /// same whenever it comes again. A late copy of the one before may reach an engine that checks numbers while
-    /// the next is not there yet (seed 108); it must change nothing, not even the number. Gives the answer, and
+    /// same whenever it comes again. A late copy of the one before may reach an engine that checks tokens while
+    /// the next is not there yet (seed 108); it must change nothing, not even the token. Gives the answer, and
     /// whether the engine changed.
     pub fn apply(&mut self, now: Time, order: Order, recorded: &Order) -> (OrderAnswer, bool) {
         if self.fencing == Fencing::Checked && order.fence < self.fence {
