--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -27,7 +27,7 @@
 use crate::time::Time;
 
 /// Pause before engines that failed are tried again for an answer that the caller has a part of.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Pauses in a row before an answer that the caller has a part of is given up: five seconds in all.
 const MAX_WAITS: u32 = 25;
@@ -36,13 +36,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// From sending an attempt to its first token.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Between two tokens.
-    pub between: Duration,
+    pub between_tokens: Duration,
     /// When the whole answer must be there.
     pub deadline: Time,
     /// Attempts in a row that may have run and bring no token.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// What a caller that comes back has already.
@@ -60,16 +60,16 @@
     /// No byte left, or the engine vouches that it did not start.
     NotStarted,
     /// The engine has another version of the model than the resumed text, and did not start.
-    Version,
+    VersionMismatch,
     /// The connection broke, or the engine answered with an error: it may have run.
-    Lost,
+    MayHaveRun,
 }
 
 impl Failure {
     fn end(self) -> End {
         match self {
-            Failure::NotStarted | Failure::Version => End::Declined,
-            Failure::Lost => End::Broken,
+            Failure::NotStarted | Failure::VersionMismatch => End::Declined,
+            Failure::MayHaveRun => End::Broken,
         }
     }
 }
@@ -80,7 +80,7 @@
     /// An engine was picked; the attempt to send to it has this new id.
     Picked(Uuid),
     /// No engine can take the attempt now.
-    Empty,
+    NoEngine,
     /// An engine could take the attempt later, but not now.
     Busy,
     /// The engine took the attempt, with this version of the model.
@@ -90,13 +90,13 @@
     /// The caller took the token.
     Delivered,
     /// The attempt's last line: the answer ends at this offset.
-    Last(Uuid, u32),
+    Finished(Uuid, u32),
     /// The attempt ended without a last line.
-    Broke(Uuid, Failure),
+    AttemptFailed(Uuid, Failure),
     /// The request must go on elsewhere, though its engine is not to blame.
-    Move,
+    Relocate,
     /// The caller went away.
-    Gone,
+    CallerGone,
     /// Time passed.
     Tick,
 }
@@ -120,7 +120,7 @@
     /// Pick an engine that was not tried; answer with `Picked`, `Empty` or `Busy`.
     Pick,
     /// Forget which engines were tried.
-    Forget,
+    ClearTried,
     /// Send this attempt.
     Send(Send),
     /// Give the caller the token at this offset; answer with `Delivered`.
@@ -143,7 +143,7 @@
     /// It may have run.
     Unknown(Cause),
     /// The caller went away.
-    Gone,
+    CallerGone,
 }
 
 /// Why an answer that may have run is not whole.
@@ -172,17 +172,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     limits: Limits,
-    begun: u32,
+    start_offset: u32,
     splice: Splice,
     phase: Phase,
-    alive: Time,
-    token: bool,
+    last_activity: Time,
+    got_token: bool,
     version: Option<u32>,
     continued: bool,
-    mismatch: bool,
+    version_mismatch: bool,
     opened: bool,
     waits: u32,
-    picked: u32,
+    attempt_count: u32,
     attempts: Attempts,
 }
 
@@ -191,18 +191,18 @@
     pub fn new(now: Time, limits: Limits, resume: Resume) -> Answer {
         Answer {
             limits,
-            begun: resume.offset,
+            start_offset: resume.offset,
             splice: Splice::new(resume.offset),
             phase: Phase::Picking,
-            alive: now,
-            token: false,
+            last_activity: now,
+            got_token: false,
             version: resume.version.filter(|_| resume.offset > 0),
             continued: false,
-            mismatch: false,
+            version_mismatch: false,
             opened: false,
             waits: 0,
-            picked: 0,
-            attempts: Attempts::new(Repeat::Safe, Bound::Fruitless(limits.attempts)),
+            attempt_count: 0,
+            attempts: Attempts::new(Repeat::Safe, Bound::Fruitless(limits.max_attempts)),
         }
     }
 
@@ -211,8 +211,8 @@
         if self.phase == Phase::Ended {
             return Vec::new();
         }
-        if event == Event::Gone {
-            return self.end(Ending::Gone);
+        if event == Event::CallerGone {
+            return self.end(Ending::CallerGone);
         }
         // What arrives together with the deadline is late: a caller that stopped waiting must not be told `whole`.
         if now >= self.limits.deadline {
@@ -220,15 +220,15 @@
         }
         match event {
             Event::Picked(attempt) => self.on_picked(now, attempt),
-            Event::Empty => self.on_empty(now),
+            Event::NoEngine => self.on_no_engine(now),
             Event::Busy => self.wait(now),
             Event::Opened(attempt, version) => self.on_opened(now, attempt, version),
             Event::Token(attempt, offset) => self.on_token(now, attempt, offset),
-            Event::Delivered => self.touch(now),
-            Event::Last(attempt, offset) => self.on_last(attempt, offset),
-            Event::Broke(attempt, failure) => self.on_broke(attempt, failure),
-            Event::Move => self.leave_for_others(),
-            Event::Gone => Vec::new(),
+            Event::Delivered => self.record_activity(now),
+            Event::Finished(attempt, offset) => self.on_finished(attempt, offset),
+            Event::AttemptFailed(attempt, failure) => self.on_attempt_failed(attempt, failure),
+            Event::Relocate => self.relocate(),
+            Event::CallerGone => Vec::new(),
             Event::Tick => self.on_tick(now),
         }
     }
@@ -237,14 +237,14 @@
     pub fn due(&self) -> Time {
         let limit = match self.phase {
             Phase::Waiting(until) => until,
-            Phase::Sent(_) | Phase::Open(_) => self.alive + self.patience(),
+            Phase::Sent(_) | Phase::Open(_) => self.last_activity + self.silence_limit(),
             Phase::Picking | Phase::Ended => self.limits.deadline,
         };
         limit.min(self.limits.deadline)
     }
 
     /// Offset of the next token.
-    pub fn next(&self) -> u32 {
+    pub fn next_offset(&self) -> u32 {
         self.splice.next()
     }
 
@@ -261,24 +261,24 @@
 
     /// Attempts sent.
     pub fn attempts(&self) -> u32 {
-        self.picked
+        self.attempt_count
     }
 
     /// Whether the last attempt was silent for longer than it may be.
     pub fn is_silent(&self, now: Time) -> bool {
-        now >= self.alive + self.patience()
+        now >= self.last_activity + self.silence_limit()
     }
 
     /// Whether an engine may have run some of it.
-    pub fn is_run(&self) -> bool {
+    pub fn may_have_run(&self) -> bool {
         self.attempts.may_have_run()
     }
 
     /// How long the open attempt may be silent.
-    fn patience(&self) -> Duration {
-        match self.token {
-            true => self.limits.between,
-            false => self.limits.first,
+    fn silence_limit(&self) -> Duration {
+        match self.got_token {
+            true => self.limits.between_tokens,
+            false => self.limits.first_token,
         }
     }
 
@@ -295,9 +295,9 @@
         }
         let offset = self.splice.open(attempt);
         self.phase = Phase::Sent(attempt);
-        self.alive = now;
-        self.token = false;
-        self.picked += 1;
+        self.last_activity = now;
+        self.got_token = false;
+        self.attempt_count += 1;
         vec![Action::Send(Send {
             attempt,
             offset,
@@ -306,14 +306,14 @@
         })]
     }
 
-    fn on_empty(&mut self, now: Time) -> Vec<Action> {
+    fn on_no_engine(&mut self, now: Time) -> Vec<Action> {
         if self.phase != Phase::Picking {
             return Vec::new();
         }
-        if self.mismatch && !self.continued {
-            return self.on_version_gone();
+        if self.version_mismatch && !self.continued {
+            return self.on_version_unavailable();
         }
-        let delivered = self.next() > self.begun;
+        let delivered = self.next_offset() > self.start_offset;
         if delivered && self.waits < MAX_WAITS {
             self.waits += 1;
             return self.wait(now);
@@ -322,16 +322,16 @@
     }
 
     /// No engine has the version left that made the text so far.
-    fn on_version_gone(&mut self) -> Vec<Action> {
-        if self.begun > 0 {
+    fn on_version_unavailable(&mut self) -> Vec<Action> {
+        if self.start_offset > 0 {
             return self.end(Ending::Failed(Cause::Version));
         }
         self.continued = true;
-        vec![Action::Forget, Action::Pick]
+        vec![Action::ClearTried, Action::Pick]
     }
 
     fn wait(&mut self, now: Time) -> Vec<Action> {
-        self.phase = Phase::Waiting(now + PAUSE);
+        self.phase = Phase::Waiting(now + RETRY_DELAY);
         Vec::new()
     }
 
@@ -343,12 +343,12 @@
         self.opened = true;
         if !self.continued && self.version.is_some_and(|v| v != version) {
             // The engine took the attempt without looking at the version: its tokens don't fit the text.
-            self.mismatch = true;
-            return self.leave(attempt);
+            self.version_mismatch = true;
+            return self.abandon(attempt);
         }
         self.phase = Phase::Open(attempt);
-        self.alive = now;
-        if self.next() == 0 {
+        self.last_activity = now;
+        if self.next_offset() == 0 {
             self.version = Some(version);
         }
         Vec::new()
@@ -357,23 +357,23 @@
     fn on_token(&mut self, now: Time, attempt: Uuid, offset: u32) -> Vec<Action> {
         match self.splice.on_token(attempt, offset) {
             Verdict::Foreign | Verdict::Repeat => Vec::new(),
-            Verdict::Gap => self.leave(attempt),
+            Verdict::Gap => self.abandon(attempt),
             Verdict::Deliver => {
                 self.attempts.on_progress();
                 self.waits = 0;
-                self.token = true;
-                self.alive = now;
+                self.got_token = true;
+                self.last_activity = now;
                 vec![Action::Deliver(offset)]
             }
         }
     }
 
-    fn touch(&mut self, now: Time) -> Vec<Action> {
-        self.alive = now;
+    fn record_activity(&mut self, now: Time) -> Vec<Action> {
+        self.last_activity = now;
         Vec::new()
     }
 
-    fn on_last(&mut self, attempt: Uuid, offset: u32) -> Vec<Action> {
+    fn on_finished(&mut self, attempt: Uuid, offset: u32) -> Vec<Action> {
         if self.splice.on_finish(attempt, offset) {
             self.phase = Phase::Ended;
             return vec![Action::End(Ending::Whole)];
@@ -381,29 +381,29 @@
         // A last line of another attempt says nothing; one of the open attempt at another offset is no whole
         // answer, and the attempt has nothing more to bring.
         match self.current() == Some(attempt) {
-            true => self.leave(attempt),
+            true => self.abandon(attempt),
             false => Vec::new(),
         }
     }
 
-    fn on_broke(&mut self, attempt: Uuid, failure: Failure) -> Vec<Action> {
+    fn on_attempt_failed(&mut self, attempt: Uuid, failure: Failure) -> Vec<Action> {
         if self.current() != Some(attempt) {
             return Vec::new();
         }
         self.splice.close();
-        self.mismatch |= failure == Failure::Version;
-        self.go_on(failure.end())
+        self.version_mismatch |= failure == Failure::VersionMismatch;
+        self.proceed_after(failure.end())
     }
 
     /// Closes the attempt, cancels it and goes on elsewhere.
-    fn leave(&mut self, attempt: Uuid) -> Vec<Action> {
+    fn abandon(&mut self, attempt: Uuid) -> Vec<Action> {
         self.splice.close();
         let mut actions = vec![Action::Cancel(attempt)];
-        actions.extend(self.go_on(End::Broken));
+        actions.extend(self.proceed_after(End::Broken));
         actions
     }
 
-    fn go_on(&mut self, end: End) -> Vec<Action> {
+    fn proceed_after(&mut self, end: End) -> Vec<Action> {
         match self.attempts.on_end(end) {
             Next::Again => {
                 self.phase = Phase::Picking;
@@ -413,7 +413,7 @@
         }
     }
 
-    fn leave_for_others(&mut self) -> Vec<Action> {
+    fn relocate(&mut self) -> Vec<Action> {
         match self.current() {
             Some(attempt) => {
                 self.attempts.on_run();
@@ -429,10 +429,12 @@
         match self.phase {
             Phase::Waiting(until) if now >= until => {
                 self.phase = Phase::Picking;
-                vec![Action::Forget, Action::Pick]
+                vec![Action::ClearTried, Action::Pick]
             }
-            Phase::Sent(attempt) | Phase::Open(attempt) if now >= self.alive + self.patience() => {
-                self.leave(attempt)
+            Phase::Sent(attempt) | Phase::Open(attempt)
+                if now >= self.last_activity + self.silence_limit() =>
+            {
+                self.abandon(attempt)
             }
             _ => Vec::new(),
         }
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -61,10 +61,10 @@
         .deadline
         .unwrap_or_else(|| admit::default_deadline(&snapshot, &call));
     let limits = Limits {
-        first: dispatch.shared.settings.patience.first,
-        between: dispatch.shared.settings.patience.between,
+        first_token: dispatch.shared.settings.patience.first,
+        between_tokens: dispatch.shared.settings.patience.between,
         deadline: now + limit,
-        attempts: MAX_ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
     };
     let ask = admit::ask(&dispatch.shared, &snapshot, &call, service);
     let request = Request {
@@ -145,7 +145,7 @@
             if self.barred {
                 return self.bar().await;
             }
-            self.moving |= event == Some(Event::Move);
+            self.moving |= event == Some(Event::Relocate);
             if let Some(event) = event {
                 actions.extend(self.answer.on(clock::now(), event));
             }
@@ -156,7 +156,7 @@
     async fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Pick => self.pick().await,
-            Action::Forget => {
+            Action::ClearTried => {
                 self.tried.clear();
                 None
             }
@@ -187,7 +187,7 @@
 
     async fn pick(&mut self) -> Option<Event> {
         if !self.may_retry() {
-            return Some(Event::Empty);
+            return Some(Event::NoEngine);
         }
         if !self.is_known() {
             return Some(Event::Busy);
@@ -207,7 +207,7 @@
                 });
                 Some(Event::Picked(attempt))
             }
-            Picked::Empty => Some(Event::Empty),
+            Picked::Empty => Some(Event::NoEngine),
             Picked::Busy => Some(Event::Busy),
             Picked::Barred => {
                 self.barred = true;
@@ -237,14 +237,14 @@
             self.dispatch.shared.metrics.traffic.resumes.inc();
         }
         let Some(open) = &self.open else {
-            return Event::Broke(send.attempt, Failure::NotStarted);
+            return Event::AttemptFailed(send.attempt, Failure::NotStarted);
         };
         self.sent = self.unsent.take().map(Unsent::send);
         let generated = self.dispatch.engines.generate(open.target.address, &body);
         let result = tokio::select! {
             result = generated => result,
-            () = self.sender.closed() => return Event::Gone,
-            () = open.stop.notified() => return Event::Move,
+            () = self.sender.closed() => return Event::CallerGone,
+            () = open.stop.notified() => return Event::Relocate,
             () = clock::until(self.answer.due()) => return Event::Tick,
         };
         match result {
@@ -282,25 +282,25 @@
         };
         log_event!(warn, log_event::ATTEMPT_FAILED, engine = %open.target.name, %error);
         let failure = match &error {
-            UpstreamError::OtherVersion => Failure::Version,
+            UpstreamError::OtherVersion => Failure::VersionMismatch,
             error if error.is_not_started() => Failure::NotStarted,
-            _ => Failure::Lost,
+            _ => Failure::MayHaveRun,
         };
         match failure {
-            Failure::Lost => {
+            Failure::MayHaveRun => {
                 self.lost();
                 self.dispatch
                     .judge(&self.request, &open.target, open.attempt)
                     .await;
             }
-            Failure::NotStarted | Failure::Version => {
+            Failure::NotStarted | Failure::VersionMismatch => {
                 self.unsent = self.sent.take().map(Sent::returned);
             }
         }
         self.tried.push(open.target.name.clone());
         self.dispatch.avoid(&open.target);
         self.dispatch.close(open.target, open.attempt).await;
-        Event::Broke(open.attempt, failure)
+        Event::AttemptFailed(open.attempt, failure)
     }
 
     async fn next_event(&mut self) -> Event {
@@ -312,14 +312,14 @@
         }) = &mut self.open
         else {
             return tokio::select! {
-                () = self.sender.closed() => Event::Gone,
+                () = self.sender.closed() => Event::CallerGone,
                 () = clock::until(due) => Event::Tick,
             };
         };
         let piece = tokio::select! {
             piece = stream.next() => piece,
-            () = self.sender.closed() => return Event::Gone,
-            () = stop.notified() => return Event::Move,
+            () = self.sender.closed() => return Event::CallerGone,
+            () = stop.notified() => return Event::Relocate,
             () = clock::until(due) => return Event::Tick,
         };
         match piece {
@@ -342,7 +342,7 @@
                     cached: finish.cached,
                     output: offset,
                 });
-                Event::Last(attempt, offset)
+                Event::Finished(attempt, offset)
             }
             None => {
                 self.piece = Some(piece);
@@ -358,7 +358,7 @@
         };
         let rule = "only the piece that was read is delivered";
         if invariant::check(piece.offset == offset, rule).is_err() {
-            return Event::Gone;
+            return Event::CallerGone;
         }
         self.text.push_str(&piece.text);
         self.observe();
@@ -370,13 +370,13 @@
         // Mostly there is room; a timer for each token would cost more than the token.
         let token = match self.sender.try_send(token) {
             Ok(()) => return Event::Delivered,
-            Err(TrySendError::Closed(_)) => return Event::Gone,
+            Err(TrySendError::Closed(_)) => return Event::CallerGone,
             Err(TrySendError::Full(token)) => token,
         };
         tokio::select! {
             sent = self.sender.send(token) => match sent {
                 Ok(()) => Event::Delivered,
-                Err(_) => Event::Gone,
+                Err(_) => Event::CallerGone,
             },
             () = clock::until(self.request.deadline) => Event::Tick,
         }
--- a/src/ops/dispatch/generate/ending.rs
+++ b/src/ops/dispatch/generate/ending.rs
@@ -29,7 +29,7 @@
             Ending::NotRun(reason) => AnswerEvent::Failed(self.not_run(reason)),
             Ending::Failed(cause) => AnswerEvent::Failed(Refusal::failed(message(cause))),
             Ending::Unknown(cause) => AnswerEvent::Failed(Refusal::unknown(message(cause))),
-            Ending::Gone => {
+            Ending::CallerGone => {
                 let product = &self.request.product;
                 self.dispatch.shared.metrics.traffic.gone(product);
                 return self.count_dropped();
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -18,10 +18,10 @@
 use uuid::Uuid;
 
 const LIMITS: Limits = Limits {
-    first: Duration::from_millis(100),
-    between: Duration::from_millis(50),
+    first_token: Duration::from_millis(100),
+    between_tokens: Duration::from_millis(50),
     deadline: Time::from_millis(10_000),
-    attempts: 3,
+    max_attempts: 3,
 };
 
 fn attempt(number: u128) -> Uuid {
@@ -41,14 +41,14 @@
 #[test]
 fn end_by_history() {
     let (a, b) = (attempt(1), attempt(2));
-    let refused = [Event::Picked(a), Event::Broke(a, Failure::NotStarted)];
-    let lost = [Event::Picked(a), Event::Broke(a, Failure::Lost)];
+    let refused = [Event::Picked(a), Event::AttemptFailed(a, Failure::NotStarted)];
+    let lost = [Event::Picked(a), Event::AttemptFailed(a, Failure::MayHaveRun)];
     let broken = [
         Event::Picked(a),
         Event::Opened(a, 1),
-        Event::Broke(a, Failure::Lost),
+        Event::AttemptFailed(a, Failure::MayHaveRun),
     ];
-    let then_refused = [Event::Picked(b), Event::Broke(b, Failure::NotStarted)];
+    let then_refused = [Event::Picked(b), Event::AttemptFailed(b, Failure::NotStarted)];
     let cases = [
         ("no engine", vec![], Ending::NotRun(Reason::NoEngine)),
         ("refused", refused.to_vec(), Ending::NotRun(Reason::NoEngine)),
@@ -75,10 +75,10 @@
             assert_eq!(ending(&answer.on(Time::ZERO, event)), None, "{name}");
         }
         // The decision falls with the event that makes it, at the very time of that event.
-        let last = answer.on(Time::ZERO, Event::Empty);
+        let last = answer.on(Time::ZERO, Event::NoEngine);
         assert_eq!(ending(&last), Some(expected), "{name}");
         assert!(
-            answer.on(Time::ZERO, Event::Empty).is_empty(),
+            answer.on(Time::ZERO, Event::NoEngine).is_empty(),
             "{name}: ended twice"
         );
     }
@@ -119,7 +119,7 @@
         answer.on(Time::ZERO, Event::Token(a, 0)),
         vec![Action::Deliver(0)]
     );
-    answer.on(Time::ZERO, Event::Broke(a, Failure::Lost));
+    answer.on(Time::ZERO, Event::AttemptFailed(a, Failure::MayHaveRun));
     let sent = answer.on(Time::ZERO, Event::Picked(b));
     assert!(
         matches!(sent[..], [Action::Send(send)] if send.version == Some(1) && send.offset == 1),
@@ -130,8 +130,8 @@
     assert_eq!(opened, vec![Action::Cancel(b), Action::Pick]);
     assert!(answer.on(Time::ZERO, Event::Token(b, 1)).is_empty());
     assert_eq!(
-        answer.on(Time::ZERO, Event::Empty),
-        vec![Action::Forget, Action::Pick]
+        answer.on(Time::ZERO, Event::NoEngine),
+        vec![Action::ClearTried, Action::Pick]
     );
     let sent = answer.on(Time::ZERO, Event::Picked(c));
     assert!(
@@ -200,14 +200,14 @@
                 Action::Deliver(offset) => self.delivered.push((*offset, version)),
                 Action::Cancel(attempt) => self.close(*attempt),
                 Action::End(ending) => self.ended = Some(*ending),
-                Action::Forget => {}
+                Action::ClearTried => {}
             }
         }
     }
 
     fn pick(&mut self) {
         match self.rng.random_range(0..10) {
-            0 => self.feed(Event::Empty, 0),
+            0 => self.feed(Event::NoEngine, 0),
             1 => self.feed(Event::Busy, 0),
             _ => {
                 self.numbers += 1;
@@ -220,13 +220,13 @@
         let version = self.rng.random_range(1..3);
         self.continued |= send.continued;
         match self.rng.random_range(0..8) {
-            0 => self.feed(Event::Broke(send.attempt, Failure::NotStarted), 0),
+            0 => self.feed(Event::AttemptFailed(send.attempt, Failure::NotStarted), 0),
             1 => {
                 self.started = true;
-                self.feed(Event::Broke(send.attempt, Failure::Lost), 0);
+                self.feed(Event::AttemptFailed(send.attempt, Failure::MayHaveRun), 0);
             }
             _ if send.version.is_some_and(|v| v != version) && self.rng.random_bool(0.7) => {
-                self.feed(Event::Broke(send.attempt, Failure::Version), 0);
+                self.feed(Event::AttemptFailed(send.attempt, Failure::VersionMismatch), 0);
             }
             _ => {
                 self.started = true;
@@ -261,21 +261,21 @@
             (stream.attempt, stream.version, stream.next)
         };
         if next >= LENGTH && self.rng.random_bool(0.7) {
-            return self.feed(Event::Last(attempt, next), version);
+            return self.feed(Event::Finished(attempt, next), version);
         }
         match self.rng.random_range(0..40) {
             0 => self.streams[index].next += 1,
-            1 => self.feed(Event::Last(attempt, next + 1), version),
+            1 => self.feed(Event::Finished(attempt, next + 1), version),
             2 => self.feed(
                 Event::Token(Uuid::from_u128(attempt.as_u128() ^ 1), next),
                 version,
             ),
             3 if !self.pieces.is_empty() => self.repeat(),
             4 => {
-                self.feed(Event::Broke(attempt, Failure::Lost), version);
+                self.feed(Event::AttemptFailed(attempt, Failure::MayHaveRun), version);
                 self.streams[index].closed = true;
             }
-            5 => self.feed(Event::Move, version),
+            5 => self.feed(Event::Relocate, version),
             _ if next < LENGTH => {
                 self.pieces.push((attempt, next, version));
                 self.streams[index].next += 1;
