--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -1,15 +1,16 @@
-//! One whole answer, made by one or more attempts at engines.
+//! State machine for one answer, assembled from one or more attempts at engines.
 //!
-//! [`Answer`] decides what the driver does next: pick an engine, send, deliver a token, cancel, wait, end. It
-//! guards against these failures:
+//! [`Answer`] decides what the driver does next: pick an engine, send an attempt, deliver a token, cancel, wait
+//! or end. It guards against these failures:
 //!
-//! - A piece arrives late, twice, crossed, or from an attempt that was given up: [`Splice`] drops it.
-//! - An engine stalls without closing its connection (it was paused, or cut off): the caller would wait for
-//!   good. Each wait has a limit; at its end the attempt is closed, cancelled and resumed elsewhere.
-//! - The engine that an answer is resumed on has another version of the model: the text would be of two minds.
-//!   A resumed attempt names the version that made the text so far, and is given up where another one answers.
-//!   If no engine has that version left, the text so far is given to an engine to continue, which the engine
-//!   vouches for; where this instance doesn't have that text, the answer fails.
+//! - A piece arrives late, twice, out of order, or from an abandoned attempt: [`Splice`] drops it.
+//! - An engine stalls without closing its connection (it was paused, or the network is partitioned): without a
+//!   limit the caller would wait forever. Each wait has a time limit; when it expires, the attempt is closed and
+//!   cancelled, and the answer is resumed on another engine.
+//! - The engine on which an answer is resumed has another version of the model: the text would mix the output of
+//!   two versions. A resumed attempt names the version that generated the text so far, and is abandoned if an
+//!   engine with another version answers. If no engine has that version any more, an engine is given the text so
+//!   far and continues it, which the engine confirms; if this instance doesn't have that text, the answer fails.
 
 use std::time::Duration;
 
@@ -26,42 +27,42 @@
 use crate::splice::Verdict;
 use crate::time::Time;
 
-/// Pause before engines that failed are tried again for an answer that the caller has a part of.
+/// Delay before engines that failed are tried again for an answer that was partly delivered.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Pauses in a row before an answer that the caller has a part of is given up: five seconds in all.
+/// Consecutive delays of [`RETRY_DELAY`] before a partly delivered answer is given up: five seconds in total.
 const MAX_WAITS: u32 = 25;
 
 /// Time limits of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// From sending an attempt to its first token.
+    /// Maximum time from sending an attempt to its first token.
     pub first_token: Duration,
-    /// Between two tokens.
+    /// Maximum time between two tokens.
     pub between_tokens: Duration,
-    /// When the whole answer must be there.
+    /// Time by which the answer must be complete.
     pub deadline: Time,
-    /// Attempts in a row that may have run and bring no token.
+    /// Maximum number of consecutive attempts that may have run and delivered no token.
     pub max_attempts: u32,
 }
 
-/// What a caller that comes back has already.
+/// Which part of the answer a caller that resumes a request already has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Resume {
-    /// Tokens that it has.
+    /// Number of tokens that the caller has.
     pub offset: u32,
-    /// Version of the model that made them.
+    /// Version of the model that generated them.
     pub version: Option<u32>,
 }
 
-/// How an attempt ended before its answer was whole.
+/// How an attempt ended before its answer was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte left, or the engine vouches that it did not start.
+    /// No byte was sent, or the engine confirms that it did not start the attempt.
     NotStarted,
-    /// The engine has another version of the model than the resumed text, and did not start.
+    /// The engine has another version of the model than the one that generated the resumed text, and did not start.
     VersionMismatch,
-    /// The connection broke, or the engine answered with an error: it may have run.
+    /// The connection broke, or the engine answered with an error: the attempt may have run.
     MayHaveRun,
 }
 
@@ -74,88 +75,88 @@
     }
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// An engine was picked; the attempt to send to it has this new id.
+    /// An engine was picked; the attempt to send to it has this new ID.
     Picked(Uuid),
-    /// No engine can take the attempt now.
+    /// No engine can accept the attempt at present.
     NoEngine,
-    /// An engine could take the attempt later, but not now.
+    /// An engine could accept the attempt later, but not now.
     Busy,
-    /// The engine took the attempt, with this version of the model.
+    /// The engine accepted the attempt, with this version of the model.
     Opened(Uuid, u32),
-    /// A token of the attempt arrived with this offset.
+    /// A token of the attempt arrived, with this offset.
     Token(Uuid, u32),
-    /// The caller took the token.
+    /// The token was delivered to the caller.
     Delivered,
-    /// The attempt's last line: the answer ends at this offset.
+    /// The attempt's final line arrived: the answer ends at this offset.
     Finished(Uuid, u32),
-    /// The attempt ended without a last line.
+    /// The attempt ended without a final line.
     AttemptFailed(Uuid, Failure),
-    /// The request must go on elsewhere, though its engine is not to blame.
+    /// The request must continue on another engine, though its current engine is not at fault.
     Relocate,
     /// The caller went away.
     CallerGone,
-    /// Time passed.
+    /// A timer expired, see [`Answer::due`].
     Tick,
 }
 
 /// An attempt to send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Send {
-    /// Its id.
+    /// ID of the attempt.
     pub attempt: Uuid,
-    /// Offset of the first token wanted.
+    /// Offset of the first token to generate.
     pub offset: u32,
-    /// The version that the engine must have, if it matters.
+    /// The version of the model that the engine must have; `None` if any version will do.
     pub version: Option<u32>,
-    /// Whether the text so far is given to the engine to continue.
+    /// Whether the engine is given the text so far, to continue it.
     pub continued: bool,
 }
 
-/// What to do.
+/// An output of the state machine, carried out by the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Pick an engine that was not tried; answer with `Picked`, `Empty` or `Busy`.
+    /// Pick an engine that was not tried; report [`Event::Picked`], [`Event::NoEngine`] or [`Event::Busy`].
     Pick,
-    /// Forget which engines were tried.
+    /// Clear the list of engines that were tried.
     ClearTried,
     /// Send this attempt.
     Send(Send),
-    /// Give the caller the token at this offset; answer with `Delivered`.
+    /// Deliver the token at this offset to the caller; report [`Event::Delivered`].
     Deliver(u32),
-    /// Close the attempt's stream and ask the engine to stop it.
+    /// Close the attempt's stream and ask the engine to stop generating.
     Cancel(Uuid),
-    /// The answer ends.
+    /// End the answer.
     End(Ending),
 }
 
 /// How an answer ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// The caller has it whole.
+    /// The caller has the complete answer.
     Whole,
-    /// No engine started it.
+    /// No engine started the request.
     NotRun(Reason),
-    /// It ran and can't be finished.
+    /// The request ran and can't be finished.
     Failed(Cause),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Cause),
     /// The caller went away.
     CallerGone,
 }
 
-/// Why an answer that may have run is not whole.
+/// Why an answer whose request may have run is incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
     /// The deadline passed.
     Deadline,
-    /// Too many attempts in a row brought nothing.
+    /// Too many consecutive attempts delivered no token.
     Attempts,
-    /// No engine can take it now.
+    /// No engine can accept the request at present.
     NoEngine,
-    /// No engine has the version that made the text so far.
+    /// No engine has the version that generated the text so far.
     VersionUnavailable,
 }
 
@@ -168,7 +169,7 @@
     Ended,
 }
 
-/// The answer to one request.
+/// The state of the answer to one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     limits: Limits,
@@ -187,7 +188,8 @@
 }
 
 impl Answer {
-    /// An answer whose caller has what `resume` says. The driver begins with [`Action::Pick`].
+    /// Creates an answer whose caller already has the tokens that `resume` names. The driver starts with
+    /// [`Action::Pick`].
     pub fn new(now: Time, limits: Limits, resume: Resume) -> Answer {
         Answer {
             limits,
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Takes an event and returns what to do, in this order.
+    /// Processes an event and returns the actions to carry out, in order.
     pub fn on(&mut self, now: Time, event: Event) -> Vec<Action> {
         if self.phase == Phase::Ended {
             return Vec::new();
@@ -214,7 +216,8 @@
         if event == Event::CallerGone {
             return self.end(Ending::CallerGone);
         }
-        // What arrives together with the deadline is late: a caller that stopped waiting must not be told `whole`.
+        // An event that arrives exactly at the deadline is late: a caller that stopped waiting must not be told
+        // `whole`.
         if now >= self.limits.deadline {
             return self.give_up(Reason::TooLate, Cause::Deadline);
         }
@@ -233,7 +236,7 @@
         }
     }
 
-    /// When the next [`Event::Tick`] is due.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn due(&self) -> Time {
         let limit = match self.phase {
             Phase::Waiting(until) => until,
@@ -243,38 +246,38 @@
         limit.min(self.limits.deadline)
     }
 
-    /// Offset of the next token.
+    /// Offset of the next token to deliver.
     pub fn next_offset(&self) -> u32 {
         self.splice.next()
     }
 
-    /// The version of the model that made the whole text, by which a caller can come back; `None` before the
-    /// first token, or if the text was continued by another version.
+    /// The version of the model that generated the whole text so far, which a caller names to resume the answer;
+    /// `None` while it is unknown, or if the text was continued by another version.
     pub fn version(&self) -> Option<u32> {
         self.version.filter(|_| !self.continued)
     }
 
-    /// Pieces dropped.
+    /// Number of pieces dropped.
     pub fn dropped(&self) -> u64 {
         self.splice.dropped()
     }
 
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub fn attempts(&self) -> u32 {
         self.attempt_count
     }
 
-    /// Whether the last attempt was silent for longer than it may be.
+    /// Whether the last attempt has been silent for as long as its time limit.
     pub fn is_silent(&self, now: Time) -> bool {
         now >= self.last_activity + self.silence_limit()
     }
 
-    /// Whether an engine may have run some of it.
+    /// Whether an engine may have run part of the request.
     pub fn may_have_run(&self) -> bool {
         self.attempts.may_have_run()
     }
 
-    /// How long the open attempt may be silent.
+    /// How long the current attempt may be silent before it is abandoned.
     fn silence_limit(&self) -> Duration {
         match self.got_token {
             true => self.limits.between_tokens,
@@ -321,7 +324,7 @@
         self.give_up(Reason::NoEngine, Cause::NoEngine)
     }
 
-    /// No engine has the version left that made the text so far.
+    /// No engine has the version any more that generated the text so far.
     fn on_version_unavailable(&mut self) -> Vec<Action> {
         if self.start_offset > 0 {
             return self.end(Ending::Failed(Cause::VersionUnavailable));
@@ -342,7 +345,7 @@
         self.attempts.on_run();
         self.opened = true;
         if !self.continued && self.version.is_some_and(|v| v != version) {
-            // The engine took the attempt without looking at the version: its tokens don't fit the text.
+            // The engine accepted the attempt without checking the version: its tokens don't fit the text so far.
             self.version_mismatch = true;
             return self.abandon(attempt);
         }
@@ -378,8 +381,8 @@
             self.phase = Phase::Ended;
             return vec![Action::End(Ending::Whole)];
         }
-        // A last line of another attempt says nothing; one of the open attempt at another offset is no whole
-        // answer, and the attempt has nothing more to bring.
+        // The final line of another attempt is ignored. The final line of the current attempt at another offset
+        // means that the answer is incomplete, and the attempt will deliver nothing more.
         match self.current() == Some(attempt) {
             true => self.abandon(attempt),
             false => Vec::new(),
@@ -395,7 +398,7 @@
         self.proceed_after(failure.end())
     }
 
-    /// Closes the attempt, cancels it and goes on elsewhere.
+    /// Closes and cancels the attempt, and continues on another engine.
     fn abandon(&mut self, attempt: Uuid) -> Vec<Action> {
         self.splice.close();
         let mut actions = vec![Action::Cancel(attempt)];
--- a/crates/core/src/arena.rs
+++ b/crates/core/src/arena.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// A key of an [`Arena`] of `V`: an index that can't be mixed up with one of another kind.
+/// A key of an [`Arena`] of `V`: an index that can't be confused with one into an arena of another type.
 pub struct Key<V> {
     index: u32,
     kind: PhantomData<fn() -> V>,
@@ -24,7 +24,7 @@
     }
 }
 
-// Written out, since a derive would ask the same of `V`.
+// Implemented by hand, because a derive would require the same traits of `V`.
 impl<V> fmt::Debug for Key<V> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Key({})", self.index)
@@ -59,7 +59,7 @@
     }
 }
 
-/// Entries in the order in which they were added.
+/// Stores entries in insertion order.
 #[derive(Debug, Clone)]
 pub struct Arena<V> {
     entries: Vec<V>,
@@ -72,7 +72,7 @@
 }
 
 impl<V> Arena<V> {
-    /// An empty arena.
+    /// Creates an empty arena.
     pub fn new() -> Self {
         Arena::default()
     }
@@ -88,17 +88,17 @@
         Key::new(index)
     }
 
-    /// The entry of `key`, if the key is of this arena.
+    /// The entry of `key`; `None` if the arena has no entry at that index.
     pub fn get(&self, key: Key<V>) -> Option<&V> {
         self.entries.get(key.index as usize)
     }
 
-    /// The entry of `key`, to change it.
+    /// The entry of `key`, mutably; `None` if the arena has no entry at that index.
     pub fn get_mut(&mut self, key: Key<V>) -> Option<&mut V> {
         self.entries.get_mut(key.index as usize)
     }
 
-    /// Keys and entries in the order of adding.
+    /// Iterates over keys and entries in insertion order.
     pub fn iter(&self) -> impl Iterator<Item = (Key<V>, &V)> {
         self.entries
             .iter()
@@ -106,12 +106,12 @@
             .map(|(i, v)| (Key::new(i as u32), v))
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether the arena has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,33 +1,33 @@
-//! What the end of an attempt proves, and what may follow: for calls and streams alike, whoever speaks with the caller.
+//! What the end of an attempt proves, and what may follow it. Shared by calls and streams on all paths to callers.
 //!
-//! Failure guarded against: an order runs twice because an attempt that was sent on a connection which broke was
-//! taken for one that never ran. Only three ends prove that nothing ran: not one byte was written, the engine
-//! says that it did not execute the request, or the answer came from another engine than the one meant. All
-//! others count as run.
+//! Failure guarded against: an order is executed twice because an attempt that was sent on a connection which then
+//! broke was counted as one that never ran. Only three endings prove that nothing ran: not one byte was written, the
+//! engine confirms that it did not execute the request, or the response came from another engine than the intended
+//! one. After any other ending the request counts as run.
 
 use crate::config::Repeat;
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
-    /// The whole answer is there, a success or the engine's own failure.
+    /// The complete response arrived, be it a success or an error of the engine itself.
     Answered,
-    /// Nothing was sent: no connection could be had, or it was closed before the first byte.
+    /// Nothing was sent: no connection could be established, or it was closed before the first byte.
     Unsent,
-    /// The engine vouches that it did not execute the request.
+    /// The engine confirms that it did not execute the request.
     Declined,
-    /// Another engine has the address; it did not execute the request.
+    /// The address now belongs to another engine, which did not execute the request.
     Misdirected,
-    /// The answer is not one: broken off, another request's, unsigned, or no HTTP.
+    /// The response is invalid: truncated, for another request, unsigned, or not HTTP.
     Broken,
-    /// The engine failed while executing it.
+    /// The engine failed while executing the request.
     Failed,
-    /// No answer in the time given.
+    /// No response arrived within the time limit.
     Silent,
 }
 
 impl End {
-    /// Its name in metrics.
+    /// The value of the label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             End::Answered => "answered",
@@ -40,35 +40,35 @@
         }
     }
 
-    /// Whether it is proved that the request did not run and won't.
+    /// Whether this ending proves that the request did not run and will not run.
     pub fn proves_not_run(self) -> bool {
         matches!(self, End::Unsent | End::Declined | End::Misdirected)
     }
 
-    /// Whether the engine is to be avoided for a while.
+    /// Whether this ending counts against the engine, which is then avoided for a while.
     pub fn is_fault(self) -> bool {
         !matches!(self, End::Answered | End::Declined)
     }
 }
 
-/// What to do after an attempt.
+/// What to do after an attempt has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NextStep {
     /// Try another upstream.
     Retry,
-    /// Refuse: it did not run, and the caller may come back.
+    /// Refuse the request: it did not run, and the caller may send it again.
     Refuse,
-    /// Fail: it may have run.
+    /// Fail the request: it may have run.
     Fail,
 }
 
-/// What bounds the attempts at one request.
+/// The limit on the number of attempts at one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptLimit {
-    /// So many that reached an upstream, or may have.
+    /// Maximum number of attempts that reached an upstream, or may have.
     Sent(u32),
-    /// So many in a row that may have run and brought the caller nothing. One that declined costs no engine time, and
-    /// each engine is tried once.
+    /// Maximum number of consecutive attempts that may have run and delivered nothing to the caller. Declined attempts
+    /// don't count: they cost no engine time, and each engine is tried once.
     WithoutProgress(u32),
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Attempts {
-    /// None yet.
+    /// Creates the record of a request that has had no attempt yet.
     pub fn new(repeat: Repeat, limit: AttemptLimit) -> Attempts {
         Attempts {
             repeat,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Attempts that reached an upstream, or may have.
+    /// Number of attempts that reached an upstream, or may have.
     pub fn sent(&self) -> u32 {
         self.sent
     }
@@ -104,12 +104,12 @@
         self.ran
     }
 
-    /// Whether another attempt is one more than the request itself.
+    /// Whether the next attempt is a retry, i.e. an attempt beyond the request itself.
     pub fn next_is_retry(&self) -> bool {
         self.sent > 0
     }
 
-    /// Whether one more attempt could follow the one that is sent now, even if that one ran.
+    /// Whether another attempt could follow the one that is being sent, even if that one runs.
     pub fn allows_another(&self) -> bool {
         let max = match self.limit {
             AttemptLimit::Sent(max) | AttemptLimit::WithoutProgress(max) => max,
@@ -117,18 +117,18 @@
         self.repeat != Repeat::Never && self.used() + 1 < max
     }
 
-    /// Notes that an attempt runs at an upstream, before its end is known.
+    /// Records that an attempt is running on an upstream, before its ending is known.
     pub fn on_run(&mut self) {
         self.ran = true;
     }
 
-    /// Notes that an attempt brought the caller a part of its answer.
+    /// Records that an attempt delivered a part of the answer to the caller.
     pub fn on_progress(&mut self) {
         self.ran = true;
         self.without_progress = 0;
     }
 
-    /// Takes the end of an attempt and says what may follow.
+    /// Records the ending of an attempt and returns what may follow.
     pub fn on_end(&mut self, end: End) -> NextStep {
         if end != End::Unsent {
             self.sent += 1;
@@ -144,7 +144,7 @@
         }
     }
 
-    /// What to tell the caller if nothing more is tried.
+    /// What to do with the request if there is no further attempt.
     pub fn give_up(&self) -> NextStep {
         match self.ran {
             true => NextStep::Fail,
@@ -161,7 +161,7 @@
 
     fn is_exhausted(&self) -> bool {
         match self.limit {
-            // A route that names none still allows the request itself.
+            // A route with a limit of 0 still allows the request itself.
             AttemptLimit::Sent(max) => self.sent >= max.max(1),
             AttemptLimit::WithoutProgress(max) => self.without_progress >= max,
         }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,37 +1,37 @@
-//! Engines as the decisions see them.
+//! The model of an engine that the decisions use: target state, speed and the profile of its role.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::config::Role;
 
-/// What an order asks an engine to be. Orders are absolute, so that the same order twice is harmless.
+/// The state that an order asks of an engine. Orders are absolute, so that applying the same order twice is harmless.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Target {
-    /// The role to have.
+    /// The role to assume.
     pub role: Role,
-    /// The model to have loaded.
+    /// The model to load.
     pub model: String,
-    /// The adapter to have loaded.
+    /// The adapter to load, if any.
     pub adapter: Option<String>,
-    /// Version of the model.
+    /// The version of the model.
     pub version: u32,
 }
 
-/// Part of a step's time that each further running sequence adds.
+/// Fraction of the time of a single-sequence step that each further running sequence adds.
 pub const SEQUENCE_OVERHEAD: f64 = 0.02;
 
-/// Sequences that an engine runs at once where it reports nothing else.
+/// Maximum number of concurrent sequences assumed for an engine that reports none.
 pub const DEFAULT_SLOTS: u32 = 32;
 
-/// How fast an engine is when it does one thing alone.
+/// Speed of an engine that is doing only one thing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Speed {
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub prefill: f64,
-    /// Tokens a second of a sequence that runs alone.
+    /// Output tokens per second of a sequence that runs alone.
     pub decode: f64,
-    /// Most sequences that run at once in role decode.
+    /// Maximum number of concurrent sequences in role decode.
     pub slots: u32,
 }
 
@@ -45,17 +45,17 @@
     }
 }
 
-/// What a role makes of an engine's memory: more prompt tokens in a step leave room for fewer sequences.
+/// How a role divides an engine's memory: more prompt tokens per step leave room for fewer sequences.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoleProfile {
-    /// Prompt tokens that a step may process.
+    /// Maximum number of prompt tokens processed per step.
     pub chunk: u32,
-    /// Sequences that may run at once.
+    /// Maximum number of concurrent sequences.
     pub slots: u32,
 }
 
 impl RoleProfile {
-    /// The profile of `role` in an engine that runs `slots` sequences in role decode.
+    /// The profile of `role` on an engine that runs up to `slots` concurrent sequences in role decode.
     pub fn of(role: Role, slots: u32) -> RoleProfile {
         let (chunk, part) = match role {
             Role::Prefill => (2048, 8),
@@ -68,19 +68,19 @@
         }
     }
 
-    /// Prompt tokens a second that a busy engine of this profile processes beside a running sequence.
+    /// Prompt tokens per second that a busy engine of this profile processes alongside one running sequence.
     pub fn prompt_rate(self, speed: Speed) -> f64 {
         let chunk = f64::from(self.chunk);
         chunk / (1.0 / speed.decode + chunk / speed.prefill)
     }
 
-    /// Output tokens a second with all slots in use and no prompt to process.
+    /// Output tokens per second with all slots in use and no prompt to process.
     pub fn output_rate(self, speed: Speed) -> f64 {
         f64::from(self.slots) / step_time(speed, f64::from(self.slots))
     }
 }
 
-/// Seconds of a step that generates for `running` sequences and processes no prompt.
+/// Duration in seconds of a step that generates for `running` sequences and processes no prompt.
 pub fn step_time(speed: Speed, running: f64) -> f64 {
     (1.0 + SEQUENCE_OVERHEAD * (running - 1.0).max(0.0)) / speed.decode
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decisions of sequoiastream as state machines without input or output.
+//! The decisions of sequoiastream, as state machines that do no I/O.
 //!
-//! Nothing in this package opens a socket, reads a clock, starts a thread, sleeps or draws unseeded
-//! random numbers. A decision has the shape `fn on(&mut self, now: Time, event: Event) -> Vec<Action>`:
-//! the processes at the edges turn input into events and actions into output. The same code therefore runs in
-//! the daemon, in a bench and in a seeded test, and a failure replays from its seed.
+//! Nothing in this package opens a socket, reads a clock, spawns a thread, sleeps or draws unseeded random numbers.
+//! A decision has the signature `fn on(&mut self, now: Time, event: Event) -> Vec<Action>`; the programs around it
+//! turn input into events and actions into output. The same code therefore runs in the daemon, in benchmarks and in
+//! seeded tests, and a failure can be reproduced from its seed.
 //!
-//! Invariants are checked here in release builds too, see [`invariant`].
+//! Invariants are checked in release builds as well, see [`invariant`].
 
 pub mod answer;
 pub mod arena;
--- a/crates/core/src/log_event.rs
+++ b/crates/core/src/log_event.rs
@@ -1,4 +1,4 @@
-//! Numbers of the events that the daemon logs. `docs/EVENTS.md` is their catalogue; a test keeps both equal.
+//! Numbered events in the daemon's log. `docs/EVENTS.md` lists them; a test checks that both lists are equal.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
     ($($(#[$doc:meta])* $number:literal $name:ident = $slug:literal;)*) => {
         $($(#[$doc])* pub const $name: LogEvent = LogEvent { number: $number, slug: $slug };)*
 
-        /// All events, by number.
+        /// All events, ordered by number.
         pub const ALL: &[LogEvent] = &[$($name),*];
     };
 }
@@ -14,9 +14,9 @@
 /// A numbered log event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogEvent {
-    /// The number, never used for anything else again.
+    /// The unique number; the number of a removed event is never reused.
     pub number: u16,
-    /// A short name for people.
+    /// A short readable name.
     pub slug: &'static str,
 }
 
@@ -26,50 +26,50 @@
     }
 }
 
-// Ranges: 1xx life of the process, 2xx configuration, 3xx platform, 4xx traffic, 5xx authority and orders,
+// Ranges: 1xx process lifecycle, 2xx configuration, 3xx platform, 4xx traffic, 5xx authority and orders,
 // 6xx claims, 7xx membership and peers, 8xx policy, 9xx invariants.
 log_events! {
-    /// The daemon listens.
+    /// The daemon is listening.
     100 STARTED = "started";
-    /// A termination signal arrived; the instance drains.
+    /// A termination signal arrived; the instance is draining.
     101 STOPPING = "stopping";
-    /// The instance has drained and exits.
+    /// The instance has drained and is exiting.
     102 STOPPED = "stopped";
-    /// The instance refuses new work and finishes what runs.
+    /// The instance refuses new requests and finishes the running ones.
     103 REFUSING = "refusing";
-    /// The settings were read anew.
+    /// The settings were reloaded.
     104 RELOADED = "reloaded";
-    /// Changed settings can't be accepted; those in force stay.
+    /// Changed settings were rejected; the current ones stay in force.
     105 RELOAD_REFUSED = "reload-refused";
-    /// The HTTP server ended by itself.
+    /// The HTTP server stopped unexpectedly.
     106 SERVER_FAILED = "server-failed";
-    /// A new version of the configuration is in force here.
+    /// A new version of the configuration is in force on this instance.
     200 CONFIG_IN_FORCE = "config-in-force";
-    /// A change was accepted through this instance.
+    /// A configuration change was accepted through this instance.
     201 CHANGE_ACCEPTED = "change-accepted";
-    /// A change was refused.
+    /// A configuration change was rejected.
     202 CHANGE_REFUSED = "change-refused";
-    /// A configuration older than the one in force was offered and ignored.
+    /// A configuration older than the one in force was received and ignored.
     203 CONFIG_STALE = "config-stale";
-    /// A snapshot of the configuration was stored, or could not be.
+    /// A snapshot of the configuration was stored, or could not be stored.
     204 SNAPSHOT_STORED = "snapshot-stored";
-    /// A configuration can't be read; the one in force stays.
+    /// A configuration can't be decoded; the current one stays in force.
     205 CONFIG_UNREADABLE = "config-unreadable";
     /// A call to the key-value service failed.
     300 KV_FAILED = "kv-failed";
-    /// The key-value service answers again.
+    /// The key-value service responds again.
     301 KV_BACK = "kv-back";
-    /// An answer of the key-value service was lost; the outcome was found by reading back.
+    /// A response of the key-value service was lost; the outcome was determined by reading the key back.
     302 KV_RESOLVED = "kv-resolved";
-    /// An entry of an engine or an instance can't be read; it names nobody.
+    /// The entry of an engine or an instance can't be decoded; it is ignored.
     303 ENTRY_UNREADABLE = "entry-unreadable";
-    /// The engines that are known, or that may get work, changed.
+    /// The set of known engines, or of engines that may receive requests, changed.
     304 ENGINES_CHANGED = "engines-changed";
     /// An attempt at an upstream failed.
     400 ATTEMPT_FAILED = "attempt-failed";
     /// A request was refused.
     401 REFUSED = "refused";
-    /// An engine crashed while requests ran there; they are suspects now.
+    /// An engine crashed while requests were running on it; these are now suspects.
     402 ENGINE_CRASHED = "engine-crashed";
     /// A request crashed a second engine and is convicted.
     403 CONVICTED = "convicted";
@@ -77,76 +77,77 @@
     404 CONVICTION_UNWRITTEN = "conviction-unwritten";
     /// A request was forwarded and answered.
     405 FORWARDED = "forwarded";
-    /// A stream goes on at another engine.
+    /// A stream was resumed on another engine.
     406 RESUMED = "resumed";
-    /// An answer was broken off towards its caller.
+    /// An answer to a caller was aborted before it was complete.
     407 BROKEN_OFF = "broken-off";
-    /// A request was turned away for its key: nobody holds it, or too little is known of keys.
+    /// A request was refused because of its API key: no product has the key, or the keys known here are too old.
     408 KEY_REFUSED = "key-refused";
-    /// This instance holds the authority of a service now.
+    /// This instance acquired the authority over a service.
     500 AUTHORITY_TAKEN = "authority-taken";
-    /// This instance no longer holds the authority of a service.
+    /// This instance no longer holds the authority over a service.
     501 AUTHORITY_LOST = "authority-lost";
-    /// An order leaves for an engine.
+    /// An order is sent to an engine.
     502 ORDER_SENT = "order-sent";
     /// An order is settled.
     503 ORDER_CLOSED = "order-closed";
-    /// An engine gets no order until its last one is settled.
+    /// An engine receives no further order until its last one is settled.
     504 ORDER_UNSETTLED = "order-unsettled";
-    /// An engine gave no usable answer to an order.
+    /// An engine gave no usable response to an order.
     505 ORDER_UNANSWERED = "order-unanswered";
-    /// The weight store refused what an engine is to load.
+    /// The weight store refused the weights that an engine is to load.
     506 WEIGHTS_REFUSED = "weights-refused";
-    /// The record of an order was removed, its engine being gone.
+    /// The record of an order was removed because its engine no longer exists.
     507 ORDER_FORGOTTEN = "order-forgotten";
-    /// This instance acts for all towards the platform's API.
+    /// This instance became the leader, which calls the platform's API on behalf of all instances.
     508 LEAD_TAKEN = "lead-taken";
-    /// It acts no more.
+    /// This instance is no longer the leader.
     509 LEAD_LOST = "lead-lost";
-    /// The reports of these windows are decided; they are never made otherwise.
+    /// The usage reports of these windows are final and will not change.
     510 USAGE_DECIDED = "usage-decided";
-    /// The platform took a report.
+    /// The platform accepted a usage report.
     511 USAGE_SENT = "usage-sent";
-    /// A number of engines was ordered.
+    /// A number of engines was requested from the platform.
     512 SCALE_ORDERED = "scale-ordered";
     /// A call to the platform's API failed.
     513 CLOUD_FAILED = "cloud-failed";
-    /// Engines of a service may be bought, but none are ordered.
+    /// Engines of a service may be purchased, but none are requested.
     514 SCALE_HELD = "scale-held";
-    /// Claims can't be written: the key-value service fails.
+    /// Claims can't be written because the key-value service is failing.
     600 CLAIMS_OUT = "claims-out";
     /// Claims can be written again.
     601 CLAIMS_BACK = "claims-back";
     /// A claim was refused.
     602 CLAIM_REFUSED = "claim-refused";
-    /// A claimed request was sent, and it is not known whether it ran.
+    /// A claimed request was sent, and it is unknown whether it ran.
     603 CLAIM_UNKNOWN = "claim-unknown";
-    /// An owner of claims gave no sign of life; another was asked.
+    /// An owner of claims did not respond; another one was asked.
     604 OWNER_SILENT = "owner-silent";
-    /// This instance's wall clock stepped; it refuses requests that may not be repeated.
+    /// This instance's wall clock stepped; the instance refuses requests that must not be repeated.
     605 CLOCK_STEPPED = "clock-stepped";
-    /// A bucket of claims can't be read.
+    /// A bucket of claims can't be decoded.
     606 CLAIMS_UNREADABLE = "claims-unreadable";
-    /// This instance stands differently towards the configuration in force.
+    /// This instance's standing relative to the configuration in force changed.
     700 STANDING = "standing";
     /// A call to another instance failed.
     701 PEER_FAILED = "peer-failed";
-    /// A message was refused: forged, replayed or unreadable.
+    /// A message was rejected: forged, replayed or unreadable.
     702 PEER_REFUSED = "peer-refused";
-    /// The upstreams that the platform's list shows as leaving changed.
+    /// The set of upstreams that the platform lists as leaving changed.
     703 UPSTREAM_LEAVING = "upstream-leaving";
-    /// A peer told all that it knows of the store.
+    /// A peer sent everything that it knows of the store.
     704 PEER_TOLD = "peer-told";
-    /// This instance begins or ends to watch the store for the others of its zone.
+    /// This instance starts or stops watching the store on behalf of the other instances of its zone.
     705 WATCHER = "watcher";
-    /// No peer confirmed in time what this instance knows of the store; it watches by itself.
+    /// No peer confirmed in time this instance's knowledge of the store; it watches the store itself.
     706 UNCONFIRMED = "unconfirmed";
-    /// This instance may let requests with keys in, or may no longer: the proof of what it knows is too old.
+    /// This instance may admit requests with API keys, or no longer may because the proof that its data is current
+    /// has expired.
     707 PROOF = "proof";
     /// The keys of instances that sent no heartbeat for a long time are removed.
     708 INSTANCES_FORGOTTEN = "instances-forgotten";
     /// The planner proposes a role change.
     800 ROLE_PROPOSED = "role-proposed";
-    /// An invariant was broken; the action was dropped.
+    /// An invariant was violated; the action was dropped.
     900 INVARIANT_BROKEN = "invariant-broken";
 }
