--- a/crates/core/src/poison.rs
+++ b/crates/core/src/poison.rs
@@ -30,16 +30,16 @@
 use crate::time::Time;
 
 /// How long a sure crash raises suspicion.
-pub const SUSPICION: Duration = Duration::from_secs(6 * 3600);
+pub const CRASH_RETENTION: Duration = Duration::from_secs(6 * 3600);
 
 /// How long an engine that went silent raises suspicion: while it lasts, an innocent request may be withheld.
-pub const SILENCE: Duration = Duration::from_secs(600);
+pub const SILENCE_RETENTION: Duration = Duration::from_secs(600);
 
 /// Most crashes, and most convicts awaiting their entry in the configuration. The oldest go first.
 pub const MAX_RECORDS: usize = 4096;
 
 /// Crashes after which a request runs no more.
-const CRASHES: usize = 2;
+const CRASH_THRESHOLD: usize = 2;
 
 /// What makes two requests the same: hash of product, model, prompt and limit.
 ///
@@ -62,7 +62,7 @@
     }
 
     /// Its first byte, by which suspects are spread over engines.
-    pub fn first(self) -> u8 {
+    pub fn first_byte(self) -> u8 {
         self.0[0]
     }
 }
@@ -93,7 +93,7 @@
 
 /// What an instance tells its peers of a crash.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct CrashReport {
     /// The crash.
     pub incident: Incident,
     /// How sure it is.
@@ -104,7 +104,7 @@
 
 /// A wish to run a suspect alone on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct HoldRequest {
     /// The suspect.
     pub fingerprint: Fingerprint,
     /// The engine.
@@ -117,23 +117,23 @@
 
 /// What the records say of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Suspicion {
     /// Nothing.
-    Clear,
+    Unsuspected,
     /// It ran on an engine that crashed: it may run with a hold.
     Suspect,
     /// It ran on two: it may not run until others of these crashes were convicted or cleared.
     Pending,
     /// It crashed two engines: it may not run.
-    Convicted,
+    Confirmed,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Running {
+struct RunningAttempt {
     fingerprint: Fingerprint,
     engine: Name,
     incarnation: Option<Uuid>,
-    alone: bool,
+    exclusive: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -148,8 +148,8 @@
 impl Crash {
     fn is_recent(&self, now: Time) -> bool {
         let lifetime = match self.evidence {
-            Evidence::Silent => SILENCE,
-            Evidence::Crashed => SUSPICION,
+            Evidence::Silent => SILENCE_RETENTION,
+            Evidence::Crashed => CRASH_RETENTION,
         };
         now.since(self.at) < lifetime
     }
@@ -165,39 +165,39 @@
 
 /// The records of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Poison {
-    me: Name,
-    running: BTreeMap<Uuid, Running>,
+pub struct CrashRecords {
+    own_name: Name,
+    running: BTreeMap<Uuid, RunningAttempt>,
     crashes: BTreeMap<Incident, Crash>,
-    convicts: BTreeMap<Fingerprint, Time>,
+    confirmed: BTreeMap<Fingerprint, Time>,
     holds: BTreeMap<Name, Hold>,
-    known: BTreeMap<Name, Uuid>,
+    incarnations: BTreeMap<Name, Uuid>,
 }
 
-impl Poison {
-    /// Empty records of instance `me`.
-    pub fn new(me: Name) -> Poison {
-        Poison {
-            me,
+impl CrashRecords {
+    /// Empty records of instance `own_name`.
+    pub fn new(own_name: Name) -> CrashRecords {
+        CrashRecords {
+            own_name,
             running: BTreeMap::new(),
             crashes: BTreeMap::new(),
-            convicts: BTreeMap::new(),
+            confirmed: BTreeMap::new(),
             holds: BTreeMap::new(),
-            known: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
         }
     }
 
     /// What is known of a request.
-    pub fn standing(&self, now: Time, fingerprint: Fingerprint) -> Standing {
-        if self.convicts.contains_key(&fingerprint) {
-            return Standing::Convicted;
+    pub fn suspicion(&self, now: Time, fingerprint: Fingerprint) -> Suspicion {
+        if self.confirmed.contains_key(&fingerprint) {
+            return Suspicion::Confirmed;
         }
         let crashes: Vec<&Crash> = self.crashes_of(now, fingerprint).collect();
         let open = crashes.iter().filter(|c| !c.explained).count();
         match (crashes.is_empty(), open) {
-            (true, _) => Standing::Clear,
-            (false, CRASHES..) => Standing::Pending,
-            (false, _) => Standing::Suspect,
+            (true, _) => Suspicion::Unsuspected,
+            (false, CRASH_THRESHOLD..) => Suspicion::Pending,
+            (false, _) => Suspicion::Suspect,
         }
     }
 
@@ -205,35 +205,35 @@
     /// suspect without a hold, or the engine is held for a suspect.
     pub fn begin(&mut self, now: Time, attempt: Uuid, fingerprint: Fingerprint, engine: &Name) -> bool {
         let held = self.holds.get(engine).is_some_and(|h| {
-            h.fingerprint == fingerprint && h.owner == self.me && h.granted && h.until > now
+            h.fingerprint == fingerprint && h.owner == self.own_name && h.granted && h.until > now
         });
-        let taken = self.held(now).contains(engine) && !held;
+        let taken = self.held_engines(now).contains(engine) && !held;
         if taken {
             return false;
         }
-        let allowed = match self.standing(now, fingerprint) {
-            Standing::Clear => true,
-            Standing::Suspect => held,
-            Standing::Pending | Standing::Convicted => false,
+        let allowed = match self.suspicion(now, fingerprint) {
+            Suspicion::Unsuspected => true,
+            Suspicion::Suspect => held,
+            Suspicion::Pending | Suspicion::Confirmed => false,
         };
         if invariant::check(allowed, "no suspect runs without a hold, no convict at all").is_err() {
             return false;
         }
-        let running = Running {
+        let running = RunningAttempt {
             fingerprint,
             engine: engine.clone(),
             incarnation: None,
-            alone: held,
+            exclusive: held,
         };
         self.running.insert(attempt, running);
         true
     }
 
     /// Records which incarnation of the engine took the attempt.
-    pub fn opened(&mut self, attempt: Uuid, incarnation: Uuid) {
+    pub fn record_incarnation(&mut self, attempt: Uuid, incarnation: Uuid) {
         if let Some(running) = self.running.get_mut(&attempt) {
             running.incarnation = Some(incarnation);
-            self.known.insert(running.engine.clone(), incarnation);
+            self.incarnations.insert(running.engine.clone(), incarnation);
         }
     }
 
@@ -247,26 +247,26 @@
         let running = self.running.get(&attempt)?;
         running
             .incarnation
-            .or_else(|| self.known.get(&running.engine).copied())
+            .or_else(|| self.incarnations.get(&running.engine).copied())
     }
 
     /// What to tell the peers of the crash under `attempt`, which is still recorded as running.
-    pub fn note(&self, attempt: Uuid, evidence: Evidence) -> Option<Note> {
+    pub fn crash_report(&self, attempt: Uuid, evidence: Evidence) -> Option<CrashReport> {
         let engine = &self.running.get(&attempt)?.engine;
         let incarnation = self.incarnation(attempt).unwrap_or(Uuid::nil());
         let incident = Incident {
             engine: engine.clone(),
             incarnation,
         };
-        Some(Note {
-            ran: self.ran_there(&incident),
+        Some(CrashReport {
+            ran: self.requests_on(&incident),
             incident,
             evidence,
         })
     }
 
     /// The requests of this instance that run, or ran until the crash, on that incarnation of an engine.
-    pub fn ran_there(&self, incident: &Incident) -> BTreeSet<Fingerprint> {
+    pub fn requests_on(&self, incident: &Incident) -> BTreeSet<Fingerprint> {
         let there = self.running.values().filter(|r| {
             r.engine == incident.engine && r.incarnation.is_none_or(|i| i == incident.incarnation)
         });
@@ -280,23 +280,23 @@
 
     /// Engines on which suspects run alone. They get no other work: an innocent suspect beside which a fresh
     /// poisonous request runs would come under double suspicion.
-    pub fn held(&self, now: Time) -> Vec<Name> {
+    pub fn held_engines(&self, now: Time) -> Vec<Name> {
         let held = self.holds.iter().filter(|(_, h)| h.until > now);
         held.map(|(engine, _)| engine.clone()).collect()
     }
 
     /// Attempts that must move elsewhere, because a suspect is about to run alone on the engine.
-    pub fn to_move(&self, engine: &Name) -> Vec<Uuid> {
+    pub fn attempts_to_move(&self, engine: &Name) -> Vec<Uuid> {
         let others = self
             .running
             .iter()
-            .filter(|(_, r)| r.engine == *engine && !r.alone);
+            .filter(|(_, r)| r.engine == *engine && !r.exclusive);
         others.map(|(attempt, _)| *attempt).collect()
     }
 
     /// Takes note of a crash, seen here or by a peer; returns attempts of suspects that must stop, to go on with
     /// a hold.
-    pub fn on_note(&mut self, now: Time, note: &Note) -> Vec<Uuid> {
+    pub fn on_crash_report(&mut self, now: Time, note: &CrashReport) -> Vec<Uuid> {
         self.expire(now);
         let crash = self.crashes.entry(note.incident.clone()).or_insert(Crash {
             evidence: note.evidence,
@@ -306,27 +306,27 @@
         });
         crash.evidence = crash.evidence.max(note.evidence);
         crash.ran.extend(note.ran.iter().copied());
-        trim(&mut self.crashes, |c| c.at);
-        self.to_stop(&note.ran)
+        evict_oldest(&mut self.crashes, |c| c.at);
+        self.attempts_to_stop(&note.ran)
     }
 
     /// Convicts whom the records convict by now, to be told to peers and written to the configuration.
-    pub fn judge(&mut self, now: Time) -> Vec<Fingerprint> {
+    pub fn confirm_suspects(&mut self, now: Time) -> Vec<Fingerprint> {
         let suspects = self.suspects();
         let guilty: Vec<Fingerprint> = suspects
             .into_iter()
-            .filter(|fingerprint| self.is_guilty(now, *fingerprint))
+            .filter(|fingerprint| self.is_confirmed(now, *fingerprint))
             .collect();
         for fingerprint in &guilty {
-            self.convict(now, *fingerprint);
+            self.confirm(now, *fingerprint);
         }
         guilty
     }
 
     /// Takes a conviction; returns the attempts to stop.
-    pub fn convict(&mut self, now: Time, fingerprint: Fingerprint) -> Vec<Uuid> {
-        self.convicts.insert(fingerprint, now);
-        trim(&mut self.convicts, |at| *at);
+    pub fn confirm(&mut self, now: Time, fingerprint: Fingerprint) -> Vec<Uuid> {
+        self.confirmed.insert(fingerprint, now);
+        evict_oldest(&mut self.confirmed, |at| *at);
         self.explain(fingerprint);
         let of_it = self.running.iter().filter(|(_, r)| r.fingerprint == fingerprint);
         of_it.map(|(attempt, _)| *attempt).collect()
@@ -343,24 +343,24 @@
     /// The quarantine in the configuration changed. What stands there is decided there alone from now on, so
     /// that an operator's pardon holds.
     pub fn on_quarantine(&mut self, quarantine: &BTreeSet<String>) {
-        self.convicts
+        self.confirmed
             .retain(|fingerprint, _| !quarantine.contains(&fingerprint.to_string()));
     }
 
     /// Reserves an engine for a suspect, before the peers are asked. `false` if it or the suspect is taken.
-    pub fn ask(&mut self, now: Time, ask: &Ask) -> bool {
+    pub fn reserve(&mut self, now: Time, ask: &HoldRequest) -> bool {
         self.expire(now);
         if self.conflicts(ask).next().is_some() {
             return false;
         }
-        self.hold(now, ask, false);
+        self.insert_hold(now, ask, false);
         true
     }
 
     /// A peer asks. `true` if nothing speaks against it.
-    pub fn on_ask(&mut self, now: Time, ask: &Ask) -> bool {
+    pub fn on_hold_request(&mut self, now: Time, ask: &HoldRequest) -> bool {
         self.expire(now);
-        if self.convicts.contains_key(&ask.fingerprint) {
+        if self.confirmed.contains_key(&ask.fingerprint) {
             return false;
         }
         let theirs = (ask.fingerprint, &ask.from);
@@ -375,12 +375,12 @@
         for engine in lost {
             self.holds.remove(&engine);
         }
-        self.hold(now, ask, true);
+        self.insert_hold(now, ask, true);
         true
     }
 
     /// All peers agreed. `false` if the reservation was lost to a peer meanwhile.
-    pub fn on_agreed(&mut self, ask: &Ask) -> bool {
+    pub fn grant(&mut self, ask: &HoldRequest) -> bool {
         match self.holds.get_mut(&ask.engine) {
             Some(hold) if hold.owner == ask.from && hold.fingerprint == ask.fingerprint => {
                 hold.granted = true;
@@ -391,7 +391,7 @@
     }
 
     /// A hold ended, or was not granted by all.
-    pub fn release(&mut self, ask: &Ask) {
+    pub fn release(&mut self, ask: &HoldRequest) {
         let ours = |h: &Hold| h.owner == ask.from && h.fingerprint == ask.fingerprint;
         if self.holds.get(&ask.engine).is_some_and(ours) {
             self.holds.remove(&ask.engine);
@@ -399,8 +399,8 @@
     }
 
     /// Crashes, convicts and holds recorded.
-    pub fn records(&self) -> usize {
-        self.crashes.len() + self.convicts.len() + self.holds.len()
+    pub fn record_count(&self) -> usize {
+        self.crashes.len() + self.confirmed.len() + self.holds.len()
     }
 
     /// Requests under suspicion.
@@ -418,17 +418,17 @@
     }
 
     /// Whether a request is in two sure crashes, and everybody else of the last one was cleared.
-    fn is_guilty(&self, now: Time, fingerprint: Fingerprint) -> bool {
+    fn is_confirmed(&self, now: Time, fingerprint: Fingerprint) -> bool {
         let sure: Vec<&Crash> = self
             .crashes_of(now, fingerprint)
             .filter(|c| c.evidence == Evidence::Crashed)
             .collect();
         let last = sure.iter().max_by_key(|c| c.at);
-        sure.len() >= CRASHES && last.is_some_and(|c| c.ran.len() == 1 && !c.explained)
+        sure.len() >= CRASH_THRESHOLD && last.is_some_and(|c| c.ran.len() == 1 && !c.explained)
     }
 
-    fn to_stop(&self, suspects: &BTreeSet<Fingerprint>) -> Vec<Uuid> {
-        let spread = |r: &Running| suspects.contains(&r.fingerprint) && !r.alone;
+    fn attempts_to_stop(&self, suspects: &BTreeSet<Fingerprint>) -> Vec<Uuid> {
+        let spread = |r: &RunningAttempt| suspects.contains(&r.fingerprint) && !r.exclusive;
         let running = self.running.iter().filter(|(_, r)| spread(r));
         running.map(|(attempt, _)| *attempt).collect()
     }
@@ -441,14 +441,14 @@
         self.crashes.retain(|_, c| !c.ran.is_empty());
     }
 
-    fn conflicts(&self, ask: &Ask) -> impl Iterator<Item = (&Name, &Hold)> {
+    fn conflicts(&self, ask: &HoldRequest) -> impl Iterator<Item = (&Name, &Hold)> {
         self.holds.iter().filter(|(engine, h)| {
             let same = h.owner == ask.from && h.fingerprint == ask.fingerprint && **engine == ask.engine;
             !same && (**engine == ask.engine || h.fingerprint == ask.fingerprint)
         })
     }
 
-    fn hold(&mut self, now: Time, ask: &Ask, granted: bool) {
+    fn insert_hold(&mut self, now: Time, ask: &HoldRequest, granted: bool) {
         let hold = Hold {
             fingerprint: ask.fingerprint,
             owner: ask.from.clone(),
@@ -465,7 +465,7 @@
 }
 
 /// Removes the oldest records beyond [`MAX_RECORDS`].
-fn trim<K, V, F>(records: &mut BTreeMap<K, V>, at: F)
+fn evict_oldest<K, V, F>(records: &mut BTreeMap<K, V>, at: F)
 where
     K: Ord + Clone,
     F: Fn(&V) -> Time,
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -13,9 +13,9 @@
 use sequoiastream_core::config::Version;
 use sequoiastream_core::membership::Beat;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::poison::Ask;
+use sequoiastream_core::poison::CrashReport;
 use sequoiastream_core::poison::Fingerprint;
-use sequoiastream_core::poison::Note;
+use sequoiastream_core::poison::HoldRequest;
 use sequoiastream_core::relay::digest::Digest;
 use sequoiastream_core::relay::usage::Told;
 use sequoiastream_core::time::WallTime;
@@ -176,13 +176,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PoisonRequest {
     /// An engine crashed.
-    Note(Note),
+    Note(CrashReport),
     /// May this suspect run alone there?
-    Ask(Ask),
+    Ask(HoldRequest),
     /// It runs there now: whatever else runs there must move.
     Vacate(Name),
     /// It runs there no more, or was not granted by all.
-    Release(Ask),
+    Release(HoldRequest),
     /// It ran to its end: it is innocent.
     Clear(Fingerprint),
     /// It is convicted.
--- a/src/ops/control/peers.rs
+++ b/src/ops/control/peers.rs
@@ -86,16 +86,16 @@
     let mut poison = shared.poison();
     match request {
         PoisonRequest::Note(note) => {
-            response.ran = poison.ran_there(&note.incident);
-            shared.stops.stop(&poison.on_note(now, note));
+            response.ran = poison.requests_on(&note.incident);
+            shared.stops.stop(&poison.on_crash_report(now, note));
         }
-        PoisonRequest::Ask(ask) => response.agreed = poison.on_ask(now, ask),
-        PoisonRequest::Vacate(engine) => shared.stops.stop(&poison.to_move(engine)),
+        PoisonRequest::Ask(ask) => response.agreed = poison.on_hold_request(now, ask),
+        PoisonRequest::Vacate(engine) => shared.stops.stop(&poison.attempts_to_move(engine)),
         PoisonRequest::Release(ask) => poison.release(ask),
         PoisonRequest::Clear(fingerprint) => poison.clear(*fingerprint),
         PoisonRequest::Convict(fingerprint) => {
             let quarantine = &shared.snapshot.load().quarantine;
-            shared.stops.stop(&poison.convict(now, *fingerprint));
+            shared.stops.stop(&poison.confirm(now, *fingerprint));
             // If the configuration has it already, it alone decides, so that a pardon holds.
             poison.on_quarantine(quarantine);
         }
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -263,7 +263,10 @@
         };
         let version = stream.version;
         if let Some(incarnation) = stream.incarnation {
-            self.dispatch.shared.poison().opened(open.attempt, incarnation);
+            self.dispatch
+                .shared
+                .poison()
+                .record_incarnation(open.attempt, incarnation);
         }
         open.stream = Some(stream);
         Event::Opened(open.attempt, version)
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -10,11 +10,11 @@
 use sequoiastream_core::config::EngineState;
 use sequoiastream_core::log_event;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::poison::Ask;
+use sequoiastream_core::poison::CrashReport;
 use sequoiastream_core::poison::Evidence;
 use sequoiastream_core::poison::Fingerprint;
-use sequoiastream_core::poison::Note;
-use sequoiastream_core::poison::Standing;
+use sequoiastream_core::poison::HoldRequest;
+use sequoiastream_core::poison::Suspicion;
 use sequoiastream_core::route::Ticket;
 use sequoiastream_core::snapshot::Snapshot;
 use sequoiastream_operator::wire::StatementBody;
@@ -65,7 +65,7 @@
     /// What the router knows the attempt by.
     ticket: Ticket,
     /// The hold under which a suspect runs there alone.
-    hold: Option<Ask>,
+    hold: Option<HoldRequest>,
 }
 
 /// What a pick came to.
@@ -88,18 +88,18 @@
         if snapshot.quarantine.contains(&request.fingerprint.to_string()) {
             return Picked::Barred;
         }
-        let standing = self.shared.poison().standing(clock::now(), request.fingerprint);
+        let standing = self.shared.poison().suspicion(clock::now(), request.fingerprint);
         match standing {
-            Standing::Clear => self.route_clear(&snapshot, request, tried),
-            Standing::Suspect => self.hold_one(&snapshot, request, tried).await,
-            Standing::Pending => Picked::Busy,
-            Standing::Convicted => Picked::Barred,
+            Suspicion::Unsuspected => self.route_clear(&snapshot, request, tried),
+            Suspicion::Suspect => self.hold_one(&snapshot, request, tried).await,
+            Suspicion::Pending => Picked::Busy,
+            Suspicion::Confirmed => Picked::Barred,
         }
     }
 
     /// Picks an engine that no suspect holds.
     fn route_clear(&self, snapshot: &Snapshot, request: &Request, tried: &[Name]) -> Picked {
-        let held = self.shared.poison().held(clock::now());
+        let held = self.shared.poison().held_engines(clock::now());
         let except: Vec<Name> = tried.iter().chain(&held).cloned().collect();
         if let Some(target) = self.route(snapshot, request, &except) {
             return Picked::Target(target);
@@ -142,7 +142,7 @@
         if untried.count() == 0 {
             return Picked::Empty;
         }
-        let held = self.shared.poison().held(clock::now());
+        let held = self.shared.poison().held_engines(clock::now());
         let all: Vec<Name> = engines_of(snapshot, request).collect();
         let taken = all.iter().filter(|engine| held.contains(engine)).count();
         if taken > 0 && (taken + 1) * HELD_PART > all.len() {
@@ -151,7 +151,7 @@
         let engines = self.candidates(snapshot, request, tried);
         for engine in &engines {
             let left = request.deadline.since(clock::now());
-            let ask = Ask {
+            let ask = HoldRequest {
                 fingerprint: request.fingerprint,
                 engine: engine.clone(),
                 from: self.shared.settings.name.clone(),
@@ -181,23 +181,23 @@
             .filter(|name| !tried.contains(name))
             .collect();
         if !engines.is_empty() {
-            let start = request.fingerprint.first() as usize % engines.len();
+            let start = request.fingerprint.first_byte() as usize % engines.len();
             engines.rotate_left(start);
         }
         let poison = self.shared.poison();
-        engines.retain(|engine| !poison.held(clock::now()).contains(engine));
+        engines.retain(|engine| !poison.held_engines(clock::now()).contains(engine));
         engines.sort_by_key(|engine| poison.running_on(engine));
         engines
     }
 
-    async fn hold(&self, ask: &Ask) -> bool {
-        if !self.shared.poison().ask(clock::now(), ask) {
+    async fn hold(&self, ask: &HoldRequest) -> bool {
+        if !self.shared.poison().reserve(clock::now(), ask) {
             return false;
         }
         let answers = self.tell(PoisonRequest::Ask(ask.clone())).await;
         let agreed = answers.iter().all(|a| a.agreed);
-        if agreed && self.shared.poison().on_agreed(ask) {
-            let moving = self.shared.poison().to_move(&ask.engine);
+        if agreed && self.shared.poison().grant(ask) {
+            let moving = self.shared.poison().attempts_to_move(&ask.engine);
             self.shared.stops.stop(&moving);
             self.tell(PoisonRequest::Vacate(ask.engine.clone())).await;
             return true;
@@ -206,7 +206,7 @@
         false
     }
 
-    async fn free(&self, ask: Ask) {
+    async fn free(&self, ask: HoldRequest) {
         self.shared.poison().release(&ask);
         self.tell(PoisonRequest::Release(ask)).await;
     }
@@ -250,7 +250,7 @@
         let Some(evidence) = self.evidence(target, attempt).await else {
             return;
         };
-        let note = self.shared.poison().note(attempt, evidence);
+        let note = self.shared.poison().crash_report(attempt, evidence);
         let Some(note) = note else { return };
         self.shared.metrics.traffic.crashed.inc();
         log_event!(
@@ -264,20 +264,20 @@
         // Nothing is judged before the peers have said what they ran there: the crash may be one of theirs.
         let answers = self.tell(PoisonRequest::Note(note.clone())).await;
         let theirs = answers.into_iter().flat_map(|a| a.ran);
-        self.take(&Note {
+        self.take(&CrashReport {
             ran: note.ran.iter().copied().chain(theirs).collect(),
             ..note
         });
         self.convict_guilty().await;
     }
 
-    fn take(&self, note: &Note) {
-        let stop = self.shared.poison().on_note(clock::now(), note);
+    fn take(&self, note: &CrashReport) {
+        let stop = self.shared.poison().on_crash_report(clock::now(), note);
         self.shared.stops.stop(&stop);
     }
 
     async fn convict_guilty(&self) {
-        let guilty = self.shared.poison().judge(clock::now());
+        let guilty = self.shared.poison().confirm_suspects(clock::now());
         for fingerprint in guilty {
             self.convict(fingerprint).await;
         }
@@ -314,7 +314,7 @@
     async fn convict(&self, fingerprint: Fingerprint) {
         log_event!(warn, log_event::CONVICTED, %fingerprint);
         self.shared.metrics.traffic.convictions.inc();
-        let stop = self.shared.poison().convict(clock::now(), fingerprint);
+        let stop = self.shared.poison().confirm(clock::now(), fingerprint);
         self.shared.stops.stop(&stop);
         let dispatch = self.clone();
         let write = actix::spawn(async move { dispatch.write(fingerprint).await });
--- a/src/ops/shared.rs
+++ b/src/ops/shared.rs
@@ -15,7 +15,7 @@
 use sequoiastream_core::membership::Roster;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::outcome::Reason;
-use sequoiastream_core::poison::Poison;
+use sequoiastream_core::poison::CrashRecords;
 use sequoiastream_core::route::Router;
 use sequoiastream_core::snapshot::Snapshot;
 use sequoiastream_core::time::Time;
@@ -50,7 +50,7 @@
     held: Mutex<BTreeMap<Name, Time>>,
     owners: Mutex<Owners>,
     watch: Mutex<ClockWatch>,
-    poison: Mutex<Poison>,
+    poison: Mutex<CrashRecords>,
     roster: watch::Sender<Arc<Roster>>,
     leaving: AtomicBool,
     refusing: AtomicBool,
@@ -72,7 +72,7 @@
     pub fn new(settings: Settings) -> Shared {
         let router = router(&settings);
         let policy = PolicyState::new(&settings);
-        let poison = Poison::new(settings.name.clone());
+        let poison = CrashRecords::new(settings.name.clone());
         let calls = Arc::new(CallMeter::new(settings.rate));
         Shared {
             settings,
@@ -146,7 +146,7 @@
     }
 
     /// The records of requests that crash engines. Held for one decision, never across an await.
-    pub fn poison(&self) -> MutexGuard<'_, Poison> {
+    pub fn poison(&self) -> MutexGuard<'_, CrashRecords> {
         self.poison
             .lock()
             .expect("no thread panics while it holds the records")
--- a/tests/testsuite/suspects.rs
+++ b/tests/testsuite/suspects.rs
@@ -8,14 +8,14 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::poison::Ask;
+use sequoiastream_core::poison::CrashRecords;
+use sequoiastream_core::poison::CrashReport;
 use sequoiastream_core::poison::Evidence;
 use sequoiastream_core::poison::Fingerprint;
+use sequoiastream_core::poison::HoldRequest;
 use sequoiastream_core::poison::Incident;
 use sequoiastream_core::poison::MAX_RECORDS;
-use sequoiastream_core::poison::Note;
-use sequoiastream_core::poison::Poison;
-use sequoiastream_core::poison::Standing;
+use sequoiastream_core::poison::Suspicion;
 use sequoiastream_core::time::Time;
 use uuid::Uuid;
 
@@ -43,11 +43,11 @@
     Running {
         engine: usize,
         attempt: Uuid,
-        ask: Option<Ask>,
+        ask: Option<HoldRequest>,
     },
     Broken {
         attempt: Uuid,
-        ask: Option<Ask>,
+        ask: Option<HoldRequest>,
     },
     Whole,
     Refused,
@@ -67,7 +67,7 @@
 struct Fleet {
     rng: StdRng,
     now: Time,
-    records: Vec<Poison>,
+    records: Vec<CrashRecords>,
     alive: Vec<bool>,
     requests: Vec<Request>,
     lost: BTreeMap<Fingerprint, u32>,
@@ -90,7 +90,7 @@
             rng,
             now: Time::ZERO,
             records: (0..INSTANCES)
-                .map(|i| Poison::new(name(&format!("i{i}"))))
+                .map(|i| CrashRecords::new(name(&format!("i{i}"))))
                 .collect(),
             alive: vec![true; ENGINES],
             lost: BTreeMap::new(),
@@ -122,18 +122,18 @@
 
     fn start(&mut self, index: usize) {
         let (instance, fingerprint) = (self.requests[index].instance, self.requests[index].fingerprint);
-        match self.records[instance].standing(self.now, fingerprint) {
-            Standing::Pending => {}
-            Standing::Convicted => self.requests[index].phase = Phase::Refused,
-            Standing::Clear => {
-                let held = self.records[instance].held(self.now);
+        match self.records[instance].suspicion(self.now, fingerprint) {
+            Suspicion::Pending => {}
+            Suspicion::Confirmed => self.requests[index].phase = Phase::Refused,
+            Suspicion::Unsuspected => {
+                let held = self.records[instance].held_engines(self.now);
                 let free = |e: &usize| self.alive[*e] && !held.contains(&engine(*e));
                 let engines: Vec<usize> = (0..ENGINES).filter(free).collect();
                 if let Some(chosen) = self.choose(&engines) {
                     self.begin(index, chosen, None);
                 }
             }
-            Standing::Suspect => self.hold(index),
+            Suspicion::Suspect => self.hold(index),
         }
     }
 
@@ -150,22 +150,22 @@
             return;
         };
         let instance = self.requests[index].instance;
-        let ask = Ask {
+        let ask = HoldRequest {
             fingerprint: self.requests[index].fingerprint,
             engine: engine(chosen),
             from: name(&format!("i{instance}")),
             millis: 1_000_000,
         };
-        if !self.records[instance].ask(self.now, &ask) {
+        if !self.records[instance].reserve(self.now, &ask) {
             return;
         }
         let now = self.now;
         let others = (0..INSTANCES).filter(|i| *i != instance);
         let mut agreed = true;
         for other in others {
-            agreed &= self.records[other].on_ask(now, &ask);
+            agreed &= self.records[other].on_hold_request(now, &ask);
         }
-        match agreed && self.records[instance].on_agreed(&ask) {
+        match agreed && self.records[instance].grant(&ask) {
             true => {
                 self.vacate(&ask.engine);
                 self.begin(index, chosen, Some(ask));
@@ -176,25 +176,25 @@
 
     fn vacate(&mut self, engine: &Name) {
         for instance in 0..INSTANCES {
-            let moving = self.records[instance].to_move(engine);
+            let moving = self.records[instance].attempts_to_move(engine);
             self.stop(instance, &moving);
         }
     }
 
-    fn release(&mut self, ask: &Ask) {
+    fn release(&mut self, ask: &HoldRequest) {
         for records in &mut self.records {
             records.release(ask);
         }
     }
 
-    fn begin(&mut self, index: usize, engine_index: usize, ask: Option<Ask>) {
+    fn begin(&mut self, index: usize, engine_index: usize, ask: Option<HoldRequest>) {
         self.numbers += 1;
         let attempt = Uuid::from_u128(self.numbers);
         let request = &mut self.requests[index];
         let records = &mut self.records[request.instance];
         let begun = records.begin(self.now, attempt, request.fingerprint, &engine(engine_index));
         assert!(begun, "the records contradict themselves");
-        records.opened(attempt, Uuid::from_u128(engine_index as u128 + 1));
+        records.record_incarnation(attempt, Uuid::from_u128(engine_index as u128 + 1));
         request.phase = Phase::Running {
             engine: engine_index,
             attempt,
@@ -202,7 +202,7 @@
         };
     }
 
-    fn run(&mut self, index: usize, engine_index: usize, attempt: Uuid, ask: Option<Ask>) {
+    fn run(&mut self, index: usize, engine_index: usize, attempt: Uuid, ask: Option<HoldRequest>) {
         let request = &mut self.requests[index];
         if request.fatal == Some(request.offset) {
             return self.crash(index, engine_index);
@@ -236,18 +236,18 @@
     }
 
     /// What an instance does when a stream broke: note, tell, judge, tell.
-    fn judge(&mut self, index: usize, attempt: Uuid, ask: Option<Ask>) {
+    fn judge(&mut self, index: usize, attempt: Uuid, ask: Option<HoldRequest>) {
         let instance = self.requests[index].instance;
         let note = self.records[instance]
-            .note(attempt, Evidence::Crashed)
+            .crash_report(attempt, Evidence::Crashed)
             .expect("it runs");
         let mut ran = note.ran.clone();
         self.take(instance, &note);
         for other in (0..INSTANCES).filter(|i| *i != instance) {
-            ran.extend(self.records[other].ran_there(&note.incident));
+            ran.extend(self.records[other].requests_on(&note.incident));
             self.take(other, &note);
         }
-        self.take(instance, &Note { ran, ..note });
+        self.take(instance, &CrashReport { ran, ..note });
         self.convict_guilty(instance);
         self.records[instance].end(attempt);
         if let Some(ask) = ask {
@@ -257,8 +257,8 @@
         request.phase = Phase::Waiting;
     }
 
-    fn take(&mut self, instance: usize, note: &Note) {
-        let stop = self.records[instance].on_note(self.now, note);
+    fn take(&mut self, instance: usize, note: &CrashReport) {
+        let stop = self.records[instance].on_crash_report(self.now, note);
         self.stop(instance, &stop);
     }
 
@@ -275,9 +275,9 @@
     }
 
     fn convict_guilty(&mut self, instance: usize) {
-        for fingerprint in self.records[instance].judge(self.now) {
+        for fingerprint in self.records[instance].confirm_suspects(self.now) {
             for records in &mut self.records {
-                records.convict(self.now, fingerprint);
+                records.confirm(self.now, fingerprint);
             }
         }
     }
@@ -288,10 +288,10 @@
         }
         for records in &self.records {
             for request in self.requests.iter().filter(|r| r.fatal.is_none()) {
-                let standing = records.standing(self.now, request.fingerprint);
+                let standing = records.suspicion(self.now, request.fingerprint);
                 assert_ne!(
                     standing,
-                    Standing::Convicted,
+                    Suspicion::Confirmed,
                     "seed {seed}: an innocent is convicted"
                 );
             }
@@ -329,8 +329,8 @@
     assert!(convicted > POISONOUS * 190, "only {convicted} convicted");
 }
 
-fn note(number: u128, evidence: Evidence, ran: &[usize]) -> Note {
-    Note {
+fn note(number: u128, evidence: Evidence, ran: &[usize]) -> CrashReport {
+    CrashReport {
         incident: Incident {
             engine: engine(0),
             incarnation: Uuid::from_u128(number),
@@ -344,52 +344,62 @@
 /// taken for a crash.
 #[test]
 fn judge_silent_engines() {
-    let mut records = Poison::new(name("i0"));
+    let mut records = CrashRecords::new(name("i0"));
     for number in 1..4 {
-        records.on_note(Time::ZERO, &note(number, Evidence::Silent, &[0]));
+        records.on_crash_report(Time::ZERO, &note(number, Evidence::Silent, &[0]));
     }
-    assert!(records.judge(Time::ZERO).is_empty());
-    assert_eq!(records.standing(Time::ZERO, fingerprint(0)), Standing::Pending);
+    assert!(records.confirm_suspects(Time::ZERO).is_empty());
+    assert_eq!(records.suspicion(Time::ZERO, fingerprint(0)), Suspicion::Pending);
     let later = Time::from_millis(11 * 60 * 1_000);
-    assert_eq!(records.standing(later, fingerprint(0)), Standing::Clear);
+    assert_eq!(records.suspicion(later, fingerprint(0)), Suspicion::Unsuspected);
 }
 
 /// A neighbour is refused with the request that crashed both its engines. Order: it runs beside one poisonous
 /// request, then beside another. Cause: two crashes are taken for proof.
 #[test]
 fn judge_beside_another() {
-    let mut records = Poison::new(name("i0"));
+    let mut records = CrashRecords::new(name("i0"));
     let (neighbour, first, second) = (0, 1, 2);
-    records.on_note(Time::ZERO, &note(1, Evidence::Crashed, &[neighbour, first]));
+    records.on_crash_report(Time::ZERO, &note(1, Evidence::Crashed, &[neighbour, first]));
     let later = Time::from_millis(5);
-    records.on_note(later, &note(2, Evidence::Crashed, &[neighbour, second]));
-    assert!(records.judge(later).is_empty());
-    assert_eq!(records.standing(later, fingerprint(neighbour)), Standing::Pending);
+    records.on_crash_report(later, &note(2, Evidence::Crashed, &[neighbour, second]));
+    assert!(records.confirm_suspects(later).is_empty());
+    assert_eq!(
+        records.suspicion(later, fingerprint(neighbour)),
+        Suspicion::Pending
+    );
     let last = Time::from_millis(9);
-    records.on_note(last, &note(3, Evidence::Crashed, &[second]));
-    assert_eq!(records.judge(last), vec![fingerprint(second)]);
-    assert_eq!(records.standing(last, fingerprint(neighbour)), Standing::Suspect);
+    records.on_crash_report(last, &note(3, Evidence::Crashed, &[second]));
+    assert_eq!(records.confirm_suspects(last), vec![fingerprint(second)]);
+    assert_eq!(
+        records.suspicion(last, fingerprint(neighbour)),
+        Suspicion::Suspect
+    );
 }
 
 #[test]
 fn records_bounded() {
-    let mut records = Poison::new(name("i0"));
+    let mut records = CrashRecords::new(name("i0"));
     for number in 0..MAX_RECORDS + 200 {
         let time = Time::from_millis(number as u64);
-        records.on_note(time, &note(number as u128, Evidence::Crashed, &[number]));
-        records.convict(time, fingerprint(number + 1_000_000));
+        records.on_crash_report(time, &note(number as u128, Evidence::Crashed, &[number]));
+        records.confirm(time, fingerprint(number + 1_000_000));
     }
-    assert!(records.records() <= 2 * MAX_RECORDS, "{}", records.records());
+    assert!(
+        records.record_count() <= 2 * MAX_RECORDS,
+        "{}",
+        records.record_count()
+    );
 }
 
 /// A caller loses patience and sends its request again through another instance while the first still runs; it
 /// crashes a second engine there, and a third. The second attempt must stop when the first one's crash is told.
 #[test]
 fn note_stops_elsewhere() {
-    let mut records = Poison::new(name("i0"));
+    let mut records = CrashRecords::new(name("i0"));
     let attempt = Uuid::from_u128(5);
     assert!(records.begin(Time::ZERO, attempt, fingerprint(0), &engine(1)));
-    let stop = records.on_note(Time::ZERO, &note(1, Evidence::Crashed, &[0]));
+    let stop = records.on_crash_report(Time::ZERO, &note(1, Evidence::Crashed, &[0]));
     assert_eq!(stop, vec![attempt]);
     records.end(attempt);
     assert!(
@@ -401,7 +411,7 @@
 /// Two instances ask for the same engine, or for the same suspect, at the same time: exactly one gets it.
 #[test]
 fn ask_at_once() {
-    let ask = |fingerprint_index: usize, engine_index: usize, from: &str| Ask {
+    let ask = |fingerprint_index: usize, engine_index: usize, from: &str| HoldRequest {
         fingerprint: fingerprint(fingerprint_index),
         engine: engine(engine_index),
         from: name(from),
@@ -412,12 +422,12 @@
         ("same suspect", ask(1, 0, "i0"), ask(1, 1, "i1")),
     ];
     for (case, first, second) in cases {
-        let (mut here, mut there) = (Poison::new(name("i0")), Poison::new(name("i1")));
-        assert!(here.ask(Time::ZERO, &first) && there.ask(Time::ZERO, &second));
-        let first_agreed = there.on_ask(Time::ZERO, &first);
-        let second_agreed = here.on_ask(Time::ZERO, &second);
-        let first_has = first_agreed && here.on_agreed(&first);
-        let second_has = second_agreed && there.on_agreed(&second);
+        let (mut here, mut there) = (CrashRecords::new(name("i0")), CrashRecords::new(name("i1")));
+        assert!(here.reserve(Time::ZERO, &first) && there.reserve(Time::ZERO, &second));
+        let first_agreed = there.on_hold_request(Time::ZERO, &first);
+        let second_agreed = here.on_hold_request(Time::ZERO, &second);
+        let first_has = first_agreed && here.grant(&first);
+        let second_has = second_agreed && there.grant(&second);
         assert!(first_has != second_has, "{case}: {first_has} {second_has}");
     }
 }
