--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -3,7 +3,7 @@
 //! [`Answer`] decides what the driver does next: pick an engine, send, deliver a token, cancel, wait, end. It
 //! guards against these failures:
 //!
-//! - A piece arrives late, twice, crossed, or from an attempt that was given up: [`Splice`] drops it.
+//! - A piece arrives late, twice, crossed, or from an attempt that was given up: [`AnswerAssembler`] drops it.
 //! - An engine stalls without closing its connection (it was paused, or cut off): the caller would wait for
 //!   good. Each wait has a limit; at its end the attempt is closed, cancelled and resumed elsewhere.
 //! - The engine that an answer is resumed on has another version of the model: the text would be of two minds.
@@ -22,8 +22,8 @@
 use crate::config::Repeat;
 use crate::invariant;
 use crate::outcome::Reason;
-use crate::splice::Splice;
-use crate::splice::Verdict;
+use crate::splice::AnswerAssembler;
+use crate::splice::TokenAction;
 use crate::time::Time;
 
 /// Pause before engines that failed are tried again for an answer that the caller has a part of.
@@ -173,7 +173,7 @@
 pub struct Answer {
     limits: Limits,
     begun: u32,
-    splice: Splice,
+    splice: AnswerAssembler,
     phase: Phase,
     alive: Time,
     token: bool,
@@ -192,7 +192,7 @@
         Answer {
             limits,
             begun: resume.offset,
-            splice: Splice::new(resume.offset),
+            splice: AnswerAssembler::new(resume.offset),
             phase: Phase::Picking,
             alive: now,
             token: false,
@@ -245,7 +245,7 @@
 
     /// Offset of the next token.
     pub fn next(&self) -> u32 {
-        self.splice.next()
+        self.splice.next_offset()
     }
 
     /// The version of the model that made the whole text, by which a caller can come back; `None` before the
@@ -293,7 +293,7 @@
         if invariant::check(self.phase == Phase::Picking, "one attempt at a time").is_err() {
             return Vec::new();
         }
-        let offset = self.splice.open(attempt);
+        let offset = self.splice.open_attempt(attempt);
         self.phase = Phase::Sent(attempt);
         self.alive = now;
         self.token = false;
@@ -356,9 +356,9 @@
 
     fn on_token(&mut self, now: Time, attempt: Uuid, offset: u32) -> Vec<Action> {
         match self.splice.on_token(attempt, offset) {
-            Verdict::Foreign | Verdict::Repeat => Vec::new(),
-            Verdict::Gap => self.leave(attempt),
-            Verdict::Deliver => {
+            TokenAction::WrongAttempt | TokenAction::Duplicate => Vec::new(),
+            TokenAction::Gap => self.leave(attempt),
+            TokenAction::Deliver => {
                 self.attempts.on_progress();
                 self.waits = 0;
                 self.token = true;
@@ -390,14 +390,14 @@
         if self.current() != Some(attempt) {
             return Vec::new();
         }
-        self.splice.close();
+        self.splice.close_attempt();
         self.mismatch |= failure == Failure::Version;
         self.go_on(failure.end())
     }
 
     /// Closes the attempt, cancels it and goes on elsewhere.
     fn leave(&mut self, attempt: Uuid) -> Vec<Action> {
-        self.splice.close();
+        self.splice.close_attempt();
         let mut actions = vec![Action::Cancel(attempt)];
         actions.extend(self.go_on(End::Broken));
         actions
@@ -417,7 +417,7 @@
         match self.current() {
             Some(attempt) => {
                 self.attempts.on_run();
-                self.splice.close();
+                self.splice.close_attempt();
                 self.phase = Phase::Picking;
                 vec![Action::Cancel(attempt), Action::Pick]
             }
@@ -450,7 +450,7 @@
 
     fn end(&mut self, ending: Ending) -> Vec<Action> {
         let mut actions: Vec<Action> = self.current().into_iter().map(Action::Cancel).collect();
-        self.splice.close();
+        self.splice.close_attempt();
         self.phase = Phase::Ended;
         actions.push(Action::End(ending));
         actions
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Longest name accepted, in bytes.
-pub const MAX_NAME: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// A validated name: a lower-case letter, then lower-case letters, digits, `-`, `.` or `_`.
 ///
@@ -24,14 +24,14 @@
     /// The text is empty.
     #[error("a name can't be empty")]
     Empty,
-    /// The text is longer than [`MAX_NAME`].
-    #[error("a name has at most {MAX_NAME} bytes, this one has {0}")]
+    /// The text is longer than [`MAX_NAME_BYTES`].
+    #[error("a name has at most {MAX_NAME_BYTES} bytes, this one has {0}")]
     TooLong(usize),
     /// The text holds a character that names don't have.
     #[error(
         "{0:?} can't stand at byte {1} of a name (lower-case letter first, then also digits, `-`, `.`, `_`)"
     )]
-    Character(char, usize),
+    InvalidCharacter(char, usize),
 }
 
 impl Name {
@@ -44,11 +44,11 @@
         if text.is_empty() {
             return Err(NameError::Empty);
         }
-        if text.len() > MAX_NAME {
+        if text.len() > MAX_NAME_BYTES {
             return Err(NameError::TooLong(text.len()));
         }
         match text.char_indices().find(|&(i, c)| !is_allowed(i, c)) {
-            Some((i, c)) => Err(NameError::Character(c, i)),
+            Some((i, c)) => Err(NameError::InvalidCharacter(c, i)),
             None => Ok(Name(Arc::from(text))),
         }
     }
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether requests are refused where a share is spent or a deadline can't be met.
-    pub fn limits(self) -> bool {
+    pub fn enforces_limits(self) -> bool {
         self.routing() == Routing::Estimate
     }
 }
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -14,13 +14,13 @@
         hasher.update(word.as_bytes());
         hasher.update(b" ");
         if (i + 1) % BLOCK_TOKENS as usize == 0 {
-            digests.push(first_eight(&hasher.finalize()));
+            digests.push(leading_u64(&hasher.finalize()));
         }
     }
     digests
 }
 
-fn first_eight(hash: &blake3::Hash) -> u64 {
+fn leading_u64(hash: &blake3::Hash) -> u64 {
     let (head, _) = hash
         .as_bytes()
         .split_first_chunk::<8>()
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -14,70 +14,70 @@
 use crate::name::Name;
 
 /// Retries that each fresh request earns.
-pub const RATIO: f64 = 0.2;
+pub const RETRY_RATIO: f64 = 0.2;
 
 /// Retries that a product can have saved up, and has before its first request: one with little traffic must get
 /// over an engine that fails.
-const SAVED: f64 = 10.0;
+const MAX_CREDIT: f64 = 10.0;
 
 /// Pause before the first retry of a request; doubles with each.
-const PAUSE: Duration = Duration::from_millis(20);
+const BASE_DELAY: Duration = Duration::from_millis(20);
 
 /// Longest pause.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_DELAY: Duration = Duration::from_secs(1);
 
 /// Attempts at one request.
 pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Times the expected time to the first token after which an attempt is given up for another engine.
-const PATIENCE: f64 = 4.0;
+const TIMEOUT_FACTOR: f64 = 4.0;
 
 /// Least time for which an attempt's first token is waited for.
-const LEAST: Duration = Duration::from_millis(500);
+const MIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Retry budgets of all products at one instance.
 #[derive(Debug, Clone)]
-pub struct Retries {
-    saved: BTreeMap<Name, f64>,
+pub struct RetryBudgets {
+    credits: BTreeMap<Name, f64>,
     rng: ChaCha8Rng,
 }
 
-impl Retries {
+impl RetryBudgets {
     /// Budgets before any request. `seed` draws the jitter.
-    pub fn new(seed: u64) -> Retries {
-        Retries {
-            saved: BTreeMap::new(),
+    pub fn new(seed: u64) -> RetryBudgets {
+        RetryBudgets {
+            credits: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
     /// Counts a fresh request of `product`.
-    pub fn fresh(&mut self, product: &Name) {
-        let saved = self.saved.entry(product.clone()).or_insert(SAVED);
-        *saved = (*saved + RATIO).min(SAVED);
+    pub fn record_request(&mut self, product: &Name) {
+        let credit = self.credits.entry(product.clone()).or_insert(MAX_CREDIT);
+        *credit = (*credit + RETRY_RATIO).min(MAX_CREDIT);
     }
 
     /// Asks for retry number `retry` (from 1) of a request of `product`; takes it from the budget and returns
     /// the pause before it. `None` if it may not be tried again.
-    pub fn retry(&mut self, product: &Name, retry: u32) -> Option<Duration> {
+    pub fn take_retry(&mut self, product: &Name, retry: u32) -> Option<Duration> {
         if retry >= MAX_ATTEMPTS {
             return None;
         }
-        let saved = self.saved.entry(product.clone()).or_insert(SAVED);
-        if *saved < 1.0 {
+        let credit = self.credits.entry(product.clone()).or_insert(MAX_CREDIT);
+        if *credit < 1.0 {
             return None;
         }
-        *saved -= 1.0;
-        let pause = PAUSE.saturating_mul(1 << (retry - 1).min(10)).min(LONGEST);
-        Some(pause.mul_f64(0.5 + self.rng.random::<f64>()))
+        *credit -= 1.0;
+        let delay = BASE_DELAY.saturating_mul(1 << (retry - 1).min(10)).min(MAX_DELAY);
+        Some(delay.mul_f64(0.5 + self.rng.random::<f64>()))
     }
 }
 
 /// How long an attempt's first token is waited for, with `left` to the deadline and `expected` estimated: each
 /// attempt gets at most half of what is left, so that one more fits behind it.
-pub fn patience(left: Duration, expected: Duration, attempt: u32) -> Duration {
+pub fn first_token_timeout(left: Duration, expected: Duration, attempt: u32) -> Duration {
     match attempt + 1 < MAX_ATTEMPTS {
-        true => expected.mul_f64(PATIENCE).max(LEAST).min(left / 2),
+        true => expected.mul_f64(TIMEOUT_FACTOR).max(MIN_TIMEOUT).min(left / 2),
         false => left,
     }
 }
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -9,9 +9,9 @@
 
 /// Times of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Times {
+pub struct ShutdownTimes {
     /// How long callers keep an address.
-    pub keep: Duration,
+    pub address_ttl: Duration,
     /// Added to it, for answers on their way and peers that heard late.
     pub margin: Duration,
     /// Shortest time for which new work is refused before the listener closes.
@@ -26,7 +26,7 @@
     /// Not begun.
     Serving,
     /// No longer named, still serving new work.
-    Leaving,
+    Unlisted,
     /// Refusing new work, finishing what runs.
     Refusing,
     /// Nothing runs any more, or it was waited for in vain.
@@ -36,14 +36,14 @@
 /// The steps of one shutdown.
 #[derive(Debug, Clone)]
 pub struct Shutdown {
-    times: Times,
+    times: ShutdownTimes,
     begun: Option<Time>,
     phase: Phase,
 }
 
 impl Shutdown {
     /// A shutdown that has not begun.
-    pub fn new(times: Times) -> Shutdown {
+    pub fn new(times: ShutdownTimes) -> Shutdown {
         Shutdown {
             times,
             begun: None,
@@ -54,7 +54,7 @@
     /// Begins; a second call changes nothing.
     pub fn begin(&mut self, now: Time) {
         self.begun.get_or_insert(now);
-        self.phase = self.phase.max(Phase::Leaving);
+        self.phase = self.phase.max(Phase::Unlisted);
     }
 
     /// The phase at `now`, with `running` pieces of work not yet finished.
@@ -62,7 +62,7 @@
         let Some(begun) = self.begun else {
             return self.phase;
         };
-        let refusing = begun + self.times.keep + self.times.margin;
+        let refusing = begun + self.times.address_ttl + self.times.margin;
         if now >= refusing {
             self.phase = self.phase.max(Phase::Refusing);
         }
--- a/crates/core/src/splice.rs
+++ b/crates/core/src/splice.rs
@@ -9,69 +9,69 @@
 
 /// What to do with a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum TokenAction {
     /// Deliver it: it is the next token.
     Deliver,
     /// Drop it: it is of another attempt.
-    Foreign,
+    WrongAttempt,
     /// Drop it: the caller has this token already.
-    Repeat,
+    Duplicate,
     /// Give the attempt up: a token is missing before this one.
     Gap,
 }
 
 /// The answer to one request, as far as it was delivered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Splice {
-    next: u32,
-    open: Option<Uuid>,
+pub struct AnswerAssembler {
+    next_offset: u32,
+    open_attempt: Option<Uuid>,
     dropped: u64,
 }
 
-impl Splice {
+impl AnswerAssembler {
     /// An answer whose caller has the tokens before `offset`.
-    pub fn new(offset: u32) -> Splice {
-        Splice {
-            next: offset,
-            open: None,
+    pub fn new(offset: u32) -> AnswerAssembler {
+        AnswerAssembler {
+            next_offset: offset,
+            open_attempt: None,
             dropped: 0,
         }
     }
 
     /// Opens an attempt, closing the one before; returns the offset to ask for.
-    pub fn open(&mut self, attempt: Uuid) -> u32 {
-        self.open = Some(attempt);
-        self.next
+    pub fn open_attempt(&mut self, attempt: Uuid) -> u32 {
+        self.open_attempt = Some(attempt);
+        self.next_offset
     }
 
     /// Closes the open attempt: whatever still comes of it is dropped.
-    pub fn close(&mut self) {
-        self.open = None;
+    pub fn close_attempt(&mut self) {
+        self.open_attempt = None;
     }
 
     /// Judges a token of `attempt` at `offset`.
-    pub fn on_token(&mut self, attempt: Uuid, offset: u32) -> Verdict {
-        let verdict = match self.open == Some(attempt) {
-            false => Verdict::Foreign,
-            true if offset < self.next => Verdict::Repeat,
-            true if offset > self.next => Verdict::Gap,
-            true => Verdict::Deliver,
+    pub fn on_token(&mut self, attempt: Uuid, offset: u32) -> TokenAction {
+        let action = match self.open_attempt == Some(attempt) {
+            false => TokenAction::WrongAttempt,
+            true if offset < self.next_offset => TokenAction::Duplicate,
+            true if offset > self.next_offset => TokenAction::Gap,
+            true => TokenAction::Deliver,
         };
-        match verdict {
-            Verdict::Deliver => self.next += 1,
+        match action {
+            TokenAction::Deliver => self.next_offset += 1,
             _ => self.dropped += 1,
         }
-        verdict
+        action
     }
 
     /// Whether the last line of `attempt`, which says that the answer ends at `offset`, ends the answer.
     pub fn on_finish(&self, attempt: Uuid, offset: u32) -> bool {
-        self.open == Some(attempt) && offset == self.next
+        self.open_attempt == Some(attempt) && offset == self.next_offset
     }
 
     /// Offset of the next token to deliver.
-    pub fn next(&self) -> u32 {
-        self.next
+    pub fn next_offset(&self) -> u32 {
+        self.next_offset
     }
 
     /// Pieces dropped so far.
--- a/src/ops/daemon.rs
+++ b/src/ops/daemon.rs
@@ -108,7 +108,7 @@
     shutdown.begin(clock::now());
     shared.leave();
     control.membership.do_send(Leave);
-    let mut phase = Phase::Leaving;
+    let mut phase = Phase::Unlisted;
     while phase != Phase::Drained {
         actix::clock::sleep(STEP).await;
         let next = shutdown.step(clock::now(), shared.count_running());
--- a/src/ops/dispatch/addresses.rs
+++ b/src/ops/dispatch/addresses.rs
@@ -37,7 +37,7 @@
     addresses.truncate(MAX_ADDRESSES);
     Ok(AddressList {
         addresses,
-        keep: settings.times.keep,
+        keep: settings.times.address_ttl,
     })
 }
 
--- a/src/ops/dispatch/admit.rs
+++ b/src/ops/dispatch/admit.rs
@@ -90,7 +90,7 @@
         Ok((service, _)) => service,
         Err(why) => return Err(Refusal::not_run(call.unsent.refuse(Reason::UnknownService), why)),
     };
-    shared.policy.retries().fresh(&call.product);
+    shared.policy.retries().record_request(&call.product);
     let ask = ask(shared, &snapshot, &call, service);
     let now = clock::now();
     let Some(foreseen) = shared.router().foresee(now, &snapshot, &ask) else {
@@ -102,7 +102,7 @@
     shared
         .policy
         .ask(&view.name, f64::from(foreseen.prefill), f64::from(ask.output));
-    if !shared.settings.policy.limits() || call.resume.offset > 0 {
+    if !shared.settings.policy.enforces_limits() || call.resume.offset > 0 {
         return Ok(call);
     }
     let owed = Owed {
--- a/src/ops/dispatch/forward.rs
+++ b/src/ops/dispatch/forward.rs
@@ -124,7 +124,7 @@
 
 impl Repeated<'_> {
     async fn run(mut self, unsent: Unsent) -> Result<ForwardReply, Refusal> {
-        self.dispatch.shared.policy.retries().fresh(self.product);
+        self.dispatch.shared.policy.retries().record_request(self.product);
         let mut proof = Some(unsent);
         let mut last = None;
         while self.may_go_on()
@@ -183,7 +183,7 @@
         let left = self.left();
         // How long a service takes is not known: it may be all that is left.
         let limit = match self.attempts.leaves_another() {
-            true => retry::patience(left, left, 0),
+            true => retry::first_token_timeout(left, left, 0),
             false => left,
         };
         let result = self.dispatch.plain.send(target.address, self.plain, limit).await;
--- a/src/ops/dispatch/mod.rs
+++ b/src/ops/dispatch/mod.rs
@@ -91,7 +91,7 @@
 
     /// Takes retry number `retry` of a request from the product's retry budget.
     fn may_retry(&self, product: &Name, retry: u32) -> bool {
-        let granted = self.shared.policy.retries().retry(product, retry).is_some();
+        let granted = self.shared.policy.retries().take_retry(product, retry).is_some();
         if !granted {
             self.shared.metrics.policy.retries_denied.inc();
         }
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -1,5 +1,5 @@
 //! Which engine an attempt goes to, and what its end says of the request: carries out what
-//! [`Poison`](sequoiastream_core::poison::Poison) decides.
+//! [`CrashRecords`](sequoiastream_core::poison::CrashRecords) decides.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/src/ops/policy.rs
+++ b/src/ops/policy.rs
@@ -6,7 +6,7 @@
 
 use sequoiastream_core::limit::Limits;
 use sequoiastream_core::name::Name;
-use sequoiastream_core::retry::Retries;
+use sequoiastream_core::retry::RetryBudgets;
 use sequoiastream_core::roles::Demand;
 
 use crate::settings::Settings;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct PolicyState {
     limits: Mutex<Limits>,
-    retries: Mutex<Retries>,
+    retries: Mutex<RetryBudgets>,
     demand: Mutex<BTreeMap<Name, Demand>>,
 }
 
@@ -24,7 +24,7 @@
     pub fn new(settings: &Settings) -> PolicyState {
         PolicyState {
             limits: Mutex::new(Limits::new(seed(settings))),
-            retries: Mutex::new(Retries::new(seed(settings))),
+            retries: Mutex::new(RetryBudgets::new(seed(settings))),
             demand: Mutex::default(),
         }
     }
@@ -37,7 +37,7 @@
     }
 
     /// The retry budgets.
-    pub fn retries(&self) -> MutexGuard<'_, Retries> {
+    pub fn retries(&self) -> MutexGuard<'_, RetryBudgets> {
         self.retries
             .lock()
             .expect("no thread panics while it holds the budgets")
--- a/src/ops/relay/forward.rs
+++ b/src/ops/relay/forward.rs
@@ -380,7 +380,7 @@
     pub fn patience(&self, expected: Duration) -> Option<Duration> {
         let left = self.ask.left();
         let leaves = self.attempts.leaves_another();
-        leaves.then(|| retry::patience(left, expected, 0))
+        leaves.then(|| retry::first_token_timeout(left, expected, 0))
     }
 
     /// Takes an extra attempt from the budget of all.
--- a/src/ops/relay/reading.rs
+++ b/src/ops/relay/reading.rs
@@ -99,7 +99,7 @@
                 break;
             }
             let may_repeat = attempt + 1 < MAX_READS;
-            let patience = may_repeat.then(|| retry::patience(self.ask.left(), reading.takes, 0));
+            let patience = may_repeat.then(|| retry::first_token_timeout(self.ask.left(), reading.takes, 0));
             match self.read_at(&reading, patience).await {
                 Ok(()) => return Ok(()),
                 Err(failure) => {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -23,7 +23,7 @@
 use sequoiastream_core::membership::Limits;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::policy::Policy;
-use sequoiastream_core::shutdown::Times;
+use sequoiastream_core::shutdown::ShutdownTimes;
 use thiserror::Error;
 
 pub use patience::Patience;
@@ -93,7 +93,7 @@
     /// Time between two looks at the platform's lists.
     pub lists: Duration,
     /// Times of a shutdown.
-    pub times: Times,
+    pub times: ShutdownTimes,
     /// How long engines and callers may be silent.
     pub patience: Patience,
     /// How log lines are written.
--- a/src/settings/times.rs
+++ b/src/settings/times.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clap::Arg;
-use sequoiastream_core::shutdown::Times;
+use sequoiastream_core::shutdown::ShutdownTimes;
 
 use crate::settings::Reader;
 use crate::settings::number;
@@ -31,10 +31,10 @@
 }
 
 /// Times of a shutdown.
-pub fn times(reader: &mut Reader<'_>) -> Times {
+pub fn times(reader: &mut Reader<'_>) -> ShutdownTimes {
     let mut millis = |name: &str| Duration::from_millis(reader.positive(name));
-    Times {
-        keep: millis("keep-ms"),
+    ShutdownTimes {
+        address_ttl: millis("keep-ms"),
         margin: millis("margin-ms"),
         refuse: millis("refuse-ms"),
         drain: millis("drain-ms"),
--- a/tests/testsuite/policy/retries.rs
+++ b/tests/testsuite/policy/retries.rs
@@ -1,4 +1,4 @@
-use sequoiastream_core::retry::Retries;
+use sequoiastream_core::retry::RetryBudgets;
 
 use super::name;
 
@@ -7,15 +7,15 @@
 #[test]
 fn retry_outage_end() {
     const FRESH: u32 = 1_000;
-    let mut retries = Retries::new(3);
+    let mut retries = RetryBudgets::new(3);
     let product = name("assistente");
     for round in 0..3 {
         let mut sent = 0;
         for _ in 0..FRESH {
-            retries.fresh(&product);
+            retries.record_request(&product);
             sent += 1;
             let mut attempt = 1;
-            while retries.retry(&product, attempt).is_some() {
+            while retries.take_retry(&product, attempt).is_some() {
                 sent += 1;
                 attempt += 1;
             }
@@ -32,10 +32,10 @@
 
 #[test]
 fn retry_products_apart() {
-    let mut retries = Retries::new(3);
+    let mut retries = RetryBudgets::new(3);
     for _ in 0..30 {
-        let _ = retries.retry(&name("failing"), 1);
+        let _ = retries.take_retry(&name("failing"), 1);
     }
-    assert!(retries.retry(&name("failing"), 1).is_none());
-    assert!(retries.retry(&name("other"), 1).is_some());
+    assert!(retries.take_retry(&name("failing"), 1).is_none());
+    assert!(retries.take_retry(&name("other"), 1).is_some());
 }
--- a/tests/testsuite/shutdown.rs
+++ b/tests/testsuite/shutdown.rs
@@ -14,7 +14,7 @@
 use sequoiastream_caller::AddressBody;
 use sequoiastream_core::shutdown::Phase;
 use sequoiastream_core::shutdown::Shutdown;
-use sequoiastream_core::shutdown::Times;
+use sequoiastream_core::shutdown::ShutdownTimes;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::ListedState;
 use sequoiastream_standin::engine::expected_text;
@@ -31,15 +31,15 @@
 
 #[test]
 fn step_phases() {
-    let times = Times {
-        keep: Duration::from_secs(10),
+    let times = ShutdownTimes {
+        address_ttl: Duration::from_secs(10),
         margin: Duration::from_secs(2),
         refuse: Duration::from_secs(1),
         drain: Duration::from_secs(60),
     };
     let cases = [
-        (0, 5, Phase::Leaving),
-        (11_999, 0, Phase::Leaving),
+        (0, 5, Phase::Unlisted),
+        (11_999, 0, Phase::Unlisted),
         (12_000, 0, Phase::Refusing),
         (12_999, 0, Phase::Refusing),
         (13_000, 1, Phase::Refusing),
