--- a/crates/core/benches/policy.rs
+++ b/crates/core/benches/policy.rs
@@ -1,4 +1,4 @@
-//! Cost of a routing, an admission and a planning decision, by the size of the fleet.
+//! Time taken by one routing, admission and planning decision, by fleet size.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -33,16 +33,16 @@
 use sequoiastream_core::snapshot::Snapshot;
 use sequoiastream_core::time::Time;
 
-/// Engines of a fleet: today's, a larger one's, the design size's.
+/// Engines in the fleet: today's, a larger deployment's, and the size that the system is designed for.
 const ENGINES: [u32; 3] = [14, 60, 600];
 
-/// Products: today's, a larger deployment's, the design size's.
+/// Products: today's, a larger deployment's, and the number that the system is designed for.
 const PRODUCTS: [u32; 3] = [5, 150, 1_500];
 
-/// Requests of this instance at each engine.
+/// Requests that this instance has running at each engine.
 const REQUESTS: u32 = 8;
 
-/// Blocks of a long prompt.
+/// Prefix blocks in a long prompt.
 const BLOCKS: u64 = 75;
 
 fn name(kind: &str, index: u32) -> Name {
@@ -148,7 +148,7 @@
         let mut turn = 0;
         group.bench_function(BenchmarkId::from_parameter(products), |b| {
             b.iter(|| {
-                // 20 requests a second at each of 350 instances: one each 50 ms.
+                // Each of the 350 instances gets 20 requests per second: one every 50 ms.
                 micros += 50_000;
                 turn = (turn + 1) % names.len();
                 limiter.admit(Time::from_micros(micros), &names[turn], owed, black_box(need))
--- a/crates/core/benches/relay.rs
+++ b/crates/core/benches/relay.rs
@@ -1,4 +1,5 @@
-//! Cost of finding a route, picking an engine and taking from the retry budget, by the size of the fleet.
+//! Time taken to find a route, choose an engine, merge the load of peers, plan the stages, look up an API key and
+//! draw on the retry budget, by fleet size.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -33,13 +34,13 @@
 use sequoiastream_core::relay::workspaces::Workspaces;
 use sequoiastream_core::time::Time;
 
-/// Engines and instances of a fleet: today's, a larger one's, the design size's.
+/// Engines and instances in the fleet: today's, a larger deployment's, and the sizes that the system is designed for.
 const FLEETS: [(u32, u32); 3] = [(13, 8), (60, 35), (600, 350)];
 
-/// Routes: today's, a larger deployment's, one for each of the design size's products.
+/// Routes: today's, a larger deployment's, and one for each product at the size that the system is designed for.
 const ROUTES: [u32; 3] = [4, 150, 1_500];
 
-/// When everything happens.
+/// The time at which all operations take place.
 const NOW: Time = Time::from_millis(10_000);
 
 fn engine(index: u32) -> Engine {
@@ -63,7 +64,7 @@
     Engine::new(EngineKey(index), entry)
 }
 
-/// Load and health as in a busy fleet: each instance has work at an engine in four.
+/// Load and health as in a busy fleet: each instance has work at one engine in four.
 fn book(engines: u32, instances: u32) -> Book {
     let mut book = Book::new();
     for peer in 1..instances {
@@ -153,7 +154,8 @@
     group.finish();
 }
 
-/// The plan of a service that was never split: what each instance works out twice a second until the orders are given.
+/// Planning the stages of a service that was never split into stages, as each instance does twice a second until the
+/// orders are issued.
 fn stages(c: &mut Criterion) {
     let mut group = c.benchmark_group("stages");
     for (engines, _) in FLEETS {
@@ -199,7 +201,7 @@
     group.finish();
 }
 
-/// Whose a key is, among ten thousand: each request asks.
+/// Looking up the workspace of an API key among 10,000 keys, which every request does.
 fn keys(c: &mut Criterion) {
     let key = |index: u32| format!("ftimaj3nr26tta{index:06}");
     let all = (0..1_000).map(|workspace| Workspace {
@@ -226,7 +228,7 @@
     let mut now = NOW;
     c.bench_function("budget/request", |b| {
         b.iter(|| {
-            // 100 requests a second at one instance.
+            // One instance gets 100 requests per second.
             now = now + Duration::from_millis(10);
             budget.request(now, black_box("assistente"));
             budget.take(now, "assistente", 8)
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -8,17 +8,17 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// A validated name: a lower-case letter, then lower-case letters, digits, `-`, `.` or `_`.
+/// A validated name: a lower-case letter, followed by lower-case letters, digits, `-`, `.` or `_`.
 ///
 /// Cheap to clone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// Why a text is no [`Name`].
+/// Why a text is not a valid [`Name`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NameError {
     /// The text is empty.
@@ -27,7 +27,7 @@
     /// The text is longer than [`MAX_NAME_BYTES`].
     #[error("a name has at most {MAX_NAME_BYTES} bytes, this one has {0}")]
     TooLong(usize),
-    /// The text holds a character that names don't have.
+    /// The text contains a character (first field) that is not allowed at its byte offset (second field).
     #[error(
         "{0:?} can't stand at byte {1} of a name (lower-case letter first, then also digits, `-`, `.`, `_`)"
     )]
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// [`NameError`] if the text is empty, too long or holds other characters.
+    /// [`NameError`] if the text is empty, too long or contains a character that is not allowed.
     pub fn new(text: &str) -> Result<Name, NameError> {
         if text.is_empty() {
             return Err(NameError::Empty);
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,25 +1,25 @@
-//! The final word on a request.
+//! The outcome of a request, and the reasons for refusing one.
 //!
-//! A caller acts on the outcome: after `not-run` it may safely send a non-idempotent request again, after
-//! `unknown` it must ask. A wrong `not-run` doubles an order; the proof that it takes to say `not-run` is in the
-//! package `sequoiastream-caller`, which alone can make one, when a request arrives.
+//! Callers act on the outcome: after `not-run` a caller may safely send a non-idempotent request again, after
+//! `unknown` it must ask for the status. A wrong `not-run` can make an order run twice. Reporting `not-run` therefore
+//! takes a proof value, which only the package `sequoiastream-caller` can create, when a request arrives.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How a request ended. Stands in the header `sequoiastream-outcome` and in the body.
+/// How a request ended. Sent in the header `sequoiastream-outcome` and in the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The caller has the whole answer.
+    /// The caller has received the complete answer.
     Whole,
     /// No upstream started the request.
     NotRun,
-    /// It ran and failed for good.
+    /// The request ran and failed permanently.
     Failed,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -38,29 +38,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The request is malformed or lacks what it needs.
+    /// The request is malformed or lacks required data.
     BadRequest,
-    /// The API key is not of any product.
+    /// The API key belongs to no product.
     UnknownKey,
-    /// No such service.
+    /// There is no such service.
     UnknownService,
-    /// No engine of the service can take work now.
+    /// No engine of the service can accept work now.
     NoEngine,
-    /// The product's share is used up and nobody lends.
+    /// The product's share is used up and no other product lends capacity.
     OverShare,
-    /// The deadline can't be met by any engine.
+    /// No engine can meet the deadline.
     TooLate,
-    /// The platform's key-value service is out of reach and the request needs it.
+    /// The request needs the platform's key-value service, which is unreachable.
     PlatformOut,
     /// This instance is stopping.
     Stopping,
-    /// This instance is cut off and doesn't know the configuration in force.
+    /// This instance is isolated and doesn't know the configuration in force.
     Isolated,
     /// The request's fingerprint is quarantined.
     Quarantined,
-    /// An upstream refused it and vouches that it did not start.
+    /// An upstream refused the request and guarantees that it did not start.
     UpstreamRefused,
-    /// The retry budget of the product is spent.
+    /// The product's retry budget is used up.
     RetryBudget,
     /// A request with the same idempotency key is running.
     KeyRunning,
@@ -68,6 +68,6 @@
     KeyExpired,
     /// The idempotency key was used for a request with another method, path or body.
     KeyReused,
-    /// The clocks of the instances differ so much that the key's age can't be judged.
+    /// The instances' clocks differ too much to determine the age of the idempotency key.
     ClockStepped,
 }
--- a/crates/core/src/poison.rs
+++ b/crates/core/src/poison.rs
@@ -1,20 +1,22 @@
-//! Requests that crash the engines that run them.
+//! Detects and isolates poison requests: requests that crash the engines that run them.
 //!
-//! Failure guarded against: a request crashes each engine that runs it, the daemon resumes it on the next one and
-//! its caller sends it again, until no engine is left. Each crash makes suspects of all requests that ran
-//! there. A suspect runs again only alone: it holds an engine, whose other streams move elsewhere and which gets
-//! no new work meanwhile. One that is in a second crash runs no more, so that no request takes more than two engines.
+//! Failure guarded against: a request crashes the engine that runs it, the daemon resumes it on the next engine and
+//! its caller sends it again, until no engine is left. After each crash, all requests that ran on that engine are
+//! suspects. A suspect may only run again with an exclusive hold on an engine: the engine's other streams are moved
+//! elsewhere and it gets no new work meanwhile. A request that was running in a second crash isn't run any more, so
+//! that no request takes down more than two engines.
 //!
-//! That it is in two crashes doesn't convict it yet: another poisonous request may just have been on its way
-//! out when the engine crashed. It is convicted when all others of its last crash have run to their end, at once
-//! if there are none. If one of these turns out to be the cause instead, the crash is explained: the others may run
-//! again, still alone, since two poisonous requests may have been there.
+//! Two crashes alone don't confirm a request as poison: another poison request may have been about to end on the
+//! engine when it crashed. It is confirmed when all other requests of its last crash have run to completion, or at
+//! once if there were none. If one of the others is confirmed as the cause instead, the crash is explained: the
+//! remaining requests may run again, still exclusively, since two poison requests may have been running there.
 //!
-//! Only evidence of a crash convicts: the engine refuses connections, or runs anew. An engine that is merely
-//! silent may be cut off from this instance; that raises suspicion for a shorter time and convicts nobody.
+//! Only evidence of a crash confirms a request: the engine refuses connections, or runs as a new incarnation. An
+//! engine that is merely silent may be unreachable from this instance only; this raises suspicion for a shorter time
+//! and never confirms a request.
 //!
-//! What a suspect needs to run is a hold on an engine and on its own fingerprint. An instance takes a hold only
-//! if all peers that answer agree; of two that ask at once, the lower fingerprint goes first.
+//! To run, a suspect needs a hold on both an engine and its own fingerprint. An instance takes a hold only if all
+//! peers that answer agree; if two instances ask at the same time, the lower fingerprint goes first.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,26 +31,28 @@
 use crate::name::Name;
 use crate::time::Time;
 
-/// How long a sure crash raises suspicion.
+/// How long a crash with [`Evidence::Crashed`] raises suspicion.
 pub const CRASH_RETENTION: Duration = Duration::from_secs(6 * 3600);
 
-/// How long an engine that went silent raises suspicion: while it lasts, an innocent request may be withheld.
+/// How long an engine that went silent raises suspicion. It is short because a harmless request may be withheld
+/// for as long.
 pub const SILENCE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Most crashes, and most convicts awaiting their entry in the configuration. The oldest go first.
+/// Maximum number of recorded crashes, and of confirmed requests that are not in the configuration's quarantine yet.
+/// The oldest are evicted first.
 pub const MAX_RECORDS: usize = 4096;
 
-/// Crashes after which a request runs no more.
+/// Number of crashes after which a request isn't run any more.
 const CRASH_THRESHOLD: usize = 2;
 
-/// What makes two requests the same: hash of product, model, prompt and limit.
+/// Identifies equal requests: a hash of product, model, prompt and token limit.
 ///
-/// Ids are left out, and so is the seed: most callers get a new one with each repeat.
+/// Request ids and seeds are left out, since most callers generate new ones with each repetition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(product: &Name, model: &str, prompt: &str, limit: u32) -> Fingerprint {
         let mut hasher = blake3::Hasher::new();
         for part in [product.as_str(), model, prompt] {
@@ -61,7 +65,7 @@
         Fingerprint(bytes)
     }
 
-    /// Its first byte, by which suspects are spread over engines.
+    /// The first byte, by which suspects are spread over engines.
     pub fn first_byte(self) -> u8 {
         self.0[0]
     }
@@ -73,36 +77,36 @@
     }
 }
 
-/// One crash of one engine: the engine's incarnation ended.
+/// One crash of one engine, that is, the end of one of its incarnations.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incident {
     /// The engine.
     pub engine: Name,
-    /// The incarnation that ended; nil if it was not known.
+    /// The incarnation that ended; the nil UUID if it was not known.
     pub incarnation: Uuid,
 }
 
-/// How sure it is that an engine crashed.
+/// How certain it is that an engine crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Evidence {
-    /// It gives no answer; it may be cut off.
+    /// The engine doesn't answer; it may only be unreachable.
     Silent,
-    /// It refuses connections, or runs as another incarnation.
+    /// The engine refuses connections, or runs as another incarnation.
     Crashed,
 }
 
-/// What an instance tells its peers of a crash.
+/// An instance's report of a crash to its peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The crash.
     pub incident: Incident,
-    /// How sure it is.
+    /// How certain it is.
     pub evidence: Evidence,
-    /// The requests of the instance that ran there.
+    /// The requests of the reporting instance that ran on the engine.
     pub ran: BTreeSet<Fingerprint>,
 }
 
-/// A wish to run a suspect alone on an engine.
+/// A request for an exclusive hold, to run a suspect alone on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldRequest {
     /// The suspect.
@@ -111,20 +115,21 @@
     pub engine: Name,
     /// The instance that asks.
     pub from: Name,
-    /// How long at most the suspect runs, in milliseconds.
+    /// Maximum time for which the suspect runs, in milliseconds.
     pub millis: u64,
 }
 
-/// What the records say of a request.
+/// Whether a request is known or suspected to crash engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suspicion {
-    /// Nothing.
+    /// It is in no recent crash.
     Unsuspected,
-    /// It ran on an engine that crashed: it may run with a hold.
+    /// It ran on an engine that crashed: it may only run with a hold.
     Suspect,
-    /// It ran on two: it may not run until others of these crashes were convicted or cleared.
+    /// It ran on two engines that crashed: it may not run until the other requests of these crashes are confirmed as
+    /// poison or cleared.
     Pending,
-    /// It crashed two engines: it may not run.
+    /// It is confirmed to crash engines: it may not run.
     Confirmed,
 }
 
@@ -140,7 +145,7 @@
 struct Crash {
     evidence: Evidence,
     ran: BTreeSet<Fingerprint>,
-    /// Whether somebody was convicted who ran there.
+    /// Whether a request that ran there was confirmed as poison.
     explained: bool,
     at: Time,
 }
@@ -163,7 +168,7 @@
     until: Time,
 }
 
-/// The records of one instance.
+/// One instance's records of crashes, suspects, confirmed poison requests and holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashRecords {
     own_name: Name,
@@ -175,7 +180,7 @@
 }
 
 impl CrashRecords {
-    /// Empty records of instance `own_name`.
+    /// Creates empty records for the instance `own_name`.
     pub fn new(own_name: Name) -> CrashRecords {
         CrashRecords {
             own_name,
@@ -187,7 +192,7 @@
         }
     }
 
-    /// What is known of a request.
+    /// What the records say about a request.
     pub fn suspicion(&self, now: Time, fingerprint: Fingerprint) -> Suspicion {
         if self.confirmed.contains_key(&fingerprint) {
             return Suspicion::Confirmed;
@@ -201,8 +206,8 @@
         }
     }
 
-    /// Records that an attempt is sent to an engine. `false` if it may not be sent: it is of a convict, of a
-    /// suspect without a hold, or the engine is held for a suspect.
+    /// Records that an attempt is sent to an engine. Returns `false` if it may not be sent: its request is confirmed as
+    /// poison, is a suspect without a hold, or the engine is held for a suspect.
     pub fn begin(&mut self, now: Time, attempt: Uuid, fingerprint: Fingerprint, engine: &Name) -> bool {
         let held = self.holds.get(engine).is_some_and(|h| {
             h.fingerprint == fingerprint && h.owner == self.own_name && h.granted && h.until > now
@@ -216,7 +221,12 @@
             Suspicion::Suspect => held,
             Suspicion::Pending | Suspicion::Confirmed => false,
         };
-        if invariant::check(allowed, "no suspect runs without a hold, no convict at all").is_err() {
+        if invariant::check(
+            allowed,
+            "no suspect runs without a hold, no poison request at all",
+        )
+        .is_err()
+        {
             return false;
         }
         let running = RunningAttempt {
@@ -229,7 +239,7 @@
         true
     }
 
-    /// Records which incarnation of the engine took the attempt.
+    /// Records which incarnation of the engine accepted the attempt.
     pub fn record_incarnation(&mut self, attempt: Uuid, incarnation: Uuid) {
         if let Some(running) = self.running.get_mut(&attempt) {
             running.incarnation = Some(incarnation);
@@ -237,12 +247,13 @@
         }
     }
 
-    /// Records that an attempt has ended, after its end was judged.
+    /// Records that an attempt has ended. Called after its end was evaluated, because [`CrashRecords::crash_report`]
+    /// needs the attempt to be recorded as running.
     pub fn end(&mut self, attempt: Uuid) {
         self.running.remove(&attempt);
     }
 
-    /// The incarnation of the engine that an attempt runs on, as far as it is known.
+    /// The incarnation of the engine that an attempt runs on, if known.
     pub fn incarnation(&self, attempt: Uuid) -> Option<Uuid> {
         let running = self.running.get(&attempt)?;
         running
@@ -250,7 +261,8 @@
             .or_else(|| self.incarnations.get(&running.engine).copied())
     }
 
-    /// What to tell the peers of the crash under `attempt`, which is still recorded as running.
+    /// Builds the report to the peers on the crash of the engine that ran `attempt`, which must still be recorded as
+    /// running.
     pub fn crash_report(&self, attempt: Uuid, evidence: Evidence) -> Option<CrashReport> {
         let engine = &self.running.get(&attempt)?.engine;
         let incarnation = self.incarnation(attempt).unwrap_or(Uuid::nil());
@@ -265,7 +277,7 @@
         })
     }
 
-    /// The requests of this instance that run, or ran until the crash, on that incarnation of an engine.
+    /// This instance's requests that run, or ran until the crash, on the incarnation of the engine in `incident`.
     pub fn requests_on(&self, incident: &Incident) -> BTreeSet<Fingerprint> {
         let there = self.running.values().filter(|r| {
             r.engine == incident.engine && r.incarnation.is_none_or(|i| i == incident.incarnation)
@@ -273,19 +285,19 @@
         there.map(|r| r.fingerprint).collect()
     }
 
-    /// How many attempts of this instance run on an engine.
+    /// Number of attempts of this instance that run on an engine.
     pub fn running_on(&self, engine: &Name) -> usize {
         self.running.values().filter(|r| r.engine == *engine).count()
     }
 
-    /// Engines on which suspects run alone. They get no other work: an innocent suspect beside which a fresh
-    /// poisonous request runs would come under double suspicion.
+    /// Engines held for suspects. They get no other work: if a new poison request ran beside a harmless suspect, the
+    /// suspect would be in a second crash.
     pub fn held_engines(&self, now: Time) -> Vec<Name> {
         let held = self.holds.iter().filter(|(_, h)| h.until > now);
         held.map(|(engine, _)| engine.clone()).collect()
     }
 
-    /// Attempts that must move elsewhere, because a suspect is about to run alone on the engine.
+    /// Attempts that must move to other engines, because a suspect is about to run alone on this one.
     pub fn attempts_to_move(&self, engine: &Name) -> Vec<Uuid> {
         let others = self
             .running
@@ -294,36 +306,37 @@
         others.map(|(attempt, _)| *attempt).collect()
     }
 
-    /// Takes note of a crash, seen here or by a peer; returns attempts of suspects that must stop, to go on with
-    /// a hold.
-    pub fn on_crash_report(&mut self, now: Time, note: &CrashReport) -> Vec<Uuid> {
+    /// Records a crash seen by this instance or by a peer. Returns the attempts of suspects that must stop and may
+    /// only continue with a hold.
+    pub fn on_crash_report(&mut self, now: Time, report: &CrashReport) -> Vec<Uuid> {
         self.expire(now);
-        let crash = self.crashes.entry(note.incident.clone()).or_insert(Crash {
-            evidence: note.evidence,
+        let crash = self.crashes.entry(report.incident.clone()).or_insert(Crash {
+            evidence: report.evidence,
             ran: BTreeSet::new(),
             explained: false,
             at: now,
         });
-        crash.evidence = crash.evidence.max(note.evidence);
-        crash.ran.extend(note.ran.iter().copied());
+        crash.evidence = crash.evidence.max(report.evidence);
+        crash.ran.extend(report.ran.iter().copied());
         evict_oldest(&mut self.crashes, |c| c.at);
-        self.attempts_to_stop(&note.ran)
+        self.attempts_to_stop(&report.ran)
     }
 
-    /// Convicts whom the records convict by now, to be told to peers and written to the configuration.
+    /// Confirms the suspects against which there is now enough evidence, and returns them. The caller tells the peers
+    /// and writes them to the configuration.
     pub fn confirm_suspects(&mut self, now: Time) -> Vec<Fingerprint> {
         let suspects = self.suspects();
-        let guilty: Vec<Fingerprint> = suspects
+        let confirmed: Vec<Fingerprint> = suspects
             .into_iter()
             .filter(|fingerprint| self.is_confirmed(now, *fingerprint))
             .collect();
-        for fingerprint in &guilty {
+        for fingerprint in &confirmed {
             self.confirm(now, *fingerprint);
         }
-        guilty
+        confirmed
     }
 
-    /// Takes a conviction; returns the attempts to stop.
+    /// Records a request as confirmed poison; returns its attempts, which must stop.
     pub fn confirm(&mut self, now: Time, fingerprint: Fingerprint) -> Vec<Uuid> {
         self.confirmed.insert(fingerprint, now);
         evict_oldest(&mut self.confirmed, |at| *at);
@@ -332,7 +345,7 @@
         of_it.map(|(attempt, _)| *attempt).collect()
     }
 
-    /// A suspect ran with a hold to its end: it is innocent.
+    /// Clears a suspect that ran to completion with a hold.
     pub fn clear(&mut self, fingerprint: Fingerprint) {
         for crash in self.crashes.values_mut() {
             crash.ran.remove(&fingerprint);
@@ -340,49 +353,53 @@
         self.crashes.retain(|_, c| !c.ran.is_empty());
     }
 
-    /// The quarantine in the configuration changed. What stands there is decided there alone from now on, so
-    /// that an operator's pardon holds.
+    /// Applies a change of the configuration's quarantine. Requests listed there are forgotten here, so that only the
+    /// configuration decides on them and an operator can release them for good.
     pub fn on_quarantine(&mut self, quarantine: &BTreeSet<String>) {
         self.confirmed
             .retain(|fingerprint, _| !quarantine.contains(&fingerprint.to_string()));
     }
 
-    /// Reserves an engine for a suspect, before the peers are asked. `false` if it or the suspect is taken.
-    pub fn reserve(&mut self, now: Time, ask: &HoldRequest) -> bool {
+    /// Reserves an engine for a suspect before the peers are asked. Returns `false` if there is a hold on the engine or
+    /// on the suspect already.
+    pub fn reserve(&mut self, now: Time, request: &HoldRequest) -> bool {
         self.expire(now);
-        if self.conflicts(ask).next().is_some() {
+        if self.conflicts(request).next().is_some() {
             return false;
         }
-        self.insert_hold(now, ask, false);
+        self.insert_hold(now, request, false);
         true
     }
 
-    /// A peer asks. `true` if nothing speaks against it.
-    pub fn on_hold_request(&mut self, now: Time, ask: &HoldRequest) -> bool {
+    /// Handles a peer's request for a hold. Returns `true` if this instance agrees.
+    pub fn on_hold_request(&mut self, now: Time, request: &HoldRequest) -> bool {
         self.expire(now);
-        if self.confirmed.contains_key(&ask.fingerprint) {
+        if self.confirmed.contains_key(&request.fingerprint) {
             return false;
         }
-        let theirs = (ask.fingerprint, &ask.from);
+        let theirs = (request.fingerprint, &request.from);
         let refused = self
-            .conflicts(ask)
+            .conflicts(request)
             .any(|(_, h)| h.granted || (h.fingerprint, &h.owner) < theirs);
         if refused {
             return false;
         }
-        // The peer goes first: a reservation of ours that it conflicts with is lost.
-        let lost: Vec<Name> = self.conflicts(ask).map(|(engine, _)| engine.clone()).collect();
+        // The peer goes first: conflicting reservations of this instance are dropped.
+        let lost: Vec<Name> = self
+            .conflicts(request)
+            .map(|(engine, _)| engine.clone())
+            .collect();
         for engine in lost {
             self.holds.remove(&engine);
         }
-        self.insert_hold(now, ask, true);
+        self.insert_hold(now, request, true);
         true
     }
 
-    /// All peers agreed. `false` if the reservation was lost to a peer meanwhile.
-    pub fn grant(&mut self, ask: &HoldRequest) -> bool {
-        match self.holds.get_mut(&ask.engine) {
-            Some(hold) if hold.owner == ask.from && hold.fingerprint == ask.fingerprint => {
+    /// Grants a reservation after all peers agreed. Returns `false` if it was lost to a peer meanwhile.
+    pub fn grant(&mut self, request: &HoldRequest) -> bool {
+        match self.holds.get_mut(&request.engine) {
+            Some(hold) if hold.owner == request.from && hold.fingerprint == request.fingerprint => {
                 hold.granted = true;
                 true
             }
@@ -390,20 +407,20 @@
         }
     }
 
-    /// A hold ended, or was not granted by all.
-    pub fn release(&mut self, ask: &HoldRequest) {
-        let ours = |h: &Hold| h.owner == ask.from && h.fingerprint == ask.fingerprint;
-        if self.holds.get(&ask.engine).is_some_and(ours) {
-            self.holds.remove(&ask.engine);
+    /// Releases a hold that ended or that not all peers agreed to.
+    pub fn release(&mut self, request: &HoldRequest) {
+        let ours = |h: &Hold| h.owner == request.from && h.fingerprint == request.fingerprint;
+        if self.holds.get(&request.engine).is_some_and(ours) {
+            self.holds.remove(&request.engine);
         }
     }
 
-    /// Crashes, convicts and holds recorded.
+    /// Number of recorded crashes, confirmed requests and holds.
     pub fn record_count(&self) -> usize {
         self.crashes.len() + self.confirmed.len() + self.holds.len()
     }
 
-    /// Requests under suspicion.
+    /// Requests that ran in a recorded crash and were not cleared since.
     pub fn suspects(&self) -> BTreeSet<Fingerprint> {
         self.crashes
             .values()
@@ -417,7 +434,8 @@
             .filter(move |c| c.ran.contains(&fingerprint) && c.is_recent(now))
     }
 
-    /// Whether a request is in two sure crashes, and everybody else of the last one was cleared.
+    /// Whether a request was in at least two crashes with [`Evidence::Crashed`], and all other requests of the last one
+    /// were cleared.
     fn is_confirmed(&self, now: Time, fingerprint: Fingerprint) -> bool {
         let sure: Vec<&Crash> = self
             .crashes_of(now, fingerprint)
@@ -428,12 +446,13 @@
     }
 
     fn attempts_to_stop(&self, suspects: &BTreeSet<Fingerprint>) -> Vec<Uuid> {
-        let spread = |r: &RunningAttempt| suspects.contains(&r.fingerprint) && !r.exclusive;
-        let running = self.running.iter().filter(|(_, r)| spread(r));
+        let must_stop = |r: &RunningAttempt| suspects.contains(&r.fingerprint) && !r.exclusive;
+        let running = self.running.iter().filter(|(_, r)| must_stop(r));
         running.map(|(attempt, _)| *attempt).collect()
     }
 
-    /// A convict is the likely cause of the crashes that it is in. Others of them may run again.
+    /// Marks the crashes of a confirmed request as explained: it is their likely cause, so the other requests may run
+    /// again.
     fn explain(&mut self, fingerprint: Fingerprint) {
         for crash in self.crashes.values_mut() {
             crash.explained |= crash.ran.remove(&fingerprint);
@@ -441,21 +460,22 @@
         self.crashes.retain(|_, c| !c.ran.is_empty());
     }
 
-    fn conflicts(&self, ask: &HoldRequest) -> impl Iterator<Item = (&Name, &Hold)> {
+    fn conflicts(&self, request: &HoldRequest) -> impl Iterator<Item = (&Name, &Hold)> {
         self.holds.iter().filter(|(engine, h)| {
-            let same = h.owner == ask.from && h.fingerprint == ask.fingerprint && **engine == ask.engine;
-            !same && (**engine == ask.engine || h.fingerprint == ask.fingerprint)
+            let same =
+                h.owner == request.from && h.fingerprint == request.fingerprint && **engine == request.engine;
+            !same && (**engine == request.engine || h.fingerprint == request.fingerprint)
         })
     }
 
-    fn insert_hold(&mut self, now: Time, ask: &HoldRequest, granted: bool) {
+    fn insert_hold(&mut self, now: Time, request: &HoldRequest, granted: bool) {
         let hold = Hold {
-            fingerprint: ask.fingerprint,
-            owner: ask.from.clone(),
+            fingerprint: request.fingerprint,
+            owner: request.from.clone(),
             granted,
-            until: now + Duration::from_millis(ask.millis),
+            until: now + Duration::from_millis(request.millis),
         };
-        self.holds.insert(ask.engine.clone(), hold);
+        self.holds.insert(request.engine.clone(), hold);
     }
 
     fn expire(&mut self, now: Time) {
@@ -464,7 +484,7 @@
     }
 }
 
-/// Removes the oldest records beyond [`MAX_RECORDS`].
+/// Evicts the oldest records beyond [`MAX_RECORDS`].
 fn evict_oldest<K, V, F>(records: &mut BTreeMap<K, V>, at: F)
 where
     K: Ord + Clone,
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -1,4 +1,4 @@
-//! Which of the policies is in force: ours, or a baseline that measurements compare it with.
+//! The policy in force: the adaptive one, or a baseline that benchmarks compare it with.
 
 use std::str::FromStr;
 
@@ -6,25 +6,25 @@
 
 use crate::route::Routing;
 
-/// How requests are routed, limited, and roles changed.
+/// How requests are routed and limited, and how the roles of engines change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Policy {
-    /// Routing by estimates, limits by shares, role changes where the gain beats the price.
+    /// Routing by estimated times, limits by shares, role changes where the gain exceeds the cost.
     #[default]
     Adaptive,
-    /// As [`Policy::Adaptive`], but no role changes.
+    /// Like [`Policy::Adaptive`], but without role changes.
     Fixed,
-    /// As [`Policy::Adaptive`], but role changes by a plain threshold.
+    /// Like [`Policy::Adaptive`], but with role changes at a fixed threshold.
     Threshold,
-    /// Least load by the lagging reports; no limits, no role changes.
+    /// The engine with the least load in its last report, which lags behind; no limits, no role changes.
     LeastLoad,
-    /// Engines in turn; no limits, no role changes.
+    /// Each engine in turn; no limits, no role changes.
     RoundRobin,
 }
 
-/// A text that names no policy.
+/// The text is not the name of a policy.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("there is no policy of that name")]
+#[error("unknown policy name")]
 pub struct PolicyError;
 
 impl Policy {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether requests are refused where a share is spent or a deadline can't be met.
+    /// Whether requests are refused if their product's share is used up or their deadline can't be met.
     pub fn enforces_limits(self) -> bool {
         self.routing() == Routing::Estimate
     }
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -1,12 +1,12 @@
-//! Digests of prompt prefixes, by which cached prompts are recognized.
+//! Digests of prompt prefixes, used to recognize cached prompts.
 //!
-//! A prompt is cut into blocks of [`BLOCK_TOKENS`] words. The digest of a block covers the whole prompt up to
-//! its end, so that equal digests mean equal prefixes.
+//! A prompt is divided into blocks of [`BLOCK_TOKENS`] words. The digest of a block covers the whole prompt up to the
+//! end of the block, so that equal digests mean equal prefixes.
 
-/// Tokens (words) in a block.
+/// Tokens per block. A word counts as one token.
 pub const BLOCK_TOKENS: u32 = 32;
 
-/// Digests of the full blocks of `prompt`, first block first.
+/// Computes the digests of the full blocks of `prompt`, in order.
 pub fn block_digests(prompt: &str) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     let mut digests = Vec::new();
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,8 +1,8 @@
-//! Whether a request may be tried again, when, and for how long.
+//! Retry budgets, delays between retries, and time-outs of attempts.
 //!
-//! Failure guarded against: a retry storm. When engines come back after an outage, every request that failed is
-//! sent again beside the fresh ones; the engines fall over once more. A budget per product bounds what upstreams
-//! see to [`RATIO`] above the fresh traffic, whatever fails.
+//! Failure guarded against: a retry storm. When engines come back after an outage, every failed request is sent again
+//! in addition to the new ones, and the engines are overloaded again. A budget per product limits retries to a
+//! fraction [`RETRY_RATIO`] of the new requests, whatever fails.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 
 use crate::name::Name;
 
-/// Retries that each fresh request earns.
+/// Retries that each new request adds to the budget of its product.
 pub const RETRY_RATIO: f64 = 0.2;
 
-/// Retries that a product can have saved up, and has before its first request: one with little traffic must get
-/// over an engine that fails.
+/// Maximum number of retries in a product's budget, which is also its initial value: a product with little traffic
+/// must be able to retry when an engine fails.
 const MAX_CREDIT: f64 = 10.0;
 
-/// Pause before the first retry of a request; doubles with each.
+/// Delay before the first retry of a request; it doubles with each further retry.
 const BASE_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest pause.
+/// Maximum delay between attempts, before jitter.
 const MAX_DELAY: Duration = Duration::from_secs(1);
 
-/// Attempts at one request.
+/// Maximum number of attempts at one request.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// Times the expected time to the first token after which an attempt is given up for another engine.
+/// Multiple of the expected time to the first token after which an attempt is abandoned for another engine.
 const TIMEOUT_FACTOR: f64 = 4.0;
 
-/// Least time for which an attempt's first token is waited for.
+/// Minimum time to wait for an attempt's first token.
 const MIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Retry budgets of all products at one instance.
+/// The retry budgets of all products at one instance.
 #[derive(Debug, Clone)]
 pub struct RetryBudgets {
     credits: BTreeMap<Name, f64>,
@@ -43,7 +43,7 @@
 }
 
 impl RetryBudgets {
-    /// Budgets before any request. `seed` draws the jitter.
+    /// Creates the budgets, without any request recorded. `seed` determines the jitter.
     pub fn new(seed: u64) -> RetryBudgets {
         RetryBudgets {
             credits: BTreeMap::new(),
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Counts a fresh request of `product`.
+    /// Records a new request of `product`, which adds [`RETRY_RATIO`] to its budget.
     pub fn record_request(&mut self, product: &Name) {
         let credit = self.credits.entry(product.clone()).or_insert(MAX_CREDIT);
         *credit = (*credit + RETRY_RATIO).min(MAX_CREDIT);
     }
 
-    /// Asks for retry number `retry` (from 1) of a request of `product`; takes it from the budget and returns
-    /// the pause before it. `None` if it may not be tried again.
+    /// Takes retry number `retry` (counted from 1) of a request of `product` from the budget and returns the delay
+    /// before it. Returns `None` if the request may not be retried.
     pub fn take_retry(&mut self, product: &Name, retry: u32) -> Option<Duration> {
         if retry >= MAX_ATTEMPTS {
             return None;
@@ -73,8 +73,9 @@
     }
 }
 
-/// How long an attempt's first token is waited for, with `left` to the deadline and `expected` estimated: each
-/// attempt gets at most half of what is left, so that one more fits behind it.
+/// How long to wait for an attempt's first token, if `left` remains until the deadline and the token is expected after
+/// `expected`. `attempt` counts from 0. Each attempt but the last gets at most half of the remaining time, so that
+/// another attempt can follow.
 pub fn first_token_timeout(left: Duration, expected: Duration, attempt: u32) -> Duration {
     match attempt + 1 < MAX_ATTEMPTS {
         true => expected.mul_f64(TIMEOUT_FACTOR).max(MIN_TIMEOUT).min(left / 2),
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -1,39 +1,40 @@
-//! The steps of a graceful shutdown.
+//! The phases of a graceful shutdown.
 //!
-//! Callers keep an address for a while (`keep`). An instance that refused at once would fail callers who did
-//! nothing wrong, so it stops being named first, serves for that time and a margin, and only then refuses.
+//! Callers cache the address of an instance for [`ShutdownTimes::address_ttl`]. If the instance refused requests at
+//! once, those of callers with a cached address would fail. It is therefore first removed from the addresses given to
+//! callers, continues to serve for that time and a margin, and only then refuses new work.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Times of a shutdown.
+/// Durations of the phases of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownTimes {
-    /// How long callers keep an address.
+    /// How long callers cache an address.
     pub address_ttl: Duration,
-    /// Added to it, for answers on their way and peers that heard late.
+    /// Added to it, for address lists still in transit and peers that learn of the shutdown late.
     pub margin: Duration,
-    /// Shortest time for which new work is refused before the listener closes.
+    /// Minimum time for which new work is refused before the listener closes.
     pub refuse: Duration,
-    /// Longest time for which running work is awaited after that.
+    /// Maximum time to wait for running work after that.
     pub drain: Duration,
 }
 
-/// Where a shutdown stands.
+/// The phase of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Not begun.
+    /// The shutdown has not begun.
     Serving,
-    /// No longer named, still serving new work.
+    /// The instance's address is no longer given to callers; new work is still served.
     Unlisted,
-    /// Refusing new work, finishing what runs.
+    /// New work is refused; running work is completed.
     Refusing,
-    /// Nothing runs any more, or it was waited for in vain.
+    /// All work has ended, or the time to wait for it has passed.
     Drained,
 }
 
-/// The steps of one shutdown.
+/// The state of one shutdown.
 #[derive(Debug, Clone)]
 pub struct Shutdown {
     times: ShutdownTimes,
@@ -42,7 +43,7 @@
 }
 
 impl Shutdown {
-    /// A shutdown that has not begun.
+    /// Creates a shutdown that has not begun.
     pub fn new(times: ShutdownTimes) -> Shutdown {
         Shutdown {
             times,
@@ -51,13 +52,13 @@
         }
     }
 
-    /// Begins; a second call changes nothing.
+    /// Begins the shutdown; further calls have no effect.
     pub fn begin(&mut self, now: Time) {
         self.begun.get_or_insert(now);
         self.phase = self.phase.max(Phase::Unlisted);
     }
 
-    /// The phase at `now`, with `running` pieces of work not yet finished.
+    /// Advances the shutdown to `now` and returns its phase, where `running` is the amount of unfinished work.
     pub fn step(&mut self, now: Time, running: usize) -> Phase {
         let Some(begun) = self.begun else {
             return self.phase;
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -1,7 +1,8 @@
-//! The configuration in the form in which traffic reads it: dense arenas and small keys, never changed.
+//! Immutable snapshots of the configuration, in a form that is cheap to read on the request path: dense arenas with
+//! small keys.
 //!
-//! The control thread builds a snapshot from each new version of the configuration and swaps it in whole;
-//! traffic threads read it without a lock.
+//! The control thread builds a snapshot from each new version of the configuration and replaces the previous one as
+//! a whole; traffic threads read it without a lock.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -33,15 +34,15 @@
 pub struct EngineView {
     /// Its name.
     pub name: Name,
-    /// The service that it is part of.
+    /// The service that it belongs to.
     pub service: ServiceKey,
     /// Availability zone.
     pub zone: Name,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Whether it checks fencing numbers.
     pub fencing: Fencing,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: EngineState,
     /// Its fixed role, if any.
     pub role: Option<Role>,
@@ -52,13 +53,13 @@
 pub struct ServiceView {
     /// Its name.
     pub name: Name,
-    /// What stands behind it.
+    /// What serves its requests.
     pub kind: ServiceKind,
     /// Its engines, in the order of their names.
     pub engines: Vec<EngineKey>,
 }
 
-/// What a product is owed.
+/// A product's share and the defaults for its requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProductView {
     /// Its name.
@@ -84,7 +85,7 @@
     pub products: Arena<ProductView>,
     /// Fingerprints of requests that may not run.
     pub quarantine: BTreeSet<String>,
-    /// Sequence number of the order that operators released last, by engine.
+    /// Sequence number of the last order that operators released, by engine.
     pub released: BTreeMap<Name, u64>,
     keys: BTreeMap<KeyHash, ProductKey>,
     names: BTreeMap<String, ServiceKey>,
@@ -105,7 +106,8 @@
         snapshot
     }
 
-    /// Gives the engines at these addresses no more work: the platform's list shows them as leaving.
+    /// Marks the engines at these addresses as draining, so that they get no more work: the platform lists them as
+    /// leaving.
     pub fn mark_leaving(&mut self, leaving: &BTreeSet<SocketAddr>) {
         if leaving.is_empty() {
             return;
@@ -125,7 +127,7 @@
         self.keys.get(&KeyHash::of(secret)).copied()
     }
 
-    /// The service of this name, or the one that serves the model of this name.
+    /// The service called `name`, or else the service of the model called `name`.
     pub fn service_of(&self, name: &str) -> Option<ServiceKey> {
         self.names.get(name).copied()
     }
--- a/crates/core/src/splice.rs
+++ b/crates/core/src/splice.rs
@@ -1,26 +1,26 @@
-//! Putting one whole answer together from the pieces of several attempts.
+//! Assembles one complete answer from the tokens of several attempts.
 //!
-//! Failure guarded against: an answer arrives late, twice, crossed with another request's, or from an attempt
-//! that was given up. A caller would see a gap, a repeat, or another caller's text. Each attempt has an id of
-//! its own and each token its offset; a piece is delivered only if it is of the open attempt and carries
-//! exactly the next offset, so whatever comes late or twice has nowhere to go.
+//! Failure guarded against: tokens arrive late, twice, mixed up with another request's, or from an attempt that was
+//! abandoned. The caller would see a gap, a repetition, or another caller's text. Each attempt therefore has its own id
+//! and each token its offset; a token is delivered only if it belongs to the open attempt and has exactly the next
+//! offset, so late and duplicate tokens are dropped.
 
 use uuid::Uuid;
 
-/// What to do with a piece.
+/// What to do with a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TokenAction {
     /// Deliver it: it is the next token.
     Deliver,
-    /// Drop it: it is of another attempt.
+    /// Drop it: it belongs to another attempt.
     WrongAttempt,
-    /// Drop it: the caller has this token already.
+    /// Drop it: the caller already has this token.
     Duplicate,
-    /// Give the attempt up: a token is missing before this one.
+    /// Abandon the attempt: a token before this one is missing.
     Gap,
 }
 
-/// The answer to one request, as far as it was delivered.
+/// State of the answer to one request, as far as it was delivered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerAssembler {
     next_offset: u32,
@@ -29,7 +29,7 @@
 }
 
 impl AnswerAssembler {
-    /// An answer whose caller has the tokens before `offset`.
+    /// Creates the state of an answer whose caller already has the tokens before `offset`.
     pub fn new(offset: u32) -> AnswerAssembler {
         AnswerAssembler {
             next_offset: offset,
@@ -38,18 +38,18 @@
         }
     }
 
-    /// Opens an attempt, closing the one before; returns the offset to ask for.
+    /// Opens an attempt and closes the previous one; returns the offset from which to request tokens.
     pub fn open_attempt(&mut self, attempt: Uuid) -> u32 {
         self.open_attempt = Some(attempt);
         self.next_offset
     }
 
-    /// Closes the open attempt: whatever still comes of it is dropped.
+    /// Closes the open attempt: tokens that still arrive from it are dropped.
     pub fn close_attempt(&mut self) {
         self.open_attempt = None;
     }
 
-    /// Judges a token of `attempt` at `offset`.
+    /// Decides what to do with the token of `attempt` at `offset`.
     pub fn on_token(&mut self, attempt: Uuid, offset: u32) -> TokenAction {
         let action = match self.open_attempt == Some(attempt) {
             false => TokenAction::WrongAttempt,
@@ -64,7 +64,7 @@
         action
     }
 
-    /// Whether the last line of `attempt`, which says that the answer ends at `offset`, ends the answer.
+    /// Whether the last line of `attempt`, which gives `offset` as the end of the answer, completes the answer.
     pub fn on_finish(&self, attempt: Uuid, offset: u32) -> bool {
         self.open_attempt == Some(attempt) && offset == self.next_offset
     }
@@ -74,7 +74,7 @@
         self.next_offset
     }
 
-    /// Pieces dropped so far.
+    /// Number of tokens that were not delivered so far.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as a plain value, so that decisions need no clock.
+//! Monotonic time as a plain value, so that the decision logic needs no access to a clock.
 
 use std::fmt;
 use std::ops::Add;
@@ -10,8 +10,8 @@
 
 /// A point on the monotonic clock of one process, in microseconds since an arbitrary origin.
 ///
-/// Times of different processes can't be compared. The daemon makes one from its start instant; a test makes
-/// any it likes.
+/// Times of different processes can't be compared. The daemon counts from the instant at which it started; tests
+/// choose any value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Time(u64);
 
@@ -64,8 +64,8 @@
     }
 }
 
-/// Milliseconds since the Unix epoch, for what people read and for time that clients embed in keys.
+/// Milliseconds since the Unix epoch, for output to people and for the times that clients embed in idempotency keys.
 ///
-/// Wall clocks step; no safety decision may rest on one alone.
+/// Wall clocks can step, so no safety decision may depend on one alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct WallTime(pub u64);
