--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -3,7 +3,7 @@
 //! [`Answer`] decides what the driver does next: pick an engine, send an attempt, deliver a token, cancel, wait
 //! or end. It guards against these failures:
 //!
-//! - A piece arrives late, twice, out of order, or from an abandoned attempt: [`Splice`] drops it.
+//! - A piece arrives late, twice, out of order, or from an abandoned attempt: [`AnswerAssembler`] drops it.
 //! - An engine stalls without closing its connection (it was paused, or the network is partitioned): without a
 //!   limit the caller would wait forever. Each wait has a time limit; when it expires, the attempt is closed and
 //!   cancelled, and the answer is resumed on another engine.
@@ -23,8 +23,8 @@
 use crate::config::Repeat;
 use crate::invariant;
 use crate::outcome::Reason;
-use crate::splice::Splice;
-use crate::splice::Verdict;
+use crate::splice::AnswerAssembler;
+use crate::splice::TokenAction;
 use crate::time::Time;
 
 /// Delay before engines that failed are tried again for an answer that was partly delivered.
@@ -174,7 +174,7 @@
 pub struct Answer {
     limits: Limits,
     start_offset: u32,
-    splice: Splice,
+    splice: AnswerAssembler,
     phase: Phase,
     last_activity: Time,
     got_token: bool,
@@ -194,7 +194,7 @@
         Answer {
             limits,
             start_offset: resume.offset,
-            splice: Splice::new(resume.offset),
+            splice: AnswerAssembler::new(resume.offset),
             phase: Phase::Picking,
             last_activity: now,
             got_token: false,
@@ -248,7 +248,7 @@
 
     /// Offset of the next token to deliver.
     pub fn next_offset(&self) -> u32 {
-        self.splice.next()
+        self.splice.next_offset()
     }
 
     /// The version of the model that generated the whole text so far, which a caller names to resume the answer;
@@ -296,7 +296,7 @@
         if invariant::check(self.phase == Phase::Picking, "one attempt at a time").is_err() {
             return Vec::new();
         }
-        let offset = self.splice.open(attempt);
+        let offset = self.splice.open_attempt(attempt);
         self.phase = Phase::Sent(attempt);
         self.last_activity = now;
         self.got_token = false;
@@ -359,9 +359,9 @@
 
     fn on_token(&mut self, now: Time, attempt: Uuid, offset: u32) -> Vec<Action> {
         match self.splice.on_token(attempt, offset) {
-            Verdict::Foreign | Verdict::Repeat => Vec::new(),
-            Verdict::Gap => self.abandon(attempt),
-            Verdict::Deliver => {
+            TokenAction::WrongAttempt | TokenAction::Duplicate => Vec::new(),
+            TokenAction::Gap => self.abandon(attempt),
+            TokenAction::Deliver => {
                 self.attempts.on_progress();
                 self.waits = 0;
                 self.got_token = true;
@@ -393,14 +393,14 @@
         if self.current() != Some(attempt) {
             return Vec::new();
         }
-        self.splice.close();
+        self.splice.close_attempt();
         self.version_mismatch |= failure == Failure::VersionMismatch;
         self.proceed_after(failure.end())
     }
 
     /// Closes and cancels the attempt, and continues on another engine.
     fn abandon(&mut self, attempt: Uuid) -> Vec<Action> {
-        self.splice.close();
+        self.splice.close_attempt();
         let mut actions = vec![Action::Cancel(attempt)];
         actions.extend(self.proceed_after(End::Broken));
         actions
@@ -420,7 +420,7 @@
         match self.current() {
             Some(attempt) => {
                 self.attempts.on_run();
-                self.splice.close();
+                self.splice.close_attempt();
                 self.phase = Phase::Picking;
                 vec![Action::Cancel(attempt), Action::Pick]
             }
@@ -455,7 +455,7 @@
 
     fn end(&mut self, ending: Ending) -> Vec<Action> {
         let mut actions: Vec<Action> = self.current().into_iter().map(Action::Cancel).collect();
-        self.splice.close();
+        self.splice.close_attempt();
         self.phase = Phase::Ended;
         actions.push(Action::End(ending));
         actions
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -8,30 +8,30 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Longest name accepted, in bytes.
-pub const MAX_NAME: usize = 63;
+/// Maximum length of a name, in bytes.
+pub const MAX_NAME_BYTES: usize = 63;
 
-/// A validated name: a lower-case letter, then lower-case letters, digits, `-`, `.` or `_`.
+/// A validated name: a lower-case letter, followed by lower-case letters, digits, `-`, `.` or `_`.
 ///
 /// Cheap to clone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// Why a text is no [`Name`].
+/// Why a text is not a valid [`Name`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NameError {
     /// The text is empty.
     #[error("a name can't be empty")]
     Empty,
-    /// The text is longer than [`MAX_NAME`].
-    #[error("a name has at most {MAX_NAME} bytes, this one has {0}")]
+    /// The text is longer than [`MAX_NAME_BYTES`].
+    #[error("a name has at most {MAX_NAME_BYTES} bytes, this one has {0}")]
     TooLong(usize),
-    /// The text holds a character that names don't have.
+    /// The text contains a character (first field) that is not allowed at its byte offset (second field).
     #[error(
         "{0:?} can't stand at byte {1} of a name (lower-case letter first, then also digits, `-`, `.`, `_`)"
     )]
-    Character(char, usize),
+    InvalidCharacter(char, usize),
 }
 
 impl Name {
@@ -39,16 +39,16 @@
     ///
     /// # Errors
     ///
-    /// [`NameError`] if the text is empty, too long or holds other characters.
+    /// [`NameError`] if the text is empty, too long or contains a character that is not allowed.
     pub fn new(text: &str) -> Result<Name, NameError> {
         if text.is_empty() {
             return Err(NameError::Empty);
         }
-        if text.len() > MAX_NAME {
+        if text.len() > MAX_NAME_BYTES {
             return Err(NameError::TooLong(text.len()));
         }
         match text.char_indices().find(|&(i, c)| !is_allowed(i, c)) {
-            Some((i, c)) => Err(NameError::Character(c, i)),
+            Some((i, c)) => Err(NameError::InvalidCharacter(c, i)),
             None => Ok(Name(Arc::from(text))),
         }
     }
