--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -32,7 +32,7 @@
 use sequoiastream_peer::message::Datagram;
 
 use crate::log_event;
-use crate::ops::control::Bound;
+use crate::ops::control::BoundAddresses;
 use crate::ops::control::config::Ahead;
 use crate::ops::control::config::ConfigActor;
 use crate::ops::control::config::Confirm;
@@ -75,7 +75,7 @@
         kv: KvClient,
         config: Addr<ConfigActor>,
         socket: Rc<DatagramSocket>,
-        bound: Bound,
+        bound: BoundAddresses,
     ) -> MembershipActor {
         let settings = &shared.settings;
         let about = InstanceInfo::new(clock::wall().0, settings.zone.clone(), bound.listen, bound.peer);
--- a/src/ops/control/mod.rs
+++ b/src/ops/control/mod.rs
@@ -52,7 +52,7 @@
 use crate::settings::Settings;
 
 /// How long an actor may take to release what it holds.
-const RELEASE_LIMIT: Duration = Duration::from_secs(5);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Addresses of the control thread's actors.
 #[derive(Debug, Clone)]
@@ -66,9 +66,9 @@
     /// Keeper of the table of instances.
     pub membership: Addr<MembershipActor>,
     /// The addresses that this instance is bound to.
-    pub bound: Bound,
+    pub bound: BoundAddresses,
     /// Actors that hold leases; each is told [`Shutdown`] before the process exits.
-    holders: Vec<Recipient<Shutdown>>,
+    lease_holders: Vec<Recipient<Shutdown>>,
 }
 
 /// The instance has drained and is about to exit: release leases and finish writes, then answer.
@@ -78,7 +78,7 @@
 
 /// The addresses that this instance is bound to.
 #[derive(Debug, Clone, Copy)]
-pub struct Bound {
+pub struct BoundAddresses {
     /// For callers and operators.
     pub listen: SocketAddr,
     /// For other instances.
@@ -88,9 +88,9 @@
 /// Sockets of the control thread.
 #[derive(Debug)]
 pub struct Sockets {
-    calls: TcpListener,
+    listener: TcpListener,
     datagrams: UdpSocket,
-    bound: Bound,
+    bound: BoundAddresses,
 }
 
 impl Sockets {
@@ -108,9 +108,9 @@
             UdpSocket::bind(peer).wrap_err_with(|| format!("could not take datagrams on {peer}"))?;
         datagrams.set_nonblocking(true)?;
         Ok(Sockets {
-            calls,
+            listener: calls,
             datagrams,
-            bound: Bound { listen, peer },
+            bound: BoundAddresses { listen, peer },
         })
     }
 }
@@ -125,7 +125,7 @@
         let arbiter = Arbiter::new();
         let (sender, receiver) = oneshot::channel();
         arbiter.spawn(async move {
-            let control = begin(shared, sockets);
+            let control = start_actors(shared, sockets);
             // The receiver waits below.
             let _ = sender.send(control);
         });
@@ -133,33 +133,33 @@
     }
 
     /// Lets the actors that hold leases release them.
-    pub async fn release(&self) {
-        let asked = self.holders.iter().map(|holder| holder.send(Shutdown));
+    pub async fn release_leases(&self) {
+        let asked = self.lease_holders.iter().map(|holder| holder.send(Shutdown));
         // What isn't released in time lapses by itself.
-        let _ = timeout(RELEASE_LIMIT, join_all(asked)).await;
+        let _ = timeout(RELEASE_TIMEOUT, join_all(asked)).await;
     }
 }
 
 /// Starts the actors on the thread that runs this.
-fn begin(shared: Arc<Shared>, sockets: Sockets) -> eyre::Result<Control> {
+fn start_actors(shared: Arc<Shared>, sockets: Sockets) -> eyre::Result<Control> {
     let settings = &shared.settings;
     let key = ClusterKey::new(&settings.cluster);
     let calls = CallClient::new(key.clone());
     let datagrams = tokio::net::UdpSocket::from_std(sockets.datagrams)?;
     let socket = DatagramSocket::new(datagrams, key.clone(), settings.name.clone(), Uuid::now_v7());
-    let listener = tokio::net::TcpListener::from_std(sockets.calls)?;
+    let listener = tokio::net::TcpListener::from_std(sockets.listener)?;
     let bound = sockets.bound;
-    let config = ConfigActor::new(shared.clone(), kv(&shared), calls.clone()).start();
+    let config = ConfigActor::new(shared.clone(), kv_client(&shared), calls.clone()).start();
     let membership = MembershipActor::new(
         shared.clone(),
-        kv(&shared),
+        kv_client(&shared),
         config.clone(),
         Rc::new(socket),
         bound,
     );
     let membership = membership.start();
-    let claims = ClaimsActor::new(shared.clone(), kv(&shared), calls.clone()).start();
-    let authority = AuthorityActor::new(shared.clone(), kv(&shared), calls).start();
+    let claims = ClaimsActor::new(shared.clone(), kv_client(&shared), calls.clone()).start();
+    let authority = AuthorityActor::new(shared.clone(), kv_client(&shared), calls).start();
     LoadActor::new(shared.clone()).start();
     RolesActor::new(shared.clone(), authority.clone()).start();
     let responder = PeerResponder {
@@ -175,12 +175,12 @@
         claims: claims.clone(),
         membership,
         bound,
-        holders: vec![authority.recipient(), claims.recipient()],
+        lease_holders: vec![authority.recipient(), claims.recipient()],
     })
 }
 
 /// A client of the platform. Each has an incarnation of its own, so that its writes can be told from others'.
-fn kv(shared: &Shared) -> KvClient {
+fn kv_client(shared: &Shared) -> KvClient {
     let settings = &shared.settings;
     let client = KvClient::new(
         &settings.platform,
--- a/src/ops/daemon.rs
+++ b/src/ops/daemon.rs
@@ -86,7 +86,7 @@
     out.flush()?;
     server.await.wrap_err("the server failed")?;
     stopping.await.wrap_err("the shutdown failed")?;
-    control.release().await;
+    control.release_leases().await;
     log_event!(info, log_event::STOPPED);
     Ok(())
 }
