--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -47,38 +47,38 @@
 use crate::util::clock;
 
 /// How long one lease serves for the buckets that are written.
-const LEASE_FOR: Duration = Duration::from_secs(600);
+const LEASE_REUSE: Duration = Duration::from_secs(600);
 
 /// How often clocks are compared with another instance.
-const COMPARE_EVERY: Duration = Duration::from_secs(1);
+const CLOCK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long another instance may take to say its time; far below the difference that counts.
-const COMPARE_LIMIT: Duration = Duration::from_secs(1);
+const CLOCK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Most claims that a table shows.
 const MAX_ROWS: usize = 500;
 
 /// Asks for a claim.
 #[derive(Debug)]
-pub struct Claim(pub ClaimRequest);
+pub struct RequestClaim(pub ClaimRequest);
 
-impl Message for Claim {
+impl Message for RequestClaim {
     type Result = Verdict;
 }
 
 /// Asks what is known of a claim.
 #[derive(Debug)]
-pub struct Look(pub ClaimRef);
+pub struct QueryClaim(pub ClaimRef);
 
-impl Message for Look {
+impl Message for QueryClaim {
     type Result = Verdict;
 }
 
 /// Tells what became of a claim.
 #[derive(Debug)]
-pub struct Report(pub BucketId, pub Edit);
+pub struct EditClaim(pub BucketId, pub Edit);
 
-impl Message for Report {
+impl Message for EditClaim {
     type Result = ();
 }
 
@@ -95,9 +95,9 @@
 /// Failure guarded against: a bucket goes while its keys are still accepted, and a repeat runs twice. The
 /// lease is never renewed nor released, not even at shutdown: only its time ends it.
 #[derive(Debug, Clone, Copy)]
-struct Keep {
-    lease: LeaseId,
-    asked: Time,
+struct BucketLease {
+    id: LeaseId,
+    requested_at: Time,
 }
 
 /// Owner of claims.
@@ -106,14 +106,14 @@
     shared: Arc<Shared>,
     kv: KvClient,
     owner: Owner,
-    asked: BTreeMap<QueryId, oneshot::Sender<Verdict>>,
-    stopped: Vec<oneshot::Sender<()>>,
-    tickets: u64,
-    wake: Option<Time>,
-    keep: Option<Keep>,
+    pending: BTreeMap<QueryId, oneshot::Sender<Verdict>>,
+    stop_waiters: Vec<oneshot::Sender<()>>,
+    query_count: u64,
+    wake_at: Option<Time>,
+    bucket_lease: Option<BucketLease>,
     failing: bool,
-    calls: CallClient,
-    compared: Option<Name>,
+    call_client: CallClient,
+    last_compared: Option<Name>,
 }
 
 impl ClaimsActor {
@@ -124,25 +124,25 @@
             shared,
             kv,
             owner,
-            asked: BTreeMap::new(),
-            stopped: Vec::new(),
-            tickets: 0,
-            wake: None,
-            keep: None,
+            pending: BTreeMap::new(),
+            stop_waiters: Vec::new(),
+            query_count: 0,
+            wake_at: None,
+            bucket_lease: None,
             failing: false,
-            calls,
-            compared: None,
+            call_client: calls,
+            last_compared: None,
         }
     }
 
     /// Compares clocks with one other instance, and again after a while.
-    fn compare(&mut self, context: &mut Context<Self>) {
+    fn compare_clocks(&mut self, context: &mut Context<Self>) {
         let roster = self.shared.roster();
         let peers: Vec<Name> = roster.peers.iter().map(|p| p.name.clone()).collect();
         let next = {
             let mut watch = self.shared.clocks();
             watch.retain(|name| peers.contains(name));
-            watch.next(&peers, self.compared.as_ref()).cloned()
+            watch.next(&peers, self.last_compared.as_ref()).cloned()
         };
         let address = |name: &Name| {
             roster
@@ -152,41 +152,41 @@
                 .map(|p| p.peer_address)
         };
         if let Some((name, address)) = next.and_then(|name| Some((name.clone(), address(&name)?))) {
-            self.compared = Some(name.clone());
-            let calls = self.calls.clone();
-            let ask = async move { calls.call(address, &Request::Clock, COMPARE_LIMIT).await };
+            self.last_compared = Some(name.clone());
+            let calls = self.call_client.clone();
+            let ask = async move { calls.call(address, &Request::Clock, CLOCK_TIMEOUT).await };
             context.spawn(ask.into_actor(self).map(move |answer, actor, _| {
                 if let Ok(Response::Clock(theirs)) = answer {
                     actor.shared.clocks().on_time(&name, clock::wall(), theirs);
                 }
             }));
         }
-        context.run_later(COMPARE_EVERY, |actor, context| actor.compare(context));
+        context.run_later(CLOCK_INTERVAL, |actor, context| actor.compare_clocks(context));
     }
 
-    fn ticket(&mut self) -> (QueryId, ResponseFuture<Verdict>) {
-        self.tickets += 1;
-        let ticket = QueryId(self.tickets);
+    fn new_query(&mut self) -> (QueryId, ResponseFuture<Verdict>) {
+        self.query_count += 1;
+        let ticket = QueryId(self.query_count);
         let (sender, answer) = oneshot::channel();
-        self.asked.insert(ticket, sender);
+        self.pending.insert(ticket, sender);
         let answer = Box::pin(async move { answer.await.unwrap_or(Verdict::Stopping) });
         (ticket, answer)
     }
 
-    fn on(&mut self, event: OwnerEvent, context: &mut Context<Self>) {
+    fn handle_event(&mut self, event: OwnerEvent, context: &mut Context<Self>) {
         for action in self.owner.on(clock::both(), event) {
             match action {
-                OwnerAction::Read(bucket) => self.read(bucket, context),
+                OwnerAction::Read(bucket) => self.read_bucket(bucket, context),
                 OwnerAction::Write(bucket, revision, content) => {
-                    self.write(bucket, revision, &content, context);
+                    self.write_bucket(bucket, revision, &content, context);
                 }
                 OwnerAction::Answer(ticket, verdict) => self.answer(ticket, verdict),
-                OwnerAction::Wake(at) => self.wake(at, context),
+                OwnerAction::Wake(at) => self.schedule_wake(at, context),
                 OwnerAction::InvariantBroken(rule) => log_event!(error, log_event::INVARIANT_BROKEN, rule),
             }
         }
         if self.owner.is_idle() {
-            for waiting in self.stopped.drain(..) {
+            for waiting in self.stop_waiters.drain(..) {
                 let _ = waiting.send(());
             }
         }
@@ -194,41 +194,47 @@
 
     fn answer(&mut self, ticket: QueryId, verdict: Verdict) {
         self.shared.metrics.claims.count(&verdict);
-        if let Some(sender) = self.asked.remove(&ticket) {
+        if let Some(sender) = self.pending.remove(&ticket) {
             // The entry may have given up; then it never sends.
             let _ = sender.send(verdict);
         }
     }
 
-    fn wake(&mut self, at: Time, context: &mut Context<Self>) {
-        if self.wake.is_some_and(|wake| wake <= at) {
+    fn schedule_wake(&mut self, at: Time, context: &mut Context<Self>) {
+        if self.wake_at.is_some_and(|wake| wake <= at) {
             return;
         }
-        self.wake = Some(at);
+        self.wake_at = Some(at);
         let pause = at.since(clock::now());
         context.run_later(pause, move |actor, context| {
-            if actor.wake == Some(at) {
-                actor.wake = None;
-                actor.on(OwnerEvent::Tick, context);
+            if actor.wake_at == Some(at) {
+                actor.wake_at = None;
+                actor.handle_event(OwnerEvent::Tick, context);
             }
         });
     }
 
-    fn read(&mut self, bucket: BucketId, context: &mut Context<Self>) {
+    fn read_bucket(&mut self, bucket: BucketId, context: &mut Context<Self>) {
         self.shared.metrics.claims.reads.inc();
         let kv = self.kv.clone();
         let read = async move { kv.get(&bucket.path()).await };
         context.spawn(read.into_actor(self).map(move |result, actor, context| {
             let event = match result {
-                Ok(entry) => actor.stands(bucket, &entry),
+                Ok(entry) => actor.on_entry(bucket, &entry),
                 // Reading changes nothing, whatever became of it.
-                Err(error) => actor.failed(bucket, &error, false),
+                Err(error) => actor.on_failure(bucket, &error, false),
             };
-            actor.on(event, context);
+            actor.handle_event(event, context);
         }));
     }
 
-    fn write(&mut self, bucket: BucketId, revision: Revision, content: &Bucket, context: &mut Context<Self>) {
+    fn write_bucket(
+        &mut self,
+        bucket: BucketId,
+        revision: Revision,
+        content: &Bucket,
+        context: &mut Context<Self>,
+    ) {
         self.shared.metrics.claims.writes.inc();
         let value = match postcard::to_allocvec(content) {
             Ok(value) => value,
@@ -238,27 +244,27 @@
             }
         };
         let kv = self.kv.clone();
-        let keep = self.keep;
-        let write = async move { swap(&kv, keep, bucket, revision, &value).await };
+        let keep = self.bucket_lease;
+        let write = async move { swap_bucket(&kv, keep, bucket, revision, &value).await };
         context.spawn(write.into_actor(self).map(move |written, actor, context| {
-            actor.keep = written.keep;
+            actor.bucket_lease = written.bucket_lease;
             let event = match written.result {
-                Err(Failed { error, unsure }) => actor.failed(bucket, &error, unsure),
+                Err(WriteError { error, maybe_written }) => actor.on_failure(bucket, &error, maybe_written),
                 Ok(Swap::Done(version)) => {
-                    actor.working();
+                    actor.on_success();
                     OwnerEvent::Written(bucket, Revision(version.0))
                 }
                 Ok(Swap::Conflict(entry)) => {
                     actor.shared.metrics.claims.conflicts.inc();
-                    actor.stands(bucket, &entry)
+                    actor.on_entry(bucket, &entry)
                 }
             };
-            actor.on(event, context);
+            actor.handle_event(event, context);
         }));
     }
 
-    fn stands(&mut self, bucket: BucketId, entry: &Entry) -> OwnerEvent {
-        self.working();
+    fn on_entry(&mut self, bucket: BucketId, entry: &Entry) -> OwnerEvent {
+        self.on_success();
         let Some(value) = &entry.value else {
             return OwnerEvent::Current(bucket, Revision::default(), Bucket::default());
         };
@@ -274,14 +280,14 @@
         }
     }
 
-    fn working(&mut self) {
+    fn on_success(&mut self) {
         if self.failing {
             log_event!(info, log_event::CLAIMS_BACK);
         }
         self.failing = false;
     }
 
-    fn failed(&mut self, bucket: BucketId, error: &KvError, unsure: bool) -> OwnerEvent {
+    fn on_failure(&mut self, bucket: BucketId, error: &KvError, unsure: bool) -> OwnerEvent {
         if !self.failing {
             log_event!(warn, log_event::CLAIMS_OUT, %error, bucket = bucket.path());
         }
@@ -294,46 +300,55 @@
 }
 
 /// How a write ended.
-struct Written {
-    keep: Option<Keep>,
-    result: Result<Swap, Failed>,
+struct WriteResult {
+    bucket_lease: Option<BucketLease>,
+    result: Result<Swap, WriteError>,
 }
 
 /// A write that failed.
-struct Failed {
+struct WriteError {
     error: KvError,
     /// Whether it may have taken effect, or may yet.
-    unsure: bool,
+    maybe_written: bool,
 }
 
 /// Swaps a bucket in, bound to a lease that lapses [`BUCKET_TTL`] after this write at the earliest.
-async fn swap(
+async fn swap_bucket(
     kv: &KvClient,
-    keep: Option<Keep>,
+    keep: Option<BucketLease>,
     bucket: BucketId,
     revision: Revision,
     value: &[u8],
-) -> Written {
+) -> WriteResult {
     let now = clock::now();
     let keep = match keep {
-        Some(keep) if now.since(keep.asked) < LEASE_FOR => keep,
-        _ => match kv.grant(BUCKET_TTL + LEASE_FOR).await {
-            Ok(lease) => Keep { lease, asked: now },
+        Some(keep) if now.since(keep.requested_at) < LEASE_REUSE => keep,
+        _ => match kv.grant(BUCKET_TTL + LEASE_REUSE).await {
+            Ok(lease) => BucketLease {
+                id: lease,
+                requested_at: now,
+            },
             // No write was begun, whatever became of the lease.
             Err(error) => {
                 let unsure = false;
-                let result = Err(Failed { error, unsure });
-                return Written { keep: None, result };
+                let result = Err(WriteError {
+                    error,
+                    maybe_written: unsure,
+                });
+                return WriteResult {
+                    bucket_lease: None,
+                    result,
+                };
             }
         },
     };
     let expect = Expect::from(KvVersion(revision.0));
-    let result = kv.swap(&bucket.path(), expect, value, Some(keep.lease)).await;
+    let result = kv.swap(&bucket.path(), expect, value, Some(keep.id)).await;
     let lapsed = matches!(result, Err(KvError::LeaseLapsed));
-    Written {
-        keep: (!lapsed).then_some(keep),
-        result: result.map_err(|error| Failed {
-            unsure: error.is_ambiguous(),
+    WriteResult {
+        bucket_lease: (!lapsed).then_some(keep),
+        result: result.map_err(|error| WriteError {
+            maybe_written: error.is_ambiguous(),
             error,
         }),
     }
@@ -343,35 +358,35 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Context<Self>) {
-        self.compare(context);
+        self.compare_clocks(context);
     }
 }
 
-impl Handler<Claim> for ClaimsActor {
+impl Handler<RequestClaim> for ClaimsActor {
     type Result = ResponseFuture<Verdict>;
 
-    fn handle(&mut self, Claim(ask): Claim, context: &mut Context<Self>) -> Self::Result {
-        let (ticket, answer) = self.ticket();
-        self.on(OwnerEvent::Claim(ticket, ask), context);
+    fn handle(&mut self, RequestClaim(ask): RequestClaim, context: &mut Context<Self>) -> Self::Result {
+        let (ticket, answer) = self.new_query();
+        self.handle_event(OwnerEvent::Claim(ticket, ask), context);
         answer
     }
 }
 
-impl Handler<Look> for ClaimsActor {
+impl Handler<QueryClaim> for ClaimsActor {
     type Result = ResponseFuture<Verdict>;
 
-    fn handle(&mut self, Look(claim): Look, context: &mut Context<Self>) -> Self::Result {
-        let (ticket, answer) = self.ticket();
-        self.on(OwnerEvent::Query(ticket, claim), context);
+    fn handle(&mut self, QueryClaim(claim): QueryClaim, context: &mut Context<Self>) -> Self::Result {
+        let (ticket, answer) = self.new_query();
+        self.handle_event(OwnerEvent::Query(ticket, claim), context);
         answer
     }
 }
 
-impl Handler<Report> for ClaimsActor {
+impl Handler<EditClaim> for ClaimsActor {
     type Result = ();
 
-    fn handle(&mut self, Report(bucket, edit): Report, context: &mut Context<Self>) {
-        self.on(OwnerEvent::Edit(bucket, edit), context);
+    fn handle(&mut self, EditClaim(bucket, edit): EditClaim, context: &mut Context<Self>) {
+        self.handle_event(OwnerEvent::Edit(bucket, edit), context);
     }
 }
 
@@ -381,8 +396,8 @@
 
     fn handle(&mut self, _: Shutdown, context: &mut Context<Self>) -> Self::Result {
         let (sender, stopped) = oneshot::channel();
-        self.stopped.push(sender);
-        self.on(OwnerEvent::Stop, context);
+        self.stop_waiters.push(sender);
+        self.handle_event(OwnerEvent::Stop, context);
         Box::pin(async move {
             let _ = stopped.await;
         })
--- a/src/ops/control/peers.rs
+++ b/src/ops/control/peers.rs
@@ -16,10 +16,10 @@
 
 use crate::ops::control::authority::AuthorityActor;
 use crate::ops::control::authority::Settle;
-use crate::ops::control::claims::Claim;
 use crate::ops::control::claims::ClaimsActor;
-use crate::ops::control::claims::Look;
-use crate::ops::control::claims::Report;
+use crate::ops::control::claims::EditClaim;
+use crate::ops::control::claims::QueryClaim;
+use crate::ops::control::claims::RequestClaim;
 use crate::ops::control::config::ConfigActor;
 use crate::ops::control::config::UpdateAfter;
 use crate::ops::shared::Shared;
@@ -43,14 +43,14 @@
         match request {
             Request::Ping => Response::Pong,
             Request::Page(_) | Request::Since(_) => Response::Unserved,
-            Request::Claim(ask) => verdict(self.claims.send(Claim(ask)).await),
-            Request::Look(claim) => verdict(self.claims.send(Look(claim)).await),
+            Request::Claim(ask) => verdict_response(self.claims.send(RequestClaim(ask)).await),
+            Request::Look(claim) => verdict_response(self.claims.send(QueryClaim(claim)).await),
             Request::Clock => Response::Clock(clock::wall()),
             Request::Edit(bucket, edit) => {
-                self.claims.do_send(Report(bucket, edit));
+                self.claims.do_send(EditClaim(bucket, edit));
                 Response::Taken
             }
-            Request::Poison(request) => Response::Poison(poison(&self.shared, &request)),
+            Request::Poison(request) => Response::Poison(handle_poison(&self.shared, &request)),
             Request::Hold(hold) => {
                 let until = clock::now() + Duration::from_millis(hold.millis);
                 Response::InFlight(self.shared.hold(hold.engine, until))
@@ -72,12 +72,12 @@
 }
 
 /// An owner whose actor has ended is stopping.
-fn verdict(verdict: Result<Verdict, MailboxError>) -> Response {
+fn verdict_response(verdict: Result<Verdict, MailboxError>) -> Response {
     Response::Verdict(verdict.unwrap_or(Verdict::Stopping))
 }
 
 /// Takes what a peer says of requests that crash engines.
-fn poison(shared: &Shared, request: &PoisonRequest) -> PoisonResponse {
+fn handle_poison(shared: &Shared, request: &PoisonRequest) -> PoisonResponse {
     let now = clock::now();
     let mut response = PoisonResponse {
         agreed: true,
--- a/src/ops/dispatch/owners.rs
+++ b/src/ops/dispatch/owners.rs
@@ -18,9 +18,9 @@
 use sequoiastream_peer::message::Request;
 use sequoiastream_peer::message::Response;
 
-use crate::ops::control::claims::Claim;
-use crate::ops::control::claims::Look;
-use crate::ops::control::claims::Report;
+use crate::ops::control::claims::EditClaim;
+use crate::ops::control::claims::QueryClaim;
+use crate::ops::control::claims::RequestClaim;
 use crate::ops::dispatch::Dispatch;
 use crate::util::clock;
 
@@ -66,7 +66,7 @@
     pub(super) async fn ask(&self, owner: &Name, ask: ClaimRequest) -> EntryEvent {
         let limit = ask.wait + TRAVEL;
         if *owner == self.shared.settings.name {
-            let answer = tokio::time::timeout(limit, self.control.claims.send(Claim(ask))).await;
+            let answer = tokio::time::timeout(limit, self.control.claims.send(RequestClaim(ask))).await;
             return match answer {
                 Ok(Ok(verdict)) => EntryEvent::Answered(verdict),
                 _ => EntryEvent::NoAnswer,
@@ -88,7 +88,7 @@
     pub(super) async fn look(&self, claim: ClaimRef) -> Verdict {
         for owner in self.owners(claim.bucket.shard) {
             let verdict = match owner == self.shared.settings.name {
-                true => self.control.claims.send(Look(claim)).await.ok(),
+                true => self.control.claims.send(QueryClaim(claim)).await.ok(),
                 false => match self.question(&owner, Request::Look(claim), SHORT).await {
                     Some(Response::Verdict(verdict)) => Some(verdict),
                     _ => None,
@@ -106,7 +106,7 @@
     pub(super) async fn report(&self, bucket: BucketId, edit: Edit) {
         for owner in self.owners(bucket.shard) {
             if owner == self.shared.settings.name {
-                self.control.claims.do_send(Report(bucket, edit));
+                self.control.claims.do_send(EditClaim(bucket, edit));
                 return;
             }
             let request = Request::Edit(bucket, edit.clone());
