--- a/src/ops/control/authority/drain.rs
+++ b/src/ops/control/authority/drain.rs
@@ -16,21 +16,25 @@
 use sequoiastream_peer::message::Response;
 use sequoiastream_peer::message::SettleOrder;
 
-use crate::ops::control::authority::Settle;
+use crate::ops::control::authority::AskSettlement;
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
 /// Calls to the other instances.
-pub struct Peers {
+pub struct PeerClient {
     shared: Arc<Shared>,
     kv: KvClient,
-    client: CallClient,
+    call_client: CallClient,
 }
 
-impl Peers {
+impl PeerClient {
     /// Calls through `client`.
-    pub fn new(shared: Arc<Shared>, kv: KvClient, client: CallClient) -> Peers {
-        Peers { shared, kv, client }
+    pub fn new(shared: Arc<Shared>, kv: KvClient, client: CallClient) -> PeerClient {
+        PeerClient {
+            shared,
+            kv,
+            call_client: client,
+        }
     }
 
     /// Asks all listed instances to keep work from `engine` for `time`; `None` if there is no list.
@@ -45,7 +49,7 @@
         let asks = others.iter().map(|(name, address)| {
             let request = &request;
             async move {
-                let answer = self.client.call(*address, request, time / 10).await;
+                let answer = self.call_client.call(*address, request, time / 10).await;
                 let answer = match answer {
                     Ok(Response::InFlight(count)) => HoldAnswer::InFlight(count),
                     _ => HoldAnswer::Missing,
@@ -71,12 +75,12 @@
         let request = Request::Unhold(engine);
         let asks = others
             .values()
-            .map(|address| self.client.call(*address, &request, limit));
+            .map(|address| self.call_client.call(*address, &request, limit));
         join_all(asks).await;
     }
 
     /// Asks the instance that opened an order what became of it.
-    pub async fn ask(&self, holder: &Name, ask: Settle) -> Option<Event> {
+    pub async fn ask_settlement(&self, holder: &Name, ask: AskSettlement) -> Option<Event> {
         let others = self.others().await?;
         let address = others.get(holder)?;
         let request = Request::Settle(SettleOrder {
@@ -86,7 +90,7 @@
             sequence: ask.sequence,
         });
         let limit = self.shared.settings.lease / 10;
-        match self.client.call(*address, &request, limit).await {
+        match self.call_client.call(*address, &request, limit).await {
             Ok(Response::Settled(settlement)) => Some(Event::Settled {
                 engine: ask.engine,
                 sequence: ask.sequence,
--- a/src/ops/control/authority/kv.rs
+++ b/src/ops/control/authority/kv.rs
@@ -31,10 +31,10 @@
 }
 
 /// Longest time that every instance waits before it competes for a vacant lease.
-const LEAST_DELAY: Duration = Duration::from_millis(500);
+const MAX_BASE_DELAY: Duration = Duration::from_millis(500);
 
 /// Longest further time, of which each instance waits a part of its own.
-const SPREAD: Duration = Duration::from_secs(2);
+const MAX_SPREAD: Duration = Duration::from_secs(2);
 
 /// Key of a service's lease.
 pub fn lease_key(service: &Name) -> String {
@@ -48,10 +48,10 @@
 
 /// How long this instance waits before it competes for a vacant lease: each instance another time for each
 /// service, so that holders spread and only one or two compete at once.
-pub fn delay(ttl: Duration, service: &Name, instance: &Name) -> Duration {
+pub fn acquire_delay(ttl: Duration, service: &Name, instance: &Name) -> Duration {
     let hash = blake3::hash(format!("{service}/{instance}").as_bytes());
     let part = f64::from(hash.as_bytes()[0]) / f64::from(u8::MAX);
-    (ttl / 20).min(LEAST_DELAY) + (ttl / 5).min(SPREAD).mul_f64(part)
+    (ttl / 20).min(MAX_BASE_DELAY) + (ttl / 5).min(MAX_SPREAD).mul_f64(part)
 }
 
 /// Waits for the lease's key to change. The first call reads it.
@@ -68,7 +68,7 @@
             let entry = kv.get(&key).await?;
             match entry.version == after {
                 true => kv
-                    .watch(&key, after, wait.min(FIRST))
+                    .watch(&key, after, wait.min(ABSENT_KEY_WAIT))
                     .await
                     .map(|e| e.or(Some(entry))),
                 false => Ok(Some(entry)),
@@ -79,7 +79,7 @@
 }
 
 /// How long the watch of a key that never existed waits.
-const FIRST: Duration = Duration::from_millis(200);
+const ABSENT_KEY_WAIT: Duration = Duration::from_millis(200);
 
 /// Asks for a lease and binds the service's key to it.
 pub async fn acquire(
@@ -160,7 +160,7 @@
     record: Record,
 ) -> Event {
     let written = match serde_json::to_vec(&record) {
-        Ok(value) => swap(&kv, &service, expect, &value).await,
+        Ok(value) => swap_record(&kv, &service, expect, &value).await,
         Err(error) => {
             log_event!(error, log_event::KV_FAILED, %error, call = "write authority");
             WriteOutcome::Unknown
@@ -172,7 +172,7 @@
     }
 }
 
-async fn swap(kv: &KvClient, service: &Name, expect: RecordVersion, value: &[u8]) -> WriteOutcome {
+async fn swap_record(kv: &KvClient, service: &Name, expect: RecordVersion, value: &[u8]) -> WriteOutcome {
     let expect = Expect::from(KvVersion(expect.0));
     match kv.swap(&record_key(service), expect, value, None).await {
         Ok(Swap::Done(version)) => WriteOutcome::Done(RecordVersion(version.0)),
--- a/src/ops/control/authority/mod.rs
+++ b/src/ops/control/authority/mod.rs
@@ -56,38 +56,38 @@
 
 use crate::log_event;
 use crate::ops::control::Shutdown;
-use crate::ops::control::authority::drain::Peers;
+use crate::ops::control::authority::drain::PeerClient;
 use crate::ops::control::authority::kv::Acquired;
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
 /// Pause before a failed watch is made again, doubled up to [`MAX_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(200);
+const MIN_PAUSE: Duration = Duration::from_millis(200);
 
 /// Longest pause between two watches.
 const MAX_PAUSE: Duration = Duration::from_secs(5);
 
 /// Part of the lease's time between two ticks.
-const TICKS: u32 = 100;
+const TICKS_PER_LEASE: u32 = 100;
 
 /// Keeper of the authorities.
 pub struct AuthorityActor {
     shared: Arc<Shared>,
     kv: KvClient,
     engines: EngineClient,
-    peers: Rc<Peers>,
+    peers: Rc<PeerClient>,
     incarnation: Incarnation,
-    units: BTreeMap<Name, Unit>,
-    seen: Version,
+    authorities: BTreeMap<Name, ServiceAuthority>,
+    config_version: Version,
 }
 
 /// One service.
-struct Unit {
-    machine: Authority,
+struct ServiceAuthority {
+    authority: Authority,
     lease: Option<LeaseId>,
     /// Whether the lease's key is absent; `None` if it is not known.
     vacant: Option<bool>,
-    watched: KvVersion,
+    watched_version: KvVersion,
     pause: Duration,
 }
 
@@ -110,7 +110,7 @@
 /// Asks what this process knows of an order that it opened.
 #[derive(Debug, Clone, Message)]
 #[rtype(result = "Settlement")]
-pub struct Settle {
+pub struct AskSettlement {
     /// The service.
     pub service: Name,
     /// The process that opened it.
@@ -126,9 +126,9 @@
 #[rtype(result = "Result<TableBody, OperatorError>")]
 pub struct ShowAuthorities(pub Table);
 
-impl From<SettleOrder> for Settle {
-    fn from(ask: SettleOrder) -> Settle {
-        Settle {
+impl From<SettleOrder> for AskSettlement {
+    fn from(ask: SettleOrder) -> AskSettlement {
+        AskSettlement {
             service: ask.service,
             incarnation: ask.incarnation,
             engine: ask.engine,
@@ -141,98 +141,102 @@
     /// A keeper that holds nothing.
     pub fn new(shared: Arc<Shared>, kv: KvClient, calls: CallClient) -> AuthorityActor {
         AuthorityActor {
-            peers: Rc::new(Peers::new(shared.clone(), kv.clone(), calls)),
+            peers: Rc::new(PeerClient::new(shared.clone(), kv.clone(), calls)),
             shared,
             kv,
             engines: EngineClient::new(),
             incarnation: Incarnation(Uuid::new_v4()),
-            units: BTreeMap::new(),
-            seen: Version::default(),
+            authorities: BTreeMap::new(),
+            config_version: Version::default(),
         }
     }
 
     fn tick(&mut self, context: &mut Context<Self>) {
-        self.configure(context);
-        let services: Vec<Name> = self.units.keys().cloned().collect();
+        self.apply_config(context);
+        let services: Vec<Name> = self.authorities.keys().cloned().collect();
         for service in services {
-            match self.units.get(&service).and_then(|unit| unit.vacant) {
-                Some(true) => self.feed(&service, Event::Vacant, context),
-                Some(false) => self.feed(&service, Event::Occupied, context),
+            match self.authorities.get(&service).and_then(|unit| unit.vacant) {
+                Some(true) => self.handle_event(&service, Event::Vacant, context),
+                Some(false) => self.handle_event(&service, Event::Occupied, context),
                 None => {}
             }
-            self.feed(&service, Event::Tick, context);
+            self.handle_event(&service, Event::Tick, context);
         }
         let now = clock::now();
-        let believed = self.units.values().filter(|unit| unit.machine.is_holder(now));
+        let believed = self
+            .authorities
+            .values()
+            .filter(|unit| unit.authority.is_holder(now));
         let believed = i64::try_from(believed.count()).unwrap_or(i64::MAX);
         self.shared.metrics.authority.believed.set(believed);
     }
 
     /// Takes over a new version of the configuration.
-    fn configure(&mut self, context: &mut Context<Self>) {
+    fn apply_config(&mut self, context: &mut Context<Self>) {
         let snapshot = self.shared.snapshot.load_full();
-        if snapshot.version == self.seen {
+        if snapshot.version == self.config_version {
             return;
         }
-        self.seen = snapshot.version;
+        self.config_version = snapshot.version;
         let mut models = BTreeMap::new();
         for (_, service) in snapshot.services.iter() {
             if let ServiceKind::Model { model } = &service.kind {
                 models.insert(
                     service.name.clone(),
-                    (model.clone(), wishes(&snapshot, &service.engines)),
+                    (model.clone(), engine_configs(&snapshot, &service.engines)),
                 );
             }
         }
         let gone: Vec<Name> = self
-            .units
+            .authorities
             .keys()
             .filter(|s| !models.contains_key(*s))
             .cloned()
             .collect();
         for service in gone {
-            self.feed(&service, Event::Resign, context);
-            self.units.remove(&service);
+            self.handle_event(&service, Event::Resign, context);
+            self.authorities.remove(&service);
         }
         for (service, (model, engines)) in models {
-            if !self.units.contains_key(&service) {
-                self.units.insert(service.clone(), self.new_unit(&service));
+            if !self.authorities.contains_key(&service) {
+                self.authorities
+                    .insert(service.clone(), self.new_authority(&service));
                 self.watch(service.clone(), context);
             }
-            self.feed(&service, Event::Configured { model, engines }, context);
+            self.handle_event(&service, Event::Configured { model, engines }, context);
         }
     }
 
-    fn new_unit(&self, service: &Name) -> Unit {
+    fn new_authority(&self, service: &Name) -> ServiceAuthority {
         let ttl = self.shared.settings.lease;
         let settings = Settings {
             service: service.clone(),
             instance: self.shared.settings.name.clone(),
             incarnation: self.incarnation,
-            timing: Timing::new(ttl, kv::delay(ttl, service, &self.shared.settings.name)),
+            timing: Timing::new(ttl, kv::acquire_delay(ttl, service, &self.shared.settings.name)),
         };
-        Unit {
-            machine: Authority::new(settings),
+        ServiceAuthority {
+            authority: Authority::new(settings),
             lease: None,
             vacant: None,
-            watched: KvVersion::default(),
-            pause: PAUSE,
+            watched_version: KvVersion::default(),
+            pause: MIN_PAUSE,
         }
     }
 
     /// Watches the key of a service's lease, one call at a time.
     fn watch(&mut self, service: Name, context: &mut Context<Self>) {
-        let Some(unit) = self.units.get(&service) else {
+        let Some(unit) = self.authorities.get(&service) else {
             return;
         };
         let watch = kv::watch(
             self.kv.clone(),
             service.clone(),
-            unit.watched,
+            unit.watched_version,
             self.shared.settings.wait,
         );
         context.spawn(watch.into_actor(self).map(move |result, actor, context| {
-            let Some(unit) = actor.units.get_mut(&service) else {
+            let Some(unit) = actor.authorities.get_mut(&service) else {
                 return;
             };
             let pause = unit.on_watch(result);
@@ -241,11 +245,11 @@
     }
 
     /// Gives an event to a service's machine and carries out what it decides.
-    fn feed(&mut self, service: &Name, event: Event, context: &mut Context<Self>) {
-        let Some(unit) = self.units.get_mut(service) else {
+    fn handle_event(&mut self, service: &Name, event: Event, context: &mut Context<Self>) {
+        let Some(unit) = self.authorities.get_mut(service) else {
             return;
         };
-        for action in unit.machine.handle_event(clock::now(), event) {
+        for action in unit.authority.handle_event(clock::now(), event) {
             self.perform(service, action, context);
         }
     }
@@ -255,29 +259,29 @@
         match action {
             Action::Acquire(call) => self.acquire(service, call, context),
             Action::Renew(call) => {
-                let lease = self.units.get(service).and_then(|unit| unit.lease);
-                self.later(service, kv::renew(kv, call, lease), context);
+                let lease = self.authorities.get(service).and_then(|unit| unit.lease);
+                self.spawn_event(service, kv::renew(kv, call, lease), context);
             }
             Action::Release => self.release(service, context),
-            Action::Read(call) => self.later(service, kv::read(kv, service.clone(), call), context),
+            Action::Read(call) => self.spawn_event(service, kv::read(kv, service.clone(), call), context),
             Action::Write { call, expect, record } => {
                 let write = kv::write(kv, service.clone(), call, expect, record);
-                self.later(service, write, context);
+                self.spawn_event(service, write, context);
             }
             Action::Probe(engine) => self.probe(service, engine, context),
             Action::Hold(engine) => {
                 let peers = self.peers.clone();
                 let hold = self.shared.settings.lease;
-                self.maybe(service, async move { peers.hold(engine, hold).await }, context);
+                self.spawn_optional(service, async move { peers.hold(engine, hold).await }, context);
             }
             Action::Unhold(engine) => {
                 let peers = self.peers.clone();
                 context.spawn(async move { peers.unhold(engine).await }.into_actor(self));
             }
             Action::AskWeights { engine, model } => {
-                self.later(service, kv::ask_weights(kv, engine, model), context);
+                self.spawn_event(service, kv::ask_weights(kv, engine, model), context);
             }
-            Action::Send(send) => self.send(service, send, context),
+            Action::Send(send) => self.send_order(service, send, context),
             Action::AskSettlement {
                 holder,
                 incarnation,
@@ -285,34 +289,38 @@
                 sequence,
             } => {
                 let peers = self.peers.clone();
-                let ask = Settle {
+                let ask = AskSettlement {
                     service: service.clone(),
                     incarnation,
                     engine,
                     sequence,
                 };
-                self.maybe(service, async move { peers.ask(&holder, ask).await }, context);
+                self.spawn_optional(
+                    service,
+                    async move { peers.ask_settlement(&holder, ask).await },
+                    context,
+                );
             }
-            told => self.tell(service, told),
+            told => self.notify_operators(service, told),
         }
     }
 
     /// Runs `future` and gives the event that it ends with to the machine.
-    fn later<F>(&self, service: &Name, future: F, context: &mut Context<Self>)
+    fn spawn_event<F>(&self, service: &Name, future: F, context: &mut Context<Self>)
     where
         F: Future<Output = Event> + 'static,
     {
-        self.maybe(service, async move { Some(future.await) }, context);
+        self.spawn_optional(service, async move { Some(future.await) }, context);
     }
 
-    fn maybe<F>(&self, service: &Name, future: F, context: &mut Context<Self>)
+    fn spawn_optional<F>(&self, service: &Name, future: F, context: &mut Context<Self>)
     where
         F: Future<Output = Option<Event>> + 'static,
     {
         let service = service.clone();
         context.spawn(future.into_actor(self).map(move |event, actor, context| {
             if let Some(event) = event {
-                actor.feed(&service, event, context);
+                actor.handle_event(&service, event, context);
             }
         }));
     }
@@ -323,7 +331,10 @@
         call: sequoiastream_core::authority::CallId,
         context: &mut Context<Self>,
     ) {
-        let old = self.units.get_mut(service).and_then(|unit| unit.lease.take());
+        let old = self
+            .authorities
+            .get_mut(service)
+            .and_then(|unit| unit.lease.take());
         let name = self.shared.settings.name.clone();
         let acquire = kv::acquire(
             self.kv.clone(),
@@ -336,19 +347,22 @@
         context.spawn(acquire.into_actor(self).map(move |acquired, actor, context| {
             let event = match acquired {
                 Some(Acquired { lease, sent }) => {
-                    if let Some(unit) = actor.units.get_mut(&service) {
+                    if let Some(unit) = actor.authorities.get_mut(&service) {
                         unit.lease = Some(lease);
                     }
                     Event::Acquired { call, sent }
                 }
                 None => Event::NotAcquired { call },
             };
-            actor.feed(&service, event, context);
+            actor.handle_event(&service, event, context);
         }));
     }
 
     fn release(&mut self, service: &Name, context: &mut Context<Self>) {
-        let lease = self.units.get_mut(service).and_then(|unit| unit.lease.take());
+        let lease = self
+            .authorities
+            .get_mut(service)
+            .and_then(|unit| unit.lease.take());
         if let Some(lease) = lease {
             let kv = self.kv.clone();
             // If this fails the lease lapses by itself.
@@ -360,17 +374,17 @@
     }
 
     fn probe(&mut self, service: &Name, engine: Name, context: &mut Context<Self>) {
-        let Some(address) = self.address(&engine) else {
+        let Some(address) = self.engine_address(&engine) else {
             return;
         };
         let engines = self.engines.clone();
         let probe = async move {
             let asked = clock::now();
             let body = engines.load(address).await.ok()?;
-            let report = report(&body, asked);
+            let report = engine_report(&body, asked);
             Some(Event::Reported { engine, report })
         };
-        self.maybe(service, probe, context);
+        self.spawn_optional(service, probe, context);
     }
 
     /// Sends an order, unless its time has passed by now.
@@ -378,8 +392,8 @@
     /// Failure guarded against: the process was paused since the decision, and another holds the authority.
     /// The check is the last thing before the send; what a pause right after it can do is covered by the
     /// order's record, which stands open.
-    fn send(&mut self, service: &Name, send: SendOrder, context: &mut Context<Self>) {
-        let address = self.address(&send.engine);
+    fn send_order(&mut self, service: &Name, send: SendOrder, context: &mut Context<Self>) {
+        let address = self.engine_address(&send.engine);
         let engines = self.engines.clone();
         let metrics = self.shared.metrics.authority.clone();
         let order = OrderBody {
@@ -397,7 +411,9 @@
         );
         let run = async move {
             let answer = match address {
-                Some(address) if clock::now() < send.deadline => answer(engines.order(address, &order).await),
+                Some(address) if clock::now() < send.deadline => {
+                    order_answer(engines.order(address, &order).await)
+                }
                 _ => OrderAnswer::Unsent,
             };
             metrics.count_order(answer);
@@ -407,17 +423,17 @@
                 answer,
             }
         };
-        self.later(service, run, context);
+        self.spawn_event(service, run, context);
     }
 
-    fn address(&self, engine: &Name) -> Option<std::net::SocketAddr> {
+    fn engine_address(&self, engine: &Name) -> Option<std::net::SocketAddr> {
         let snapshot = self.shared.snapshot.load();
         let found = snapshot.engines.iter().find(|(_, e)| e.name == *engine);
         found.map(|(_, e)| e.address)
     }
 
     /// Tells operators.
-    fn tell(&self, service: &Name, action: Action) {
+    fn notify_operators(&self, service: &Name, action: Action) {
         let metrics = &self.shared.metrics.authority;
         match action {
             Action::TookOver(fence) => {
@@ -443,16 +459,16 @@
     }
 }
 
-impl Unit {
+impl ServiceAuthority {
     /// Takes the result of a watch; returns how long to pause before the next.
     fn on_watch(&mut self, result: Result<Option<Entry>, KvError>) -> Duration {
         match result {
             Ok(entry) => {
                 if let Some(entry) = entry {
-                    self.watched = entry.version;
+                    self.watched_version = entry.version;
                     self.vacant = Some(entry.value.is_none());
                 }
-                self.pause = PAUSE;
+                self.pause = MIN_PAUSE;
                 Duration::ZERO
             }
             Err(error) => {
@@ -460,7 +476,7 @@
                 // While the service is out it isn't known who holds the lease: nobody competes, so its
                 // return brings no storm.
                 self.vacant = None;
-                self.watched = KvVersion::default();
+                self.watched_version = KvVersion::default();
                 self.pause = (self.pause * 2).min(MAX_PAUSE);
                 self.pause.mul_f64(rand::random_range(0.5..1.0))
             }
@@ -468,7 +484,10 @@
     }
 }
 
-fn wishes(snapshot: &Snapshot, engines: &[sequoiastream_core::snapshot::EngineKey]) -> Vec<EngineConfig> {
+fn engine_configs(
+    snapshot: &Snapshot,
+    engines: &[sequoiastream_core::snapshot::EngineKey],
+) -> Vec<EngineConfig> {
     let views = engines.iter().filter_map(|key| snapshot.engines.get(*key));
     views
         .map(|view| EngineConfig {
@@ -480,7 +499,7 @@
         .collect()
 }
 
-fn report(body: &LoadBody, asked: sequoiastream_core::time::Time) -> Report {
+fn engine_report(body: &LoadBody, asked: sequoiastream_core::time::Time) -> Report {
     Report {
         target: Target {
             role: body.role,
@@ -495,7 +514,7 @@
     }
 }
 
-fn answer(result: Result<(), UpstreamError>) -> OrderAnswer {
+fn order_answer(result: Result<(), UpstreamError>) -> OrderAnswer {
     match result {
         Ok(()) => OrderAnswer::Applied,
         Err(UpstreamError::Stale(fence)) => OrderAnswer::Stale(sequoiastream_core::authority::Fence(fence)),
@@ -513,7 +532,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Context<Self>) {
-        let tick = self.shared.settings.lease / TICKS;
+        let tick = self.shared.settings.lease / TICKS_PER_LEASE;
         context.run_interval(tick, |actor, context| actor.tick(context));
     }
 }
@@ -526,7 +545,7 @@
         let view = snapshot.engines.iter().find(|(_, e)| e.name == engine);
         let service = view.and_then(|(_, e)| snapshot.services.get(e.service));
         if let Some(service) = service.map(|s| s.name.clone()) {
-            self.feed(&service, Event::Proposed { engine, target }, context);
+            self.handle_event(&service, Event::Proposed { engine, target }, context);
         }
     }
 }
@@ -535,17 +554,17 @@
     type Result = bool;
 
     fn handle(&mut self, IsHolder(service): IsHolder, _: &mut Context<Self>) -> bool {
-        let unit = self.units.get(&service);
-        unit.is_some_and(|unit| unit.machine.is_holder(clock::now()))
+        let unit = self.authorities.get(&service);
+        unit.is_some_and(|unit| unit.authority.is_holder(clock::now()))
     }
 }
 
-impl Handler<Settle> for AuthorityActor {
-    type Result = actix::MessageResult<Settle>;
+impl Handler<AskSettlement> for AuthorityActor {
+    type Result = actix::MessageResult<AskSettlement>;
 
-    fn handle(&mut self, ask: Settle, _: &mut Context<Self>) -> Self::Result {
-        let unit = self.units.get_mut(&ask.service);
-        let said = unit.map(|u| u.machine.settlement(ask.incarnation, &ask.engine, ask.sequence));
+    fn handle(&mut self, ask: AskSettlement, _: &mut Context<Self>) -> Self::Result {
+        let unit = self.authorities.get_mut(&ask.service);
+        let said = unit.map(|u| u.authority.settlement(ask.incarnation, &ask.engine, ask.sequence));
         actix::MessageResult(said.unwrap_or(Settlement::Unknown))
     }
 }
@@ -554,7 +573,7 @@
     type Result = ResponseFuture<Result<TableBody, OperatorError>>;
 
     fn handle(&mut self, ShowAuthorities(table): ShowAuthorities, _: &mut Context<Self>) -> Self::Result {
-        let services = self.units.keys().cloned().collect();
+        let services = self.authorities.keys().cloned().collect();
         let kv = self.kv.clone();
         Box::pin(async move { tables::show(&kv, services, table).await })
     }
@@ -566,11 +585,15 @@
 
     fn handle(&mut self, Shutdown: Shutdown, context: &mut Context<Self>) -> Self::Result {
         let mut leases = Vec::new();
-        let services: Vec<Name> = self.units.keys().cloned().collect();
+        let services: Vec<Name> = self.authorities.keys().cloned().collect();
         for service in services {
             // Taken out first, so that the release is waited for here.
-            leases.extend(self.units.get_mut(&service).and_then(|unit| unit.lease.take()));
-            self.feed(&service, Event::Resign, context);
+            leases.extend(
+                self.authorities
+                    .get_mut(&service)
+                    .and_then(|unit| unit.lease.take()),
+            );
+            self.handle_event(&service, Event::Resign, context);
         }
         let kv = self.kv.clone();
         let release = async move {
--- a/src/ops/control/peers.rs
+++ b/src/ops/control/peers.rs
@@ -14,8 +14,8 @@
 use sequoiastream_peer::message::Request;
 use sequoiastream_peer::message::Response;
 
+use crate::ops::control::authority::AskSettlement;
 use crate::ops::control::authority::AuthorityActor;
-use crate::ops::control::authority::Settle;
 use crate::ops::control::claims::ClaimsActor;
 use crate::ops::control::claims::EditClaim;
 use crate::ops::control::claims::QueryClaim;
@@ -60,7 +60,7 @@
                 Response::Taken
             }
             Request::Settle(ask) => {
-                let said = self.authority.send(Settle::from(ask)).await;
+                let said = self.authority.send(AskSettlement::from(ask)).await;
                 Response::Settled(said.unwrap_or(Settlement::Unknown))
             }
             Request::Config(after) => {
