--- a/src/ops/control/config/execute.rs
+++ b/src/ops/control/config/execute.rs
@@ -58,33 +58,33 @@
 
     fn handle(&mut self, Execute(body, from): Execute, context: &mut Context<Self>) -> Self::Result {
         let ready = |reply| -> Self::Result { Box::pin(actix::fut::ready(reply)) };
-        let state = self.keeper.state();
-        let commands = match statements(&body.text, state, &self.shared.roster()) {
-            Ok(Asked::Commands(commands)) => commands,
-            Ok(Asked::Table(table)) => return ready(Ok(ReplyBody::Table(table))),
+        let state = self.replicator.state();
+        let commands = match parse_statements(&body.text, state, &self.shared.roster()) {
+            Ok(Script::Commands(commands)) => commands,
+            Ok(Script::Table(table)) => return ready(Ok(ReplyBody::Table(table))),
             Err(error) => return ready(Err(error)),
         };
         if body.dry {
             return ready(difference(state, &commands).map(ReplyBody::Difference));
         }
-        let proposal = proposal(&body, from, state.version, commands);
+        let proposal = new_proposal(&body, from, state.version, commands);
         let answer = self.submit(proposal.clone(), context);
         let (shared, wait) = (self.shared.clone(), body.wait);
         let reply = async move {
             let outcome = answer.await.unwrap_or(Err(SubmitError::Unknown));
-            finish(&shared, &proposal, outcome, wait).await
+            complete_reply(&shared, &proposal, outcome, wait).await
         };
         Box::pin(reply.into_actor(self).map(|reply, _, _| reply))
     }
 }
 
-enum Asked {
+enum Script {
     Table(TableBody),
     Commands(Vec<Command>),
 }
 
 /// Reads the text: either one query, which is answered, or changes.
-fn statements(text: &str, state: &State, roster: &Roster) -> Result<Asked, OperatorError> {
+fn parse_statements(text: &str, state: &State, roster: &Roster) -> Result<Script, OperatorError> {
     let mut commands = Vec::new();
     let mut queries = Vec::new();
     for statement in parse_script(text)? {
@@ -94,7 +94,7 @@
         }
     }
     match (queries.as_slice(), commands.is_empty()) {
-        ([], false) => Ok(Asked::Commands(commands)),
+        ([], false) => Ok(Script::Commands(commands)),
         ([query], true) => {
             let table = tables::of_config(&state.config, query.table);
             let table = table.unwrap_or_else(|| match query.table {
@@ -102,7 +102,7 @@
                 Table::Instances => tables::instances(roster),
                 _ => TableBody::default(),
             });
-            select(table, query).map(Asked::Table)
+            select(table, query).map(Script::Table)
         }
         _ => Err(OperatorError::Mixed),
     }
@@ -118,7 +118,7 @@
     Ok(tables::difference(&state.config, &after))
 }
 
-fn proposal(
+fn new_proposal(
     body: &StatementBody,
     from: Option<SocketAddr>,
     version: Version,
@@ -138,7 +138,7 @@
 }
 
 /// Logs the outcome, and says on how many instances the change is in force.
-async fn finish(
+async fn complete_reply(
     shared: &Arc<Shared>,
     proposal: &Proposal,
     outcome: Result<Outcome, SubmitError>,
@@ -148,14 +148,14 @@
     let outcome = outcome.map_err(|refused| {
         let statement = &proposal.statement;
         log_event!(warn, log_event::CHANGE_REFUSED, who, from, %id, statement, reason = %refused);
-        error(refused)
+        operator_error(refused)
     })?;
     let (version, repeated) = (outcome.version, outcome.repeated);
     let statement = &proposal.statement;
     log_event!(info, log_event::CHANGE_ACCEPTED, version = version.0, who, from, %id, repeated, statement);
     let limit = if wait { WAIT_LIMIT } else { SHORT_WAIT };
     // Past the limit the reply says on how many it is in force.
-    let _ = timeout(limit, reached(shared, version)).await;
+    let _ = timeout(limit, wait_in_force(shared, version)).await;
     let roster = shared.roster();
     let count = |peers: usize| u32::try_from(peers + 1).unwrap_or(u32::MAX);
     Ok(ReplyBody::Accepted(AcceptedBody {
@@ -167,7 +167,7 @@
 }
 
 /// Waits until every reachable instance has the version in force.
-async fn reached(shared: &Shared, version: Version) {
+async fn wait_in_force(shared: &Shared, version: Version) {
     let mut rosters = shared.follow_roster();
     // The sender lives as long as the process.
     let _ = rosters
@@ -175,7 +175,7 @@
         .await;
 }
 
-fn error(refused: SubmitError) -> OperatorError {
+fn operator_error(refused: SubmitError) -> OperatorError {
     let text = refused.to_string();
     match refused {
         SubmitError::Rejected(ProposalError::Apply(_)) | SubmitError::TooLarge(_) => {
--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -33,12 +33,12 @@
 
 use crate::log_event;
 use crate::ops::control::BoundAddresses;
-use crate::ops::control::config::Ahead;
 use crate::ops::control::config::ConfigActor;
-use crate::ops::control::config::Confirm;
-use crate::ops::control::config::Follow;
 use crate::ops::control::config::InForce;
-use crate::ops::control::config::Leaving;
+use crate::ops::control::config::LeavingUpstreams;
+use crate::ops::control::config::PeerAhead;
+use crate::ops::control::config::RefreshHead;
+use crate::ops::control::config::Subscribe;
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
@@ -98,9 +98,9 @@
         for action in self.members.on(clock::now(), event) {
             match action {
                 Action::Send(to, beat) => self.send(to, beat),
-                Action::PeerAhead(peer, version) => self.config.do_send(Ahead(peer, version)),
+                Action::PeerAhead(peer, version) => self.config.do_send(PeerAhead(peer, version)),
                 Action::Publish => self.publish(),
-                Action::Resumed => self.config.do_send(Confirm),
+                Action::Resumed => self.config.do_send(RefreshHead),
             }
         }
     }
@@ -133,7 +133,7 @@
         }
         let leaving = self.shared.roster().leaving.clone();
         if before.leaving != leaving {
-            self.config.do_send(Leaving(leaving));
+            self.config.do_send(LeavingUpstreams(leaving));
         }
     }
 
@@ -206,7 +206,7 @@
 
     fn started(&mut self, context: &mut Context<Self>) {
         actix::spawn(receive(self.socket.clone(), context.address()));
-        self.config.do_send(Follow(context.address().recipient()));
+        self.config.do_send(Subscribe(context.address().recipient()));
         self.look(context);
         let interval = self.shared.settings.limits.interval;
         context.run_interval(interval, |actor, _| actor.on(Event::Tick));
@@ -233,7 +233,7 @@
     type Result = ();
 
     fn handle(&mut self, news: InForce, _: &mut Context<Self>) {
-        match news.contact {
+        match news.kv_contact {
             Some(at) => self.on(Event::KvContact(at)),
             None => self.on(Event::InForce(news.version)),
         }
