--- a/src/ops/control/load.rs
+++ b/src/ops/control/load.rs
@@ -27,21 +27,21 @@
 use crate::util::clock;
 
 /// Engines of the own zone that are asked in each period; with more, the period grows.
-const PER_PERIOD: usize = 16;
+const ENGINES_PER_PERIOD: usize = 16;
 
 /// Engines of other zones that are asked in each period, in turn.
-const FOREIGN: usize = 8;
+const REMOTE_PER_PERIOD: usize = 8;
 
 /// Follower of the engines' load.
 #[derive(Debug)]
 pub struct LoadActor {
     shared: Arc<Shared>,
     engines: EngineClient,
-    numbers: BTreeMap<Name, u64>,
-    turn: usize,
+    event_numbers: BTreeMap<Name, u64>,
+    next_remote: usize,
 }
 
-struct Polled {
+struct PollResult {
     name: Name,
     load: Result<LoadBody, UpstreamError>,
     events: Vec<CacheEvent>,
@@ -53,8 +53,8 @@
         LoadActor {
             shared,
             engines: EngineClient::new(),
-            numbers: BTreeMap::new(),
-            turn: 0,
+            event_numbers: BTreeMap::new(),
+            next_remote: 0,
         }
     }
 
@@ -67,21 +67,21 @@
             router.set_instances(1 + heard);
         }
         self.shared.policy.limits().set_instances(1 + heard);
-        let (own, foreign) = cells(&snapshot, &self.shared.settings.zone);
-        for engine in own.iter().copied().chain(self.in_turn(&foreign)) {
+        let (own, foreign) = split_by_zone(&snapshot, &self.shared.settings.zone);
+        for engine in own.iter().copied().chain(self.choose_remote(&foreign)) {
             self.poll(engine, context);
         }
-        self.numbers
+        self.event_numbers
             .retain(|name, _| snapshot.engines.iter().any(|(_, e)| e.name == *name));
-        let stretch = own.len().div_ceil(PER_PERIOD).max(1) as u32;
+        let stretch = own.len().div_ceil(ENGINES_PER_PERIOD).max(1) as u32;
         context.run_later(self.shared.settings.poll * stretch, LoadActor::tick);
     }
 
-    fn in_turn<'a>(&mut self, foreign: &[&'a EngineView]) -> Vec<&'a EngineView> {
-        let count = foreign.len().min(FOREIGN);
-        let chosen = (0..count).map(|i| foreign[(self.turn + i) % foreign.len()]);
+    fn choose_remote<'a>(&mut self, foreign: &[&'a EngineView]) -> Vec<&'a EngineView> {
+        let count = foreign.len().min(REMOTE_PER_PERIOD);
+        let chosen = (0..count).map(|i| foreign[(self.next_remote + i) % foreign.len()]);
         let chosen = chosen.collect();
-        self.turn = self.turn.wrapping_add(count);
+        self.next_remote = self.next_remote.wrapping_add(count);
         chosen
     }
 
@@ -89,7 +89,7 @@
         let client = self.engines.clone();
         let name = engine.name.clone();
         let address = engine.address;
-        let after = self.numbers.get(&name).copied().unwrap_or(0);
+        let after = self.event_numbers.get(&name).copied().unwrap_or(0);
         let asked = async move {
             let load = client.load(address).await;
             // An engine that reports no load is not asked for more.
@@ -97,7 +97,7 @@
                 true => client.cache_events(address, after).await.unwrap_or_default(),
                 false => Vec::new(),
             };
-            Polled { name, load, events }
+            PollResult { name, load, events }
         };
         context.spawn(
             asked
@@ -106,7 +106,7 @@
         );
     }
 
-    fn on_polled(&mut self, polled: Polled) {
+    fn on_polled(&mut self, polled: PollResult) {
         let metrics = &self.shared.metrics.policy;
         let Ok(body) = polled.load else {
             metrics.polls_failed.inc();
@@ -115,8 +115,8 @@
         metrics.polls.inc();
         let now = clock::now();
         let mut router = self.shared.router();
-        router.report(&polled.name, report(&body));
-        let last = self.numbers.entry(polled.name.clone()).or_default();
+        router.report(&polled.name, load_report(&body));
+        let last = self.event_numbers.entry(polled.name.clone()).or_default();
         for event in polled.events {
             if *last > 0 && event.number > *last + 1 {
                 metrics.cache_gaps.inc();
@@ -137,14 +137,14 @@
 }
 
 /// Model engines of the own zone, and those of the others. A small fleet is one cell.
-fn cells<'a>(snapshot: &'a Snapshot, zone: &Name) -> (Vec<&'a EngineView>, Vec<&'a EngineView>) {
+fn split_by_zone<'a>(snapshot: &'a Snapshot, zone: &Name) -> (Vec<&'a EngineView>, Vec<&'a EngineView>) {
     let all: Vec<&EngineView> = snapshot
         .engines
         .iter()
         .map(|(_, e)| e)
         .filter(|e| is_model(snapshot, e))
         .collect();
-    match all.len() <= PER_PERIOD {
+    match all.len() <= ENGINES_PER_PERIOD {
         true => (all, Vec::new()),
         false => all.into_iter().partition(|e| e.zone == *zone),
     }
@@ -155,7 +155,7 @@
     service.is_some_and(|s| matches!(s.kind, ServiceKind::Model { .. }))
 }
 
-fn report(body: &LoadBody) -> LoadReport {
+fn load_report(body: &LoadBody) -> LoadReport {
     LoadReport {
         at: clock::now() - Duration::from_millis(body.age),
         role: body.role,
--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -44,7 +44,7 @@
 
 /// Looks at the lists that a fleet of any size makes together, per second: each instance looks the less often
 /// the more there are, and tells the others what it saw.
-const LOOKS: usize = 50;
+const MAX_LIST_RATE: usize = 50;
 
 /// Pause after a socket error, so that a broken socket doesn't spin.
 const SOCKET_PAUSE: Duration = Duration::from_millis(100);
@@ -94,10 +94,10 @@
         }
     }
 
-    fn on(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         for action in self.members.on(clock::now(), event) {
             match action {
-                Action::Send(to, beat) => self.send(to, beat),
+                Action::Send(to, beat) => self.send_heartbeat(to, beat),
                 Action::PeerAhead(peer, version) => self.config.do_send(PeerAhead(peer, version)),
                 Action::Publish => self.publish(),
                 Action::Resumed => self.config.do_send(RefreshHead),
@@ -105,7 +105,7 @@
         }
     }
 
-    fn send(&self, to: std::net::SocketAddr, beat: Heartbeat) {
+    fn send_heartbeat(&self, to: std::net::SocketAddr, beat: Heartbeat) {
         let socket = self.socket.clone();
         let metrics = self.shared.metrics.membership.clone();
         actix::spawn(async move {
@@ -138,7 +138,7 @@
     }
 
     /// Reads the lists, again and again.
-    fn look(&mut self, context: &mut Context<Self>) {
+    fn read_lists(&mut self, context: &mut Context<Self>) {
         let kv = self.kv.clone();
         let lists = async move { (kv.instances().await, kv.upstreams().await) };
         context.spawn(
@@ -147,22 +147,23 @@
                 .map(|(instances, upstreams), actor, context| {
                     actor.on_lists(instances, upstreams);
                     let fleet = actor.shared.roster().peers.len() + 1;
-                    let spread = Duration::from_secs(1) * u32::try_from(fleet / LOOKS).unwrap_or(u32::MAX);
+                    let spread =
+                        Duration::from_secs(1) * u32::try_from(fleet / MAX_LIST_RATE).unwrap_or(u32::MAX);
                     let pause = actor.shared.settings.lists.max(spread);
-                    context.run_later(pause, |actor, context| actor.look(context));
+                    context.run_later(pause, |actor, context| actor.read_lists(context));
                 }),
         );
     }
 
     fn on_lists(&mut self, instances: Result<Vec<Listed>, KvError>, upstreams: Result<Vec<Listed>, KvError>) {
         match instances {
-            Ok(list) => self.on(Event::Listed(list.iter().filter_map(listing).collect())),
+            Ok(list) => self.handle_event(Event::Listed(list.iter().filter_map(listing).collect())),
             Err(error) => log_event!(warn, log_event::KV_FAILED, %error, call = "list instances"),
         }
         match upstreams {
             Ok(list) => {
                 let leaving = list.iter().filter(|l| l.state == ListedState::Leaving);
-                self.on(Event::Leaving(leaving.map(|l| l.address).collect()));
+                self.handle_event(Event::Leaving(leaving.map(|l| l.address).collect()));
                 self.publish();
             }
             Err(error) => log_event!(warn, log_event::KV_FAILED, %error, call = "list upstreams"),
@@ -207,9 +208,9 @@
     fn started(&mut self, context: &mut Context<Self>) {
         actix::spawn(receive(self.socket.clone(), context.address()));
         self.config.do_send(Subscribe(context.address().recipient()));
-        self.look(context);
+        self.read_lists(context);
         let interval = self.shared.settings.limits.interval;
-        context.run_interval(interval, |actor, _| actor.on(Event::Tick));
+        context.run_interval(interval, |actor, _| actor.handle_event(Event::Tick));
     }
 }
 
@@ -220,7 +221,7 @@
         match received {
             Ok((name, Datagram::Beat(beat))) => {
                 self.shared.metrics.membership.received.inc();
-                self.on(Event::Heartbeat(name, beat));
+                self.handle_event(Event::Heartbeat(name, beat));
             }
             Ok((_, Datagram::Ping | Datagram::Load(_))) => {}
             Ok((_, Datagram::Prove(_) | Datagram::Proof(_) | Datagram::Counts(_))) => {}
@@ -234,8 +235,8 @@
 
     fn handle(&mut self, news: InForce, _: &mut Context<Self>) {
         match news.kv_contact {
-            Some(at) => self.on(Event::KvContact(at)),
-            None => self.on(Event::InForce(news.version)),
+            Some(at) => self.handle_event(Event::KvContact(at)),
+            None => self.handle_event(Event::InForce(news.version)),
         }
     }
 }
@@ -244,6 +245,6 @@
     type Result = ();
 
     fn handle(&mut self, _: Leave, _: &mut Context<Self>) {
-        self.on(Event::Leave);
+        self.handle_event(Event::Leave);
     }
 }
--- a/src/ops/control/roles.rs
+++ b/src/ops/control/roles.rs
@@ -38,10 +38,10 @@
 use crate::util::clock;
 
 /// Bounds of the time between two plans.
-const PERIOD: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
+const PLAN_INTERVAL: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
 /// Reports are evidence up to an age of so many times the time between two polls.
-const LAG_POLLS: u32 = 4;
+const MAX_AGE_POLLS: u32 = 4;
 
 /// Runs the planners.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
     fn tick(&mut self, context: &mut Context<Self>) {
         let snapshot = self.shared.snapshot.load_full();
         let services = model_services(&snapshot);
-        self.follow_demand(&services);
+        self.observe_demand(&services);
         let asked = services.into_iter().map(|service| {
             let authority = self.authority.clone();
             async move {
@@ -79,12 +79,12 @@
                 actor.plan(&service, context);
             }
         }));
-        let period = (self.shared.settings.away / 3).clamp(PERIOD.0, PERIOD.1);
+        let period = (self.shared.settings.away / 3).clamp(PLAN_INTERVAL.0, PLAN_INTERVAL.1);
         context.run_later(period, RolesActor::tick);
     }
 
     /// Feeds what this instance was asked, times the number of instances: callers spread evenly over them.
-    fn follow_demand(&mut self, services: &[Name]) {
+    fn observe_demand(&mut self, services: &[Name]) {
         let now = clock::now();
         let settings = &self.shared.settings;
         let heard = self.shared.roster().peers.iter().filter(|p| p.heard).count();
@@ -100,7 +100,7 @@
 
     fn plan(&mut self, service: &Name, context: &mut Context<Self>) {
         let snapshot = self.shared.snapshot.load_full();
-        let evidence = self.evidence(&snapshot, service);
+        let evidence = self.planner_input(&snapshot, service);
         let Some(planner) = self.planners.get_mut(service) else {
             return;
         };
@@ -143,7 +143,7 @@
         });
     }
 
-    fn evidence(&self, snapshot: &Snapshot, service: &Name) -> PlannerInput {
+    fn planner_input(&self, snapshot: &Snapshot, service: &Name) -> PlannerInput {
         let now = clock::now();
         let roster = self.shared.roster();
         let router = self.shared.router();
@@ -152,11 +152,11 @@
         let seen = engines
             .filter_map(|key| snapshot.engines.get(*key))
             .filter(|engine| !roster.leaving.contains(&engine.address))
-            .filter_map(|engine| seen(now, &router, engine));
+            .filter_map(|engine| engine_status(now, &router, engine));
         PlannerInput {
             engines: seen.collect(),
-            change_weight: weight(snapshot),
-            max_age: self.shared.settings.poll * LAG_POLLS,
+            change_weight: change_weight(snapshot),
+            max_age: self.shared.settings.poll * MAX_AGE_POLLS,
             platform_reachable: roster.standing == Standing::Current,
         }
     }
@@ -182,7 +182,7 @@
 }
 
 /// An engine as its last report shows it; `None` if there is none.
-fn seen(now: Time, router: &Router, engine: &EngineView) -> Option<EngineStatus> {
+fn engine_status(now: Time, router: &Router, engine: &EngineView) -> Option<EngineStatus> {
     let report = router.engine_load(&engine.name)?.last()?;
     Some(EngineStatus {
         name: engine.name.clone(),
@@ -196,7 +196,7 @@
 }
 
 /// The weight of role changes of all products, each counted by what it is owed.
-fn weight(snapshot: &Snapshot) -> u32 {
+fn change_weight(snapshot: &Snapshot) -> u32 {
     let products = snapshot.products.iter().map(|(_, product)| product);
     let (sum, shares) = products.fold((0, 0), |(sum, shares), p| {
         (
