--- a/src/ops/control/authority/drain.rs
+++ b/src/ops/control/authority/drain.rs
@@ -1,4 +1,4 @@
-//! Asking the other instances: to keep work from an engine, and what became of an order.
+//! Calls to the other instances: to hold work back from an engine, and to ask for the outcome of an order.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Calls to the other instances.
+/// Client for calls to the other instances.
 pub struct PeerClient {
     shared: Arc<Shared>,
     kv: KvClient,
@@ -28,16 +28,18 @@
 }
 
 impl PeerClient {
-    /// Calls through `client`.
-    pub fn new(shared: Arc<Shared>, kv: KvClient, client: CallClient) -> PeerClient {
+    /// Creates a client that calls through `call_client`.
+    pub fn new(shared: Arc<Shared>, kv: KvClient, call_client: CallClient) -> PeerClient {
         PeerClient {
             shared,
             kv,
-            call_client: client,
+            call_client,
         }
     }
 
-    /// Asks all listed instances to keep work from `engine` for `time`; `None` if there is no list.
+    /// Asks all listed instances to route no new requests to `engine` for `time`, and collects their numbers of
+    /// requests in flight. `None` if the instances are unknown. An instance that does not answer within a tenth of
+    /// `time` counts as missing.
     pub async fn hold(&self, engine: Name, time: Duration) -> Option<Event> {
         let others = self.others().await?;
         let asked = clock::now();
@@ -46,7 +48,7 @@
             engine: engine.clone(),
             millis: u64::try_from(time.as_millis()).unwrap_or(u64::MAX),
         });
-        let asks = others.iter().map(|(name, address)| {
+        let calls = others.iter().map(|(name, address)| {
             let request = &request;
             async move {
                 let answer = self.call_client.call(*address, request, time / 10).await;
@@ -57,7 +59,7 @@
                 (name.clone(), answer)
             }
         });
-        let mut answers: BTreeMap<Name, HoldAnswer> = join_all(asks).await.into_iter().collect();
+        let mut answers: BTreeMap<Name, HoldAnswer> = join_all(calls).await.into_iter().collect();
         answers.insert(self.shared.settings.name.clone(), HoldAnswer::InFlight(own));
         Some(Event::HoldAnswered {
             engine,
@@ -67,41 +69,42 @@
         })
     }
 
-    /// Tells all listed instances that `engine` may get work again. Where this fails the hold lapses.
+    /// Tells all listed instances that `engine` may get requests again. If a call fails, the hold of that instance
+    /// expires.
     pub async fn unhold(&self, engine: Name) {
         self.shared.unhold(&engine);
         let others = self.others().await.unwrap_or_default();
-        let limit = self.shared.settings.lease / 10;
+        let timeout = self.shared.settings.lease / 10;
         let request = Request::Unhold(engine);
-        let asks = others
+        let calls = others
             .values()
-            .map(|address| self.call_client.call(*address, &request, limit));
-        join_all(asks).await;
+            .map(|address| self.call_client.call(*address, &request, timeout));
+        join_all(calls).await;
     }
 
-    /// Asks the instance that opened an order what became of it.
-    pub async fn ask_settlement(&self, holder: &Name, ask: AskSettlement) -> Option<Event> {
+    /// Asks the instance that opened an order for its outcome. `None` if the instance is unknown or did not answer.
+    pub async fn ask_settlement(&self, holder: &Name, query: AskSettlement) -> Option<Event> {
         let others = self.others().await?;
         let address = others.get(holder)?;
         let request = Request::Settle(SettleOrder {
-            service: ask.service,
-            incarnation: ask.incarnation,
-            engine: ask.engine.clone(),
-            sequence: ask.sequence,
+            service: query.service,
+            incarnation: query.incarnation,
+            engine: query.engine.clone(),
+            sequence: query.sequence,
         });
-        let limit = self.shared.settings.lease / 10;
-        match self.call_client.call(*address, &request, limit).await {
+        let timeout = self.shared.settings.lease / 10;
+        match self.call_client.call(*address, &request, timeout).await {
             Ok(Response::Settled(settlement)) => Some(Event::Settled {
-                engine: ask.engine,
-                sequence: ask.sequence,
+                engine: query.engine,
+                sequence: query.sequence,
                 settlement,
             }),
             _ => None,
         }
     }
 
-    /// The other instances and their addresses. Before any is known, the platform's list is asked: an
-    /// instance that is missed would send work to an engine that is being changed.
+    /// The other instances and their addresses. If none is known yet, the platform's list is read: an instance that is
+    /// left out would route requests to an engine that is being changed. `None` if the list cannot be read.
     async fn others(&self) -> Option<BTreeMap<Name, SocketAddr>> {
         let roster = self.shared.roster();
         if !roster.peers.is_empty() {
--- a/src/ops/control/authority/kv.rs
+++ b/src/ops/control/authority/kv.rs
@@ -1,4 +1,4 @@
-//! The authority's calls to the platform.
+//! The authority's calls to the key-value service and the weight store.
 
 use std::time::Duration;
 
@@ -26,35 +26,42 @@
 pub struct Acquired {
     /// The lease.
     pub lease: LeaseId,
-    /// When its grant was sent.
+    /// When its request was sent.
     pub sent: Time,
 }
 
-/// Longest time that every instance waits before it competes for a vacant lease.
+/// Maximum of the delay that is common to all instances before they compete for a vacant lease.
 const MAX_BASE_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest further time, of which each instance waits a part of its own.
+/// Maximum of the additional delay, of which each instance waits an individual fraction.
 const MAX_SPREAD: Duration = Duration::from_secs(2);
 
-/// Key of a service's lease.
+/// Key to which the lease of a service is bound.
 pub fn lease_key(service: &Name) -> String {
     format!("lease/{service}")
 }
 
-/// Key of a service's record.
+/// Key of the record of a service.
 pub fn record_key(service: &Name) -> String {
     format!("authority/{service}")
 }
 
-/// How long this instance waits before it competes for a vacant lease: each instance another time for each
-/// service, so that holders spread and only one or two compete at once.
+/// How long this instance waits before it competes for a vacant lease. The delay differs by instance and by service, so
+/// that the authorities are spread over the instances and only one or two instances compete at a time.
 pub fn acquire_delay(ttl: Duration, service: &Name, instance: &Name) -> Duration {
     let hash = blake3::hash(format!("{service}/{instance}").as_bytes());
-    let part = f64::from(hash.as_bytes()[0]) / f64::from(u8::MAX);
-    (ttl / 20).min(MAX_BASE_DELAY) + (ttl / 5).min(MAX_SPREAD).mul_f64(part)
+    let fraction = f64::from(hash.as_bytes()[0]) / f64::from(u8::MAX);
+    (ttl / 20).min(MAX_BASE_DELAY) + (ttl / 5).min(MAX_SPREAD).mul_f64(fraction)
 }
 
-/// Waits for the lease's key to change. The first call reads it.
+/// Waits for the key of the lease to change from version `after`, for at most `wait`. Returns `None` if it did not.
+///
+/// With version 0, as in the first call, it reads the key instead of waiting. If the key never existed, it then watches
+/// the key for at most [`ABSENT_KEY_WAIT`] and returns the absent entry.
+///
+/// # Errors
+///
+/// [`KvError`] if no usable answer came in time.
 pub async fn watch(
     kv: KvClient,
     service: Name,
@@ -63,7 +70,7 @@
 ) -> Result<Option<Entry>, KvError> {
     let key = lease_key(&service);
     match after == KvVersion::default() {
-        // A watch of an absent key would only tell after its whole wait that it is absent.
+        // A watch of an absent key would report that it is absent only at the end of its wait.
         true => {
             let entry = kv.get(&key).await?;
             match entry.version == after {
@@ -78,19 +85,20 @@
     }
 }
 
-/// How long the watch of a key that never existed waits.
+/// Maximum wait of the watch of a key that never existed.
 const ABSENT_KEY_WAIT: Duration = Duration::from_millis(200);
 
-/// Asks for a lease and binds the service's key to it.
+/// Requests a lease and binds the service's key to it, after releasing the lease `previous`. Returns `None` if another
+/// instance holds the key or a call failed.
 pub async fn acquire(
     kv: KvClient,
     service: Name,
     name: Name,
-    old: Option<LeaseId>,
+    previous: Option<LeaseId>,
     ttl: Duration,
 ) -> Option<Acquired> {
-    if let Some(old) = old {
-        let _ = kv.release(old).await;
+    if let Some(previous) = previous {
+        let _ = kv.release(previous).await;
     }
     let key = lease_key(&service);
     let entry = kv.get(&key).await.ok()?;
@@ -103,14 +111,14 @@
     match kv.swap(&key, Expect::Absent, value, Some(lease)).await {
         Ok(Swap::Done(_)) => Some(Acquired { lease, sent }),
         Ok(Swap::Conflict(_)) | Err(_) => {
-            // If its key was bound all the same, this unbinds it.
+            // If the key was bound despite the error, releasing the lease unbinds it.
             let _ = kv.release(lease).await;
             None
         }
     }
 }
 
-/// Renews the lease.
+/// Renews the lease. Without a lease the result is [`Event::Expired`].
 pub async fn renew(kv: KvClient, call: CallId, lease: Option<LeaseId>) -> Event {
     let Some(lease) = lease else {
         return Event::Expired { call };
@@ -126,7 +134,7 @@
     }
 }
 
-/// Reads the record.
+/// Reads the record of a service.
 pub async fn read(kv: KvClient, service: Name, call: CallId) -> Event {
     match read_record(&kv, &service).await {
         Ok((version, record)) => Event::Read {
@@ -141,7 +149,11 @@
     }
 }
 
-/// Reads the record of `service` and the version of its key; version 0 if there is none.
+/// Reads the record of `service` and the version of its key; version 0 if there is no record.
+///
+/// # Errors
+///
+/// [`KvError`] if no usable answer came in time or the record cannot be decoded.
 pub async fn read_record(kv: &KvClient, service: &Name) -> Result<(RecordVersion, Option<Record>), KvError> {
     let entry = kv.get(&record_key(service)).await?;
     let Some(value) = entry.value else {
@@ -151,7 +163,7 @@
     Ok((RecordVersion(entry.version.0), Some(record)))
 }
 
-/// Writes the record if its key still has the version `expect`.
+/// Writes the record of a service if its key still has the version `expect`.
 pub async fn write(
     kv: KvClient,
     service: Name,
@@ -159,17 +171,14 @@
     expect: RecordVersion,
     record: Record,
 ) -> Event {
-    let written = match serde_json::to_vec(&record) {
+    let outcome = match serde_json::to_vec(&record) {
         Ok(value) => swap_record(&kv, &service, expect, &value).await,
         Err(error) => {
             log_event!(error, log_event::KV_FAILED, %error, call = "write authority");
             WriteOutcome::Unknown
         }
     };
-    Event::Wrote {
-        call,
-        outcome: written,
-    }
+    Event::Wrote { call, outcome }
 }
 
 async fn swap_record(kv: &KvClient, service: &Name, expect: RecordVersion, value: &[u8]) -> WriteOutcome {
@@ -184,17 +193,17 @@
     }
 }
 
-/// Asks the weight store whether `model` can be read, before an engine is told to load it.
+/// Asks the weight store whether `model` can be read, before an engine is ordered to load it.
 pub async fn ask_weights(kv: KvClient, engine: Name, model: String) -> Event {
-    let asked = match Name::new(&model) {
+    let checked = match Name::new(&model) {
         Ok(model) => kv.weights(&model).await.map_err(|e| e.to_string()),
         Err(error) => Err(error.to_string()),
     };
-    if let Err(error) = &asked {
+    if let Err(error) = &checked {
         log_event!(warn, log_event::WEIGHTS_REFUSED, %engine, model, %error);
     }
     Event::WeightsChecked {
         engine,
-        ready: asked.is_ok(),
+        ready: checked.is_ok(),
     }
 }
--- a/src/ops/control/authority/mod.rs
+++ b/src/ops/control/authority/mod.rs
@@ -1,6 +1,6 @@
-//! Keeper of the authorities: for each model service, competes for its lease and gives orders to its engines.
+//! Runs the authority of each model service: competes for the lease of the service and sends orders to its engines.
 //!
-//! The decisions are those of [`sequoiastream_core::authority`]; this actor carries their actions out.
+//! The decisions are made in [`sequoiastream_core::authority`]; the actor here carries out the resulting actions.
 
 mod drain;
 mod kv;
@@ -61,16 +61,16 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Pause before a failed watch is made again, doubled up to [`MAX_PAUSE`].
+/// Base of the pause after a failed watch, which doubles with each failure up to [`MAX_PAUSE`].
 const MIN_PAUSE: Duration = Duration::from_millis(200);
 
-/// Longest pause between two watches.
+/// Maximum pause between two watches.
 const MAX_PAUSE: Duration = Duration::from_secs(5);
 
-/// Part of the lease's time between two ticks.
+/// Number of ticks during the TTL of a lease.
 const TICKS_PER_LEASE: u32 = 100;
 
-/// Keeper of the authorities.
+/// Runs the authority of each model service in the configuration.
 pub struct AuthorityActor {
     shared: Arc<Shared>,
     kv: KvClient,
@@ -78,70 +78,73 @@
     peers: Rc<PeerClient>,
     incarnation: Incarnation,
     authorities: BTreeMap<Name, ServiceAuthority>,
+    /// The version of the configuration that was applied last.
     config_version: Version,
 }
 
-/// One service.
+/// The authority of one service, and the state of its lease at the key-value service.
 struct ServiceAuthority {
     authority: Authority,
     lease: Option<LeaseId>,
-    /// Whether the lease's key is absent; `None` if it is not known.
+    /// Whether the key of the lease is absent; `None` if that is unknown.
     vacant: Option<bool>,
+    /// Version of the key when it was last read; the next watch waits for another version.
     watched_version: KvVersion,
+    /// Pause after the next failed watch, before doubling.
     pause: Duration,
 }
 
-/// Says what the planner wants an engine to be. Taken only by the holder; a role that an operator fixed goes
-/// before it.
+/// Proposes a target for an engine on behalf of the planner. Only the holder of the authority applies it, and a role
+/// that an operator fixed takes precedence.
 #[derive(Debug, Clone, Message)]
 #[rtype(result = "()")]
 pub struct Propose {
     /// The engine.
     pub engine: Name,
-    /// What it shall be.
+    /// The proposed target.
     pub target: Target,
 }
 
-/// Asks whether this instance holds the authority of a service and believes in its lease.
+/// Asks whether this instance holds the authority of a service and its lease is valid by the local clock.
 #[derive(Debug, Clone, Message)]
 #[rtype(result = "bool")]
 pub struct IsHolder(pub Name);
 
-/// Asks what this process knows of an order that it opened.
+/// Asks this process for the outcome of an order that it opened.
 #[derive(Debug, Clone, Message)]
 #[rtype(result = "Settlement")]
 pub struct AskSettlement {
     /// The service.
     pub service: Name,
-    /// The process that opened it.
+    /// The process that opened the order.
     pub incarnation: Incarnation,
     /// The engine.
     pub engine: Name,
-    /// The order's sequence number.
+    /// Sequence number of the order.
     pub sequence: u64,
 }
 
-/// Asks for the table of leases or orders.
+/// Requests the table of leases or of orders.
 #[derive(Debug, Clone, Copy, Message)]
 #[rtype(result = "Result<TableBody, OperatorError>")]
 pub struct ShowAuthorities(pub Table);
 
 impl From<SettleOrder> for AskSettlement {
-    fn from(ask: SettleOrder) -> AskSettlement {
+    fn from(order: SettleOrder) -> AskSettlement {
         AskSettlement {
-            service: ask.service,
-            incarnation: ask.incarnation,
-            engine: ask.engine,
-            sequence: ask.sequence,
+            service: order.service,
+            incarnation: order.incarnation,
+            engine: order.engine,
+            sequence: order.sequence,
         }
     }
 }
 
 impl AuthorityActor {
-    /// A keeper that holds nothing.
-    pub fn new(shared: Arc<Shared>, kv: KvClient, calls: CallClient) -> AuthorityActor {
+    /// Creates an actor that holds no authority.
+    pub fn new(shared: Arc<Shared>, kv: KvClient, call_client: CallClient) -> AuthorityActor {
         AuthorityActor {
-            peers: Rc::new(PeerClient::new(shared.clone(), kv.clone(), calls)),
+            peers: Rc::new(PeerClient::new(shared.clone(), kv.clone(), call_client)),
             shared,
             kv,
             engines: EngineClient::new(),
@@ -151,11 +154,12 @@
         }
     }
 
+    /// Applies a new configuration and ticks the authority of each service.
     fn tick(&mut self, context: &mut Context<Self>) {
         self.apply_config(context);
         let services: Vec<Name> = self.authorities.keys().cloned().collect();
         for service in services {
-            match self.authorities.get(&service).and_then(|unit| unit.vacant) {
+            match self.authorities.get(&service).and_then(|entry| entry.vacant) {
                 Some(true) => self.handle_event(&service, Event::Vacant, context),
                 Some(false) => self.handle_event(&service, Event::Occupied, context),
                 None => {}
@@ -163,15 +167,16 @@
             self.handle_event(&service, Event::Tick, context);
         }
         let now = clock::now();
-        let believed = self
+        let valid = self
             .authorities
             .values()
-            .filter(|unit| unit.authority.is_holder(now));
-        let believed = i64::try_from(believed.count()).unwrap_or(i64::MAX);
-        self.shared.metrics.authority.believed.set(believed);
+            .filter(|entry| entry.authority.is_holder(now));
+        let valid = i64::try_from(valid.count()).unwrap_or(i64::MAX);
+        self.shared.metrics.authority.believed.set(valid);
     }
 
-    /// Takes over a new version of the configuration.
+    /// Applies the configuration in force, if its version is new: resigns the authorities of removed services and
+    /// starts those of new ones.
     fn apply_config(&mut self, context: &mut Context<Self>) {
         let snapshot = self.shared.snapshot.load_full();
         if snapshot.version == self.config_version {
@@ -187,13 +192,13 @@
                 );
             }
         }
-        let gone: Vec<Name> = self
+        let removed: Vec<Name> = self
             .authorities
             .keys()
             .filter(|s| !models.contains_key(*s))
             .cloned()
             .collect();
-        for service in gone {
+        for service in removed {
             self.handle_event(&service, Event::Resign, context);
             self.authorities.remove(&service);
         }
@@ -207,6 +212,7 @@
         }
     }
 
+    /// Creates the authority of a service, which does not hold the lease.
     fn new_authority(&self, service: &Name) -> ServiceAuthority {
         let ttl = self.shared.settings.lease;
         let settings = Settings {
@@ -224,42 +230,43 @@
         }
     }
 
-    /// Watches the key of a service's lease, one call at a time.
+    /// Watches the key of a service's lease; the next watch starts after this one has ended.
     fn watch(&mut self, service: Name, context: &mut Context<Self>) {
-        let Some(unit) = self.authorities.get(&service) else {
+        let Some(entry) = self.authorities.get(&service) else {
             return;
         };
         let watch = kv::watch(
             self.kv.clone(),
             service.clone(),
-            unit.watched_version,
+            entry.watched_version,
             self.shared.settings.wait,
         );
         context.spawn(watch.into_actor(self).map(move |result, actor, context| {
-            let Some(unit) = actor.authorities.get_mut(&service) else {
+            let Some(entry) = actor.authorities.get_mut(&service) else {
                 return;
             };
-            let pause = unit.on_watch(result);
+            let pause = entry.on_watch(result);
             context.run_later(pause, move |actor, context| actor.watch(service, context));
         }));
     }
 
-    /// Gives an event to a service's machine and carries out what it decides.
+    /// Passes an event to the authority of a service and carries out the resulting actions.
     fn handle_event(&mut self, service: &Name, event: Event, context: &mut Context<Self>) {
-        let Some(unit) = self.authorities.get_mut(service) else {
+        let Some(entry) = self.authorities.get_mut(service) else {
             return;
         };
-        for action in unit.authority.handle_event(clock::now(), event) {
+        for action in entry.authority.handle_event(clock::now(), event) {
             self.perform(service, action, context);
         }
     }
 
+    /// Carries out one action.
     fn perform(&mut self, service: &Name, action: Action, context: &mut Context<Self>) {
         let kv = self.kv.clone();
         match action {
             Action::Acquire(call) => self.acquire(service, call, context),
             Action::Renew(call) => {
-                let lease = self.authorities.get(service).and_then(|unit| unit.lease);
+                let lease = self.authorities.get(service).and_then(|entry| entry.lease);
                 self.spawn_event(service, kv::renew(kv, call, lease), context);
             }
             Action::Release => self.release(service, context),
@@ -289,7 +296,7 @@
                 sequence,
             } => {
                 let peers = self.peers.clone();
-                let ask = AskSettlement {
+                let query = AskSettlement {
                     service: service.clone(),
                     incarnation,
                     engine,
@@ -297,15 +304,15 @@
                 };
                 self.spawn_optional(
                     service,
-                    async move { peers.ask_settlement(&holder, ask).await },
+                    async move { peers.ask_settlement(&holder, query).await },
                     context,
                 );
             }
-            told => self.notify_operators(service, told),
+            notice => self.notify_operators(service, notice),
         }
     }
 
-    /// Runs `future` and gives the event that it ends with to the machine.
+    /// Runs `future` and passes the resulting event to the authority.
     fn spawn_event<F>(&self, service: &Name, future: F, context: &mut Context<Self>)
     where
         F: Future<Output = Event> + 'static,
@@ -313,6 +320,7 @@
         self.spawn_optional(service, async move { Some(future.await) }, context);
     }
 
+    /// Runs `future` and passes the resulting event, if any, to the authority.
     fn spawn_optional<F>(&self, service: &Name, future: F, context: &mut Context<Self>)
     where
         F: Future<Output = Option<Event>> + 'static,
@@ -325,30 +333,31 @@
         }));
     }
 
+    /// Requests the lease of a service, after releasing an earlier one.
     fn acquire(
         &mut self,
         service: &Name,
         call: sequoiastream_core::authority::CallId,
         context: &mut Context<Self>,
     ) {
-        let old = self
+        let previous = self
             .authorities
             .get_mut(service)
-            .and_then(|unit| unit.lease.take());
+            .and_then(|entry| entry.lease.take());
         let name = self.shared.settings.name.clone();
         let acquire = kv::acquire(
             self.kv.clone(),
             service.clone(),
             name,
-            old,
+            previous,
             self.shared.settings.lease,
         );
         let service = service.clone();
         context.spawn(acquire.into_actor(self).map(move |acquired, actor, context| {
             let event = match acquired {
                 Some(Acquired { lease, sent }) => {
-                    if let Some(unit) = actor.authorities.get_mut(&service) {
-                        unit.lease = Some(lease);
+                    if let Some(entry) = actor.authorities.get_mut(&service) {
+                        entry.lease = Some(lease);
                     }
                     Event::Acquired { call, sent }
                 }
@@ -358,14 +367,15 @@
         }));
     }
 
+    /// Releases the lease of a service, if there is one.
     fn release(&mut self, service: &Name, context: &mut Context<Self>) {
         let lease = self
             .authorities
             .get_mut(service)
-            .and_then(|unit| unit.lease.take());
+            .and_then(|entry| entry.lease.take());
         if let Some(lease) = lease {
             let kv = self.kv.clone();
-            // If this fails the lease lapses by itself.
+            // If this fails, the lease expires by itself.
             let release = async move {
                 let _ = kv.release(lease).await;
             };
@@ -373,25 +383,26 @@
         }
     }
 
+    /// Requests an engine's report. A probe that fails yields no event.
     fn probe(&mut self, service: &Name, engine: Name, context: &mut Context<Self>) {
         let Some(address) = self.engine_address(&engine) else {
             return;
         };
         let engines = self.engines.clone();
         let probe = async move {
-            let asked = clock::now();
+            let sent = clock::now();
             let body = engines.load(address).await.ok()?;
-            let report = engine_report(&body, asked);
+            let report = engine_report(&body, sent);
             Some(Event::Reported { engine, report })
         };
         self.spawn_optional(service, probe, context);
     }
 
-    /// Sends an order, unless its time has passed by now.
+    /// Sends an order, unless its deadline has passed.
     ///
-    /// Failure guarded against: the process was paused since the decision, and another holds the authority.
-    /// The check is the last thing before the send; what a pause right after it can do is covered by the
-    /// order's record, which stands open.
+    /// Failure guarded against: the process was paused after the decision, and another instance holds the authority by
+    /// now. The deadline is checked immediately before the send. A pause between the check and the send is covered by
+    /// the record of the order, which is still open.
     fn send_order(&mut self, service: &Name, send: SendOrder, context: &mut Context<Self>) {
         let address = self.engine_address(&send.engine);
         let engines = self.engines.clone();
@@ -426,13 +437,14 @@
         self.spawn_event(service, run, context);
     }
 
+    /// The address of an engine; `None` if the configuration does not contain it.
     fn engine_address(&self, engine: &Name) -> Option<std::net::SocketAddr> {
         let snapshot = self.shared.snapshot.load();
         let found = snapshot.engines.iter().find(|(_, e)| e.name == *engine);
         found.map(|(_, e)| e.address)
     }
 
-    /// Tells operators.
+    /// Notifies operators of an action through metrics and the log.
     fn notify_operators(&self, service: &Name, action: Action) {
         let metrics = &self.shared.metrics.authority;
         match action {
@@ -460,7 +472,7 @@
 }
 
 impl ServiceAuthority {
-    /// Takes the result of a watch; returns how long to pause before the next.
+    /// Handles the result of a watch; returns the pause before the next one.
     fn on_watch(&mut self, result: Result<Option<Entry>, KvError>) -> Duration {
         match result {
             Ok(entry) => {
@@ -473,8 +485,8 @@
             }
             Err(error) => {
                 log_event!(warn, log_event::KV_FAILED, %error, call = "watch lease");
-                // While the service is out it isn't known who holds the lease: nobody competes, so its
-                // return brings no storm.
+                // While the key-value service is unavailable, the holder of the lease is unknown. No instance
+                // then competes for the lease, so that the service is not flooded with requests when it returns.
                 self.vacant = None;
                 self.watched_version = KvVersion::default();
                 self.pause = (self.pause * 2).min(MAX_PAUSE);
@@ -484,6 +496,7 @@
     }
 }
 
+/// The configuration of the given engines, as the authority needs it.
 fn engine_configs(
     snapshot: &Snapshot,
     engines: &[sequoiastream_core::snapshot::EngineKey],
@@ -499,7 +512,9 @@
         .collect()
 }
 
-fn engine_report(body: &LoadBody, asked: sequoiastream_core::time::Time) -> Report {
+/// Converts a load response to a report. `sent` is when the request was sent, so that the report is never taken for
+/// newer than it is; `body.age` is in milliseconds.
+fn engine_report(body: &LoadBody, sent: sequoiastream_core::time::Time) -> Report {
     Report {
         target: Target {
             role: body.role,
@@ -510,10 +525,11 @@
         away: body.away,
         idle: body.running == 0 && body.queued == 0,
         sequence: body.sequence,
-        taken_at: asked - Duration::from_millis(body.age),
+        taken_at: sent - Duration::from_millis(body.age),
     }
 }
 
+/// Converts the result of sending an order.
 fn order_answer(result: Result<(), UpstreamError>) -> OrderAnswer {
     match result {
         Ok(()) => OrderAnswer::Applied,
@@ -554,18 +570,22 @@
     type Result = bool;
 
     fn handle(&mut self, IsHolder(service): IsHolder, _: &mut Context<Self>) -> bool {
-        let unit = self.authorities.get(&service);
-        unit.is_some_and(|unit| unit.authority.is_holder(clock::now()))
+        let entry = self.authorities.get(&service);
+        entry.is_some_and(|entry| entry.authority.is_holder(clock::now()))
     }
 }
 
 impl Handler<AskSettlement> for AuthorityActor {
     type Result = actix::MessageResult<AskSettlement>;
 
-    fn handle(&mut self, ask: AskSettlement, _: &mut Context<Self>) -> Self::Result {
-        let unit = self.authorities.get_mut(&ask.service);
-        let said = unit.map(|u| u.authority.settlement(ask.incarnation, &ask.engine, ask.sequence));
-        actix::MessageResult(said.unwrap_or(Settlement::Unknown))
+    fn handle(&mut self, query: AskSettlement, _: &mut Context<Self>) -> Self::Result {
+        let entry = self.authorities.get_mut(&query.service);
+        let settlement = entry.map(|entry| {
+            entry
+                .authority
+                .settlement(query.incarnation, &query.engine, query.sequence)
+        });
+        actix::MessageResult(settlement.unwrap_or(Settlement::Unknown))
     }
 }
 
@@ -579,7 +599,7 @@
     }
 }
 
-/// Gives all authorities up; answered once the leases are released, so that others can take over at once.
+/// Resigns all authorities. Answered when the leases are released, so that other instances can take over at once.
 impl Handler<Shutdown> for AuthorityActor {
     type Result = ResponseActFuture<Self, ()>;
 
@@ -587,11 +607,11 @@
         let mut leases = Vec::new();
         let services: Vec<Name> = self.authorities.keys().cloned().collect();
         for service in services {
-            // Taken out first, so that the release is waited for here.
+            // The lease is taken out before the authority resigns, so that its release is awaited below.
             leases.extend(
                 self.authorities
                     .get_mut(&service)
-                    .and_then(|unit| unit.lease.take()),
+                    .and_then(|entry| entry.lease.take()),
             );
             self.handle_event(&service, Event::Resign, context);
         }
--- a/src/ops/control/authority/tables.rs
+++ b/src/ops/control/authority/tables.rs
@@ -1,4 +1,4 @@
-//! The tables `leases` and `orders`, read from the platform so that any instance can show them.
+//! The tables `leases` and `orders`. They are read from the key-value service, so that any instance can show them.
 
 use sequoiastream_core::authority::OrderRecord;
 use sequoiastream_core::authority::Phase;
@@ -14,7 +14,11 @@
 use crate::ops::control::authority::kv::read_record;
 use crate::ops::tables::table;
 
-/// Reads the records of `services` and shows them as `kind`.
+/// Reads the records of `services` and returns them as the table `kind`.
+///
+/// # Errors
+///
+/// [`OperatorError::Platform`] if the key-value service gave no usable answer.
 pub async fn show(kv: &KvClient, services: Vec<Name>, kind: Table) -> Result<TableBody, OperatorError> {
     let platform = |error: KvError| OperatorError::Platform(error.to_string());
     let mut rows = Vec::new();
