--- a/src/ops/control/config.rs
+++ b/src/ops/control/config.rs
@@ -1,4 +1,4 @@
-//! Keeper of the configuration: carries out the decisions of [`Replicator`].
+//! Replicates the configuration: carries out the actions of [`Replicator`].
 
 mod execute;
 mod store;
@@ -46,31 +46,33 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Pause before the head is asked for again after a failed call.
+/// Pause before the next watch of the head after a failed call or an outdated answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How often the keeper looks at what is due.
+/// Interval between two ticks of the replicator.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long accepting a change may take.
+/// How long a submitted change may take to be accepted.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a peer may take to tell a configuration.
+/// How long a peer may take to send a configuration.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Watches end after this part of the stale limit, so that hearing nothing shows in time.
+/// Divisor of the time after which the configuration counts as stale: a watch lasts at most this fraction of it, so
+/// that a missing answer is noticed in time.
 const STALE_DIVISOR: u32 = 3;
 
+/// What the submitter of a change receives.
 type SubmitResult = Result<Outcome, SubmitError>;
 
-/// Keeper of the configuration.
+/// Replicates the configuration and publishes the version in force to the traffic threads.
 #[derive(Debug)]
 pub struct ConfigActor {
     shared: Arc<Shared>,
     store: ConfigStore,
     call_client: CallClient,
     replicator: Replicator,
-    /// The highest revision seen, which the watch waits to be passed.
+    /// The highest revision of the head that was read; the watch waits for a later one.
     head_revision: Revision,
     submission_count: u64,
     pending: BTreeMap<SubmissionId, oneshot::Sender<SubmitResult>>,
@@ -79,48 +81,48 @@
     published_version: Version,
 }
 
-/// Tells that this version is in force here, or that the key-value service was heard.
+/// Notifies a subscriber that a version is in force here, or that the key-value service has answered.
 #[derive(Debug, Clone, Copy, Message)]
 #[rtype(result = "()")]
 pub struct InForce {
-    /// The version.
+    /// The version in force.
     pub version: Version,
-    /// When the key-value service was known to have no later one; `None` if that is not news.
+    /// A time at which the key-value service had no later version; `None` if nothing new is known of that.
     pub kv_contact: Option<Time>,
 }
 
-/// Asks to be told [`InForce`].
+/// Subscribes to [`InForce`].
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Subscribe(pub Recipient<InForce>);
 
-/// A peer at this address has this version in force.
+/// Reports that the peer at this address has this version in force, which is later than ours.
 #[derive(Debug, Clone, Copy, Message)]
 #[rtype(result = "()")]
 pub struct PeerAhead(pub SocketAddr, pub Version);
 
-/// This instance did not run for a while: the head must be read anew before what is known counts.
+/// Asks to read the head, because this instance was paused: what it knows counts as confirmed only after that.
 #[derive(Debug, Clone, Copy, Message)]
 #[rtype(result = "()")]
 pub struct RefreshHead;
 
-/// The upstreams that leave, by address.
+/// Sets the addresses of the upstreams that are leaving.
 #[derive(Debug, Clone, Message)]
 #[rtype(result = "()")]
 pub struct LeavingUpstreams(pub BTreeSet<SocketAddr>);
 
-/// Asks for what came after a version.
+/// Requests the changes after a version.
 #[derive(Debug, Clone, Copy, Message)]
 #[rtype(result = "Update")]
 pub struct UpdateAfter(pub Version);
 
 impl ConfigActor {
-    /// A keeper that knows only the empty configuration.
-    pub fn new(shared: Arc<Shared>, kv: KvClient, calls: CallClient) -> ConfigActor {
+    /// Creates an actor that knows only the empty configuration.
+    pub fn new(shared: Arc<Shared>, kv: KvClient, call_client: CallClient) -> ConfigActor {
         ConfigActor {
             shared,
             store: ConfigStore::new(kv),
-            call_client: calls,
+            call_client,
             replicator: Replicator::new(clock::now(), SUBMIT_TIMEOUT),
             head_revision: Revision::default(),
             submission_count: 0,
@@ -131,6 +133,7 @@
         }
     }
 
+    /// Watches the head; the next watch starts after this one has ended.
     fn watch(&mut self, context: &mut Context<Self>) {
         let settings = &self.shared.settings;
         let wait = settings.wait.min(settings.limits.stale_after / STALE_DIVISOR);
@@ -141,7 +144,7 @@
             let pause = match result {
                 Ok(Some(stored)) => actor.on_watched(sent, stored, context),
                 Ok(None) => {
-                    // The service found nothing new until it answered, so at least until `wait` was over.
+                    // The service found no change until it answered, which was not before `wait` had passed.
                     actor.notify_subscribers(Some(sent + wait));
                     Duration::ZERO
                 }
@@ -154,29 +157,30 @@
         }));
     }
 
-    /// Takes a head; returns how long to pause before the next watch.
+    /// Handles a head that was read; returns the pause before the next watch.
     fn on_watched(&mut self, sent: Time, stored: StoredHead, context: &mut Context<Self>) -> Duration {
         let (revision, version) = (stored.revision, stored.head.version);
         self.handle_event(Event::Read(stored), context);
         if revision < self.head_revision {
-            // An answer from the past: the watch would return it at once, again and again.
+            // An outdated answer: without a pause, the watch would return it immediately, in a busy loop.
             return RETRY_PAUSE;
         }
         self.head_revision = revision;
-        // A head whose snapshot is still to be read is not in force yet, so nothing is confirmed.
+        // A head whose snapshot has not been read yet is not in force, so it does not confirm the published version.
         if self.published_version >= version {
             self.notify_subscribers(Some(sent));
         }
         Duration::ZERO
     }
 
-    /// Lets the keeper decide on `event` and carries out what it wants.
+    /// Passes an event to the replicator and carries out the resulting actions.
     fn handle_event(&mut self, event: Event, context: &mut Context<Self>) {
         for action in self.replicator.on(clock::now(), event) {
             self.perform(action, context);
         }
     }
 
+    /// Carries out one action.
     fn perform(&mut self, action: Action, context: &mut Context<Self>) {
         let store = self.store.clone();
         match action {
@@ -184,7 +188,7 @@
             Action::ReadSnapshot(version) => self.spawn_event(context, async move {
                 Event::Snapshot(store.read_snapshot(version).await.map(Box::new))
             }),
-            Action::StoreSnapshot(ticket, state) => self.spawn_event(context, async move {
+            Action::StoreSnapshot(submission, state) => self.spawn_event(context, async move {
                 let stored = store.store_snapshot(&state).await;
                 log_event!(
                     info,
@@ -192,10 +196,10 @@
                     version = state.version.0,
                     stored
                 );
-                Event::SnapshotStored(ticket, state.version, stored)
+                Event::SnapshotStored(submission, state.version, stored)
             }),
-            Action::SwapHead(ticket, expect, head) => self.spawn_event(context, async move {
-                Event::Swapped(ticket, store.swap_head(expect, &head).await)
+            Action::SwapHead(submission, expect, head) => self.spawn_event(context, async move {
+                Event::Swapped(submission, store.swap_head(expect, &head).await)
             }),
             Action::RemoveSnapshot(version) => {
                 let remove = async move { store.remove_snapshot(version).await };
@@ -206,13 +210,13 @@
                 }));
             }
             Action::Fetch(peer, after) => {
-                let calls = self.call_client.clone();
+                let call_client = self.call_client.clone();
                 self.spawn_event(context, async move {
-                    Event::Fetched(fetch_update(&calls, peer, after).await)
+                    Event::Fetched(fetch_update(&call_client, peer, after).await)
                 });
             }
             Action::Publish => self.publish(),
-            Action::Answer(ticket, answer) => self.answer(ticket, answer),
+            Action::Answer(submission, result) => self.answer(submission, result),
             Action::Stale(version) => {
                 log_event!(warn, log_event::CONFIG_STALE, version = version.0);
             }
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Runs `work` and gives the keeper the event that it ends with.
+    /// Runs `work` and passes the resulting event to the replicator.
     fn spawn_event<F>(&self, context: &mut Context<Self>, work: F)
     where
         F: Future<Output = Event> + 'static,
@@ -229,15 +233,16 @@
         context.spawn(work.map(|event, actor, context| actor.handle_event(event, context)));
     }
 
-    /// Puts the configuration in force on the traffic threads.
+    /// Publishes the configuration to the traffic threads, where it is then in force, and notifies the subscribers if
+    /// the version is new.
     fn publish(&mut self) {
         let state = self.replicator.state();
         let version = state.version;
-        let rises = invariant::check(
+        let checked = invariant::check(
             version >= self.published_version,
-            "the version in force never goes back",
+            "the version in force never decreases",
         );
-        if let Err(error) = rises {
+        if let Err(error) = checked {
             log_event!(error, log_event::INVARIANT_BROKEN, %error);
             return;
         }
@@ -252,33 +257,33 @@
         }
     }
 
-    fn notify_subscribers(&self, contact: Option<Time>) {
+    /// Notifies the subscribers of the version in force, and of a contact with the key-value service.
+    fn notify_subscribers(&self, kv_contact: Option<Time>) {
         let version = self.published_version;
-        for follower in &self.subscribers {
-            follower.do_send(InForce {
-                version,
-                kv_contact: contact,
-            });
+        for subscriber in &self.subscribers {
+            subscriber.do_send(InForce { version, kv_contact });
         }
     }
 
+    /// Submits a proposal; the receiver gets the result.
     fn submit(&mut self, proposal: Proposal, context: &mut Context<Self>) -> oneshot::Receiver<SubmitResult> {
         self.submission_count += 1;
-        let ticket = SubmissionId(self.submission_count);
+        let submission = SubmissionId(self.submission_count);
         let (sender, receiver) = oneshot::channel();
-        self.pending.insert(ticket, sender);
-        self.handle_event(Event::Submitted(ticket, Box::new(proposal)), context);
+        self.pending.insert(submission, sender);
+        self.handle_event(Event::Submitted(submission, Box::new(proposal)), context);
         receiver
     }
 
-    fn answer(&mut self, ticket: SubmissionId, answer: SubmitResult) {
-        if let Some(sender) = self.pending.remove(&ticket) {
-            // The operator may be gone; the change stands all the same.
-            let _ = sender.send(answer);
+    fn answer(&mut self, submission: SubmissionId, result: SubmitResult) {
+        if let Some(sender) = self.pending.remove(&submission) {
+            // This fails if the operator has disconnected. An accepted change stays in force regardless.
+            let _ = sender.send(result);
         }
     }
 }
 
+/// Converts the result of reading the head.
 fn head_event(result: Result<StoredHead, KvError>) -> Event {
     match result {
         Ok(stored) => Event::Read(stored),
@@ -289,9 +294,12 @@
     }
 }
 
-async fn fetch_update(calls: &CallClient, peer: SocketAddr, after: Version) -> Option<Update> {
-    let answer = calls.call(peer, &Request::Config(after), FETCH_TIMEOUT).await;
-    match answer {
+/// Requests the changes after a version from a peer; `None` if it did not send them.
+async fn fetch_update(call_client: &CallClient, peer: SocketAddr, after: Version) -> Option<Update> {
+    let response = call_client
+        .call(peer, &Request::Config(after), FETCH_TIMEOUT)
+        .await;
+    match response {
         Ok(Response::Config(update)) => Some(update),
         Ok(_) => None,
         Err(error) => {
@@ -315,8 +323,8 @@
 impl Handler<Subscribe> for ConfigActor {
     type Result = ();
 
-    fn handle(&mut self, Subscribe(follower): Subscribe, _: &mut Context<Self>) {
-        self.subscribers.push(follower);
+    fn handle(&mut self, Subscribe(subscriber): Subscribe, _: &mut Context<Self>) {
+        self.subscribers.push(subscriber);
         self.notify_subscribers(None);
     }
 }
--- a/src/ops/control/config/execute.rs
+++ b/src/ops/control/config/execute.rs
@@ -1,4 +1,4 @@
-//! Carrying out operators' statements.
+//! Executes operators' statements.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,13 +39,13 @@
 use crate::ops::tables;
 use crate::util::clock;
 
-/// How long a reply waits for the reachable instances to have the change in force.
+/// How long a reply waits, if the operator asked for it, until the change is in force on all reachable instances.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// How long any reply waits, so that in ordinary times it names all instances.
+/// How long every other reply waits, so that it normally reports the change in force on all instances.
 const SHORT_WAIT: Duration = Duration::from_millis(300);
 
-/// Carries out an operator's statements, which came in from the address.
+/// Executes an operator's statements, which were received from the address.
 #[derive(Debug)]
 pub struct Execute(pub StatementBody, pub Option<SocketAddr>);
 
@@ -78,12 +78,19 @@
     }
 }
 
+/// A parsed script.
 enum Script {
+    /// The result of a query.
     Table(TableBody),
+    /// Changes to submit.
     Commands(Vec<Command>),
 }
 
-/// Reads the text: either one query, which is answered, or changes.
+/// Parses the text, which holds either one query or changes, and runs the query.
+///
+/// # Errors
+///
+/// [`OperatorError::Mixed`] if the text is neither; otherwise the error of parsing or of the query.
 fn parse_statements(text: &str, state: &State, roster: &Roster) -> Result<Script, OperatorError> {
     let mut commands = Vec::new();
     let mut queries = Vec::new();
@@ -108,6 +115,11 @@
     }
 }
 
+/// The table of what `commands` would change in `state`; the commands are not submitted.
+///
+/// # Errors
+///
+/// [`OperatorError::Rejected`] if a command cannot be applied.
 fn difference(state: &State, commands: &[Command]) -> Result<TableBody, OperatorError> {
     let mut after = state.config.clone();
     for command in commands {
@@ -118,6 +130,7 @@
     Ok(tables::difference(&state.config, &after))
 }
 
+/// Creates a proposal. Without an explicit base version it is based on `version`.
 fn new_proposal(
     body: &StatementBody,
     from: Option<SocketAddr>,
@@ -133,11 +146,12 @@
         commands,
         base: body
             .base
-            .map_or(Base::Implied(version), |named| Base::Explicit(Version(named))),
+            .map_or(Base::Implied(version), |base| Base::Explicit(Version(base))),
     }
 }
 
-/// Logs the outcome, and says on how many instances the change is in force.
+/// Logs the outcome, and waits for the change to come into force on the reachable instances. The reply says on how many
+/// it is in force.
 async fn complete_reply(
     shared: &Arc<Shared>,
     proposal: &Proposal,
@@ -145,16 +159,16 @@
     wait: bool,
 ) -> Result<ReplyBody, OperatorError> {
     let (who, from, id) = (&proposal.who, &proposal.from, proposal.id.0);
-    let outcome = outcome.map_err(|refused| {
+    let outcome = outcome.map_err(|failure| {
         let statement = &proposal.statement;
-        log_event!(warn, log_event::CHANGE_REFUSED, who, from, %id, statement, reason = %refused);
-        operator_error(refused)
+        log_event!(warn, log_event::CHANGE_REFUSED, who, from, %id, statement, reason = %failure);
+        operator_error(failure)
     })?;
     let (version, repeated) = (outcome.version, outcome.repeated);
     let statement = &proposal.statement;
     log_event!(info, log_event::CHANGE_ACCEPTED, version = version.0, who, from, %id, repeated, statement);
     let limit = if wait { WAIT_LIMIT } else { SHORT_WAIT };
-    // Past the limit the reply says on how many it is in force.
+    // If the limit passes first, the reply still reports the number of instances on which the change is in force.
     let _ = timeout(limit, wait_in_force(shared, version)).await;
     let roster = shared.roster();
     let count = |peers: usize| u32::try_from(peers + 1).unwrap_or(u32::MAX);
@@ -166,18 +180,19 @@
     }))
 }
 
-/// Waits until every reachable instance has the version in force.
+/// Waits until the version is in force on every reachable instance.
 async fn wait_in_force(shared: &Shared, version: Version) {
     let mut rosters = shared.follow_roster();
-    // The sender lives as long as the process.
+    // This cannot fail: the sender exists as long as the process.
     let _ = rosters
         .wait_for(|roster| roster.count_without(version) == 0)
         .await;
 }
 
-fn operator_error(refused: SubmitError) -> OperatorError {
-    let text = refused.to_string();
-    match refused {
+/// Converts the error of a submission to the one that the operator receives.
+fn operator_error(failure: SubmitError) -> OperatorError {
+    let text = failure.to_string();
+    match failure {
         SubmitError::Rejected(ProposalError::Apply(_)) | SubmitError::TooLarge(_) => {
             OperatorError::Rejected(text)
         }
--- a/src/ops/control/config/store.rs
+++ b/src/ops/control/config/store.rs
@@ -18,10 +18,10 @@
 /// Key of the head.
 const HEAD_KEY: &str = "config/head";
 
-/// Largest value written, in bytes; the service takes a megabyte.
+/// Maximum size of a written value, in bytes. The key-value service accepts values of up to one megabyte.
 const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Life of the lease by which a snapshot is removed, should releasing it fail.
+/// TTL of the lease by which a snapshot is removed. It removes the snapshot if releasing the lease fails.
 const REMOVAL_TTL: Duration = Duration::from_secs(1);
 
 /// Reads and writes the configuration's keys. Cheap to clone; stays on one thread.
@@ -31,12 +31,12 @@
 }
 
 impl ConfigStore {
-    /// A store that calls the service by `kv`.
+    /// Creates a store that calls the key-value service through `kv`.
     pub fn new(kv: KvClient) -> ConfigStore {
         ConfigStore { kv }
     }
 
-    /// The head.
+    /// Reads the head.
     ///
     /// # Errors
     ///
@@ -45,7 +45,7 @@
         stored_head(&self.kv.get(HEAD_KEY).await?)
     }
 
-    /// Waits for another head than that of revision `after`, for at most `wait`.
+    /// Waits for a head with another revision than `after`, for at most `wait`. Returns `None` if there was none.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
         entry.as_ref().map(stored_head).transpose()
     }
 
-    /// Swaps in `head` if the key still has the revision `expect`.
+    /// Replaces the head if its key still has the revision `expect`.
     pub async fn swap_head(&self, expect: Revision, head: &Head) -> SwapResult {
         let Ok(value) = serde_json::to_vec(head) else {
             return SwapResult::Failed;
@@ -72,15 +72,15 @@
         }
     }
 
-    /// The snapshot of `version`; `None` if there is none or no usable answer came in time.
+    /// Reads the snapshot of `version`; `None` if there is none or no usable answer came in time.
     pub async fn read_snapshot(&self, version: Version) -> Option<State> {
         let entry = self.kv.get(&snapshot_key(version)).await.ok()?;
         serde_json::from_slice(&entry.value?).ok()
     }
 
-    /// Makes sure that the snapshot of `state` is stored; whether it is.
+    /// Stores the snapshot of `state`, unless one of its version is stored already. Returns whether one is stored.
     ///
-    /// One that is there already is as good: a state is a function of the accepted changes alone.
+    /// An existing snapshot of the version is equivalent, because a state depends only on the accepted changes.
     pub async fn store_snapshot(&self, state: &State) -> bool {
         let Ok(value) = serde_json::to_vec(state) else {
             return false;
@@ -96,11 +96,11 @@
         }
     }
 
-    /// Removes the snapshot of `version`: binds it to a lease and releases that.
+    /// Removes the snapshot of `version` by binding its key to a lease and releasing the lease.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if a call failed; the snapshot may then stay, which costs room and harms nobody.
+    /// [`KvError`] if a call failed. The snapshot may then remain, which takes up space but is otherwise harmless.
     pub async fn remove_snapshot(&self, version: Version) -> Result<(), KvError> {
         let key = snapshot_key(version);
         let entry = self.kv.get(&key).await?;
@@ -114,10 +114,12 @@
     }
 }
 
+/// Key of the snapshot of a version.
 fn snapshot_key(version: Version) -> String {
     format!("config/snapshot/{version}")
 }
 
+/// Decodes the head. An absent key stands for the default head.
 fn stored_head(entry: &Entry) -> Result<StoredHead, KvError> {
     let head = match &entry.value {
         Some(value) => serde_json::from_slice(value).map_err(|e| KvError::Malformed(e.to_string()))?,
--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: carries out the decisions of [`MemberTable`], and reads the platform's lists.
+//! Membership: carries out the actions of [`MemberTable`], and reads the platform's lists of instances and upstreams.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -42,14 +42,14 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Looks at the lists that a fleet of any size makes together, per second: each instance looks the less often
-/// the more there are, and tells the others what it saw.
+/// Maximum rate, per second, at which the whole fleet reads the lists, whatever its size. The larger the fleet, the
+/// less often each instance reads them, and instances tell each other what they read.
 const MAX_LIST_RATE: usize = 50;
 
-/// Pause after a socket error, so that a broken socket doesn't spin.
+/// Pause after a socket error, so that a broken socket does not cause a busy loop.
 const SOCKET_PAUSE: Duration = Duration::from_millis(100);
 
-/// Keeper of the table of instances.
+/// Maintains the table of instances and publishes the roster.
 #[derive(Debug)]
 pub struct MembershipActor {
     shared: Arc<Shared>,
@@ -59,17 +59,18 @@
     members: MemberTable,
 }
 
-/// This instance begins to shut down: others stop naming it.
+/// Notifies the actor that this instance begins to shut down. Other instances then stop naming it to callers.
 #[derive(Debug, Clone, Copy, Message)]
 #[rtype(result = "()")]
 pub struct Leave;
 
+/// The result of receiving one datagram.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 struct Received(Result<(Name, Datagram), PeerError>);
 
 impl MembershipActor {
-    /// A keeper that knows of nobody else.
+    /// Creates an actor that knows of no other instance.
     pub fn new(
         shared: Arc<Shared>,
         kv: KvClient,
@@ -78,13 +79,13 @@
         bound: BoundAddresses,
     ) -> MembershipActor {
         let settings = &shared.settings;
-        let about = InstanceInfo::new(clock::wall().0, settings.zone.clone(), bound.listen, bound.peer);
-        let myself = LocalInstance {
+        let info = InstanceInfo::new(clock::wall().0, settings.zone.clone(), bound.listen, bound.peer);
+        let local = LocalInstance {
             name: settings.name.clone(),
-            seed: about.incarnation,
-            info: about,
+            seed: info.incarnation,
+            info,
         };
-        let members = MemberTable::new(myself, settings.limits);
+        let members = MemberTable::new(local, settings.limits);
         MembershipActor {
             shared,
             kv,
@@ -94,10 +95,11 @@
         }
     }
 
+    /// Passes an event to the table and carries out its actions.
     fn handle_event(&mut self, event: Event) {
         for action in self.members.on(clock::now(), event) {
             match action {
-                Action::Send(to, beat) => self.send_heartbeat(to, beat),
+                Action::Send(to, heartbeat) => self.send_heartbeat(to, heartbeat),
                 Action::PeerAhead(peer, version) => self.config.do_send(PeerAhead(peer, version)),
                 Action::Publish => self.publish(),
                 Action::Resumed => self.config.do_send(RefreshHead),
@@ -105,11 +107,11 @@
         }
     }
 
-    fn send_heartbeat(&self, to: std::net::SocketAddr, beat: Heartbeat) {
+    fn send_heartbeat(&self, to: std::net::SocketAddr, heartbeat: Heartbeat) {
         let socket = self.socket.clone();
         let metrics = self.shared.metrics.membership.clone();
         actix::spawn(async move {
-            match socket.send(to, Datagram::Beat(beat)).await {
+            match socket.send(to, Datagram::Beat(heartbeat)).await {
                 Ok(bytes) => {
                     metrics.sent.inc();
                     metrics.bytes.inc_by(bytes as u64);
@@ -119,6 +121,7 @@
         });
     }
 
+    /// Publishes the roster, logs a change of standing, and reports changes of the leaving upstreams.
     fn publish(&self) {
         let roster = self.members.roster(clock::now());
         let standing = roster.standing;
@@ -126,7 +129,7 @@
         self.shared.metrics.membership.peers.set(peers);
         let before = self.shared.publish_roster(roster);
         match before.local {
-            // Right after its start an instance knows nothing yet; that is no fault.
+            // An instance that has just started knows nothing yet; this is not logged as an error.
             None => log_event!(info, log_event::STANDING, after = ?standing),
             Some(_) if before.standing != standing => log_standing(before.standing, standing),
             Some(_) => {}
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Reads the lists, again and again.
+    /// Reads the platform's lists, and schedules the next read.
     fn read_lists(&mut self, context: &mut Context<Self>) {
         let kv = self.kv.clone();
         let lists = async move { (kv.instances().await, kv.upstreams().await) };
@@ -155,6 +158,7 @@
         );
     }
 
+    /// Passes the lists that could be read to the table, and logs the errors of the others.
     fn on_lists(&mut self, instances: Result<Vec<Listed>, KvError>, upstreams: Result<Vec<Listed>, KvError>) {
         match instances {
             Ok(list) => self.handle_event(Event::Listed(list.iter().filter_map(listing).collect())),
@@ -171,6 +175,7 @@
     }
 }
 
+/// Converts a list entry; `None` if it has no peer address.
 fn listing(listed: &Listed) -> Option<Listing> {
     Some(Listing {
         name: listed.name.clone(),
@@ -184,6 +189,7 @@
     })
 }
 
+/// Logs a change of standing, as an error if this instance no longer accepts work.
 fn log_standing(before: Standing, after: Standing) {
     match after.accepts_work() {
         true => log_event!(info, log_event::STANDING, ?before, ?after),
@@ -191,7 +197,7 @@
     }
 }
 
-/// Hands datagrams to the actor until it is gone.
+/// Receives datagrams and passes them to the actor until it has ended.
 async fn receive(socket: Rc<DatagramSocket>, actor: Addr<MembershipActor>) {
     while actor.connected() {
         let received = socket.receive().await;
@@ -219,9 +225,9 @@
 
     fn handle(&mut self, Received(received): Received, _: &mut Context<Self>) {
         match received {
-            Ok((name, Datagram::Beat(beat))) => {
+            Ok((name, Datagram::Beat(heartbeat))) => {
                 self.shared.metrics.membership.received.inc();
-                self.handle_event(Event::Heartbeat(name, beat));
+                self.handle_event(Event::Heartbeat(name, heartbeat));
             }
             Ok((_, Datagram::Ping | Datagram::Load(_))) => {}
             Ok((_, Datagram::Prove(_) | Datagram::Proof(_) | Datagram::Counts(_))) => {}
@@ -233,10 +239,10 @@
 impl Handler<InForce> for MembershipActor {
     type Result = ();
 
-    fn handle(&mut self, news: InForce, _: &mut Context<Self>) {
-        match news.kv_contact {
+    fn handle(&mut self, update: InForce, _: &mut Context<Self>) {
+        match update.kv_contact {
             Some(at) => self.handle_event(Event::KvContact(at)),
-            None => self.handle_event(Event::InForce(news.version)),
+            None => self.handle_event(Event::InForce(update.version)),
         }
     }
 }
