--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -1,4 +1,4 @@
-//! Owner of claims: writes the buckets of its shards to the key-value service.
+//! The owner of claims: reads and writes the buckets of its shards in the key-value service.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -46,19 +46,20 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// How long one lease serves for the buckets that are written.
+/// How long one lease is reused for the buckets that are written.
 const LEASE_REUSE: Duration = Duration::from_secs(600);
 
-/// How often clocks are compared with another instance.
+/// Interval between two comparisons of the clock with that of another instance.
 const CLOCK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long another instance may take to say its time; far below the difference that counts.
+/// How long another instance may take to report its time. Far below the clock difference that counts as disagreement,
+/// so that the duration of the call cannot cause one.
 const CLOCK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Most claims that a table shows.
+/// Maximum number of claims in a table.
 const MAX_ROWS: usize = 500;
 
-/// Asks for a claim.
+/// Requests a claim.
 #[derive(Debug)]
 pub struct RequestClaim(pub ClaimRequest);
 
@@ -66,7 +67,7 @@
     type Result = Verdict;
 }
 
-/// Asks what is known of a claim.
+/// Queries the status of a claim.
 #[derive(Debug)]
 pub struct QueryClaim(pub ClaimRef);
 
@@ -74,7 +75,7 @@
     type Result = Verdict;
 }
 
-/// Tells what became of a claim.
+/// Changes the state of a claim.
 #[derive(Debug)]
 pub struct EditClaim(pub BucketId, pub Edit);
 
@@ -82,7 +83,7 @@
     type Result = ();
 }
 
-/// Asks for the table of the claims that this instance holds.
+/// Requests the table of the claims in the buckets that this instance has in memory.
 #[derive(Debug)]
 pub struct ShowClaims;
 
@@ -90,17 +91,18 @@
     type Result = TableBody;
 }
 
-/// Lease that removes buckets once they are old.
+/// Lease to which buckets are bound, so that the key-value service deletes them when it expires.
 ///
-/// Failure guarded against: a bucket goes while its keys are still accepted, and a repeat runs twice. The
-/// lease is never renewed nor released, not even at shutdown: only its time ends it.
+/// Failure guarded against: a bucket is deleted while its keys are still accepted, and a repeated request runs a second
+/// time. The lease is therefore never released, not even at shutdown, and never renewed: it ends only by expiring.
 #[derive(Debug, Clone, Copy)]
 struct BucketLease {
     id: LeaseId,
+    /// When the lease was requested, just before it was granted.
     requested_at: Time,
 }
 
-/// Owner of claims.
+/// Runs the [`Owner`] of claims and carries out its actions.
 #[derive(Debug)]
 pub struct ClaimsActor {
     shared: Arc<Shared>,
@@ -117,8 +119,8 @@
 }
 
 impl ClaimsActor {
-    /// An owner that knows no bucket.
-    pub fn new(shared: Arc<Shared>, kv: KvClient, calls: CallClient) -> ClaimsActor {
+    /// Creates an owner with no bucket in memory.
+    pub fn new(shared: Arc<Shared>, kv: KvClient, call_client: CallClient) -> ClaimsActor {
         let owner = Owner::new(shared.settings.grouping);
         ClaimsActor {
             shared,
@@ -130,12 +132,12 @@
             wake_at: None,
             bucket_lease: None,
             failing: false,
-            call_client: calls,
+            call_client,
             last_compared: None,
         }
     }
 
-    /// Compares clocks with one other instance, and again after a while.
+    /// Compares clocks with one other instance, and schedules the next comparison.
     fn compare_clocks(&mut self, context: &mut Context<Self>) {
         let roster = self.shared.roster();
         let peers: Vec<Name> = roster.peers.iter().map(|p| p.name.clone()).collect();
@@ -153,10 +155,10 @@
         };
         if let Some((name, address)) = next.and_then(|name| Some((name.clone(), address(&name)?))) {
             self.last_compared = Some(name.clone());
-            let calls = self.call_client.clone();
-            let ask = async move { calls.call(address, &Request::Clock, CLOCK_TIMEOUT).await };
-            context.spawn(ask.into_actor(self).map(move |answer, actor, _| {
-                if let Ok(Response::Clock(theirs)) = answer {
+            let call_client = self.call_client.clone();
+            let request = async move { call_client.call(address, &Request::Clock, CLOCK_TIMEOUT).await };
+            context.spawn(request.into_actor(self).map(move |response, actor, _| {
+                if let Ok(Response::Clock(theirs)) = response {
                     actor.shared.clocks().on_time(&name, clock::wall(), theirs);
                 }
             }));
@@ -164,15 +166,17 @@
         context.run_later(CLOCK_INTERVAL, |actor, context| actor.compare_clocks(context));
     }
 
+    /// Registers a query; returns its id and a future of its verdict.
     fn new_query(&mut self) -> (QueryId, ResponseFuture<Verdict>) {
         self.query_count += 1;
-        let ticket = QueryId(self.query_count);
+        let query = QueryId(self.query_count);
         let (sender, answer) = oneshot::channel();
-        self.pending.insert(ticket, sender);
+        self.pending.insert(query, sender);
         let answer = Box::pin(async move { answer.await.unwrap_or(Verdict::Stopping) });
-        (ticket, answer)
+        (query, answer)
     }
 
+    /// Passes an event to the owner and carries out its actions.
     fn handle_event(&mut self, event: OwnerEvent, context: &mut Context<Self>) {
         for action in self.owner.on(clock::both(), event) {
             match action {
@@ -180,33 +184,34 @@
                 OwnerAction::Write(bucket, revision, content) => {
                     self.write_bucket(bucket, revision, &content, context);
                 }
-                OwnerAction::Answer(ticket, verdict) => self.answer(ticket, verdict),
+                OwnerAction::Answer(query, verdict) => self.answer(query, verdict),
                 OwnerAction::Wake(at) => self.schedule_wake(at, context),
                 OwnerAction::InvariantBroken(rule) => log_event!(error, log_event::INVARIANT_BROKEN, rule),
             }
         }
         if self.owner.is_idle() {
-            for waiting in self.stop_waiters.drain(..) {
-                let _ = waiting.send(());
+            for waiter in self.stop_waiters.drain(..) {
+                let _ = waiter.send(());
             }
         }
     }
 
-    fn answer(&mut self, ticket: QueryId, verdict: Verdict) {
+    fn answer(&mut self, query: QueryId, verdict: Verdict) {
         self.shared.metrics.claims.count(&verdict);
-        if let Some(sender) = self.pending.remove(&ticket) {
-            // The entry may have given up; then it never sends.
+        if let Some(sender) = self.pending.remove(&query) {
+            // This fails if the entry instance has given up waiting; it then never sends the request upstream.
             let _ = sender.send(verdict);
         }
     }
 
+    /// Schedules a tick at `at`, unless an earlier one is scheduled.
     fn schedule_wake(&mut self, at: Time, context: &mut Context<Self>) {
-        if self.wake_at.is_some_and(|wake| wake <= at) {
+        if self.wake_at.is_some_and(|scheduled| scheduled <= at) {
             return;
         }
         self.wake_at = Some(at);
-        let pause = at.since(clock::now());
-        context.run_later(pause, move |actor, context| {
+        let delay = at.since(clock::now());
+        context.run_later(delay, move |actor, context| {
             if actor.wake_at == Some(at) {
                 actor.wake_at = None;
                 actor.handle_event(OwnerEvent::Tick, context);
@@ -221,7 +226,7 @@
         context.spawn(read.into_actor(self).map(move |result, actor, context| {
             let event = match result {
                 Ok(entry) => actor.on_entry(bucket, &entry),
-                // Reading changes nothing, whatever became of it.
+                // A read changes nothing, even if it failed after it was sent.
                 Err(error) => actor.on_failure(bucket, &error, false),
             };
             actor.handle_event(event, context);
@@ -244,11 +249,11 @@
             }
         };
         let kv = self.kv.clone();
-        let keep = self.bucket_lease;
-        let write = async move { swap_bucket(&kv, keep, bucket, revision, &value).await };
-        context.spawn(write.into_actor(self).map(move |written, actor, context| {
-            actor.bucket_lease = written.bucket_lease;
-            let event = match written.result {
+        let lease = self.bucket_lease;
+        let write = async move { swap_bucket(&kv, lease, bucket, revision, &value).await };
+        context.spawn(write.into_actor(self).map(move |outcome, actor, context| {
+            actor.bucket_lease = outcome.bucket_lease;
+            let event = match outcome.result {
                 Err(WriteError { error, maybe_written }) => actor.on_failure(bucket, &error, maybe_written),
                 Ok(Swap::Done(version)) => {
                     actor.on_success();
@@ -263,6 +268,7 @@
         }));
     }
 
+    /// Converts the current content of a bucket to an event.
     fn on_entry(&mut self, bucket: BucketId, entry: &Entry) -> OwnerEvent {
         self.on_success();
         let Some(value) = &entry.value else {
@@ -280,6 +286,7 @@
         }
     }
 
+    /// Records that the key-value service answered, and logs the recovery after a failure.
     fn on_success(&mut self) {
         if self.failing {
             log_event!(info, log_event::CLAIMS_BACK);
@@ -287,19 +294,20 @@
         self.failing = false;
     }
 
-    fn on_failure(&mut self, bucket: BucketId, error: &KvError, unsure: bool) -> OwnerEvent {
+    /// Records a failed call, logs the first one after a success, and returns the event for the owner.
+    fn on_failure(&mut self, bucket: BucketId, error: &KvError, maybe_written: bool) -> OwnerEvent {
         if !self.failing {
             log_event!(warn, log_event::CLAIMS_OUT, %error, bucket = bucket.path());
         }
         self.failing = true;
         OwnerEvent::Failed {
             bucket,
-            maybe_written: unsure,
+            maybe_written,
         }
     }
 }
 
-/// How a write ended.
+/// The result of a write, and the lease that later writes can reuse.
 struct WriteResult {
     bucket_lease: Option<BucketLease>,
     result: Result<Swap, WriteError>,
@@ -308,33 +316,31 @@
 /// A write that failed.
 struct WriteError {
     error: KvError,
-    /// Whether it may have taken effect, or may yet.
+    /// Whether the write may have taken effect, or may still take effect.
     maybe_written: bool,
 }
 
-/// Swaps a bucket in, bound to a lease that lapses [`BUCKET_TTL`] after this write at the earliest.
+/// Writes a bucket if it still has `revision`, bound to a lease that expires [`BUCKET_TTL`] after this write at the
+/// earliest.
 async fn swap_bucket(
     kv: &KvClient,
-    keep: Option<BucketLease>,
+    lease: Option<BucketLease>,
     bucket: BucketId,
     revision: Revision,
     value: &[u8],
 ) -> WriteResult {
     let now = clock::now();
-    let keep = match keep {
-        Some(keep) if now.since(keep.requested_at) < LEASE_REUSE => keep,
+    let lease = match lease {
+        Some(lease) if now.since(lease.requested_at) < LEASE_REUSE => lease,
         _ => match kv.grant(BUCKET_TTL + LEASE_REUSE).await {
-            Ok(lease) => BucketLease {
-                id: lease,
+            Ok(id) => BucketLease {
+                id,
                 requested_at: now,
             },
-            // No write was begun, whatever became of the lease.
+            // No write was sent, whether or not the lease was granted.
             Err(error) => {
-                let unsure = false;
-                let result = Err(WriteError {
-                    error,
-                    maybe_written: unsure,
-                });
+                let maybe_written = false;
+                let result = Err(WriteError { error, maybe_written });
                 return WriteResult {
                     bucket_lease: None,
                     result,
@@ -343,10 +349,10 @@
         },
     };
     let expect = Expect::from(KvVersion(revision.0));
-    let result = kv.swap(&bucket.path(), expect, value, Some(keep.id)).await;
-    let lapsed = matches!(result, Err(KvError::LeaseLapsed));
+    let result = kv.swap(&bucket.path(), expect, value, Some(lease.id)).await;
+    let expired = matches!(result, Err(KvError::LeaseLapsed));
     WriteResult {
-        bucket_lease: (!lapsed).then_some(keep),
+        bucket_lease: (!expired).then_some(lease),
         result: result.map_err(|error| WriteError {
             maybe_written: error.is_ambiguous(),
             error,
@@ -365,9 +371,9 @@
 impl Handler<RequestClaim> for ClaimsActor {
     type Result = ResponseFuture<Verdict>;
 
-    fn handle(&mut self, RequestClaim(ask): RequestClaim, context: &mut Context<Self>) -> Self::Result {
-        let (ticket, answer) = self.new_query();
-        self.handle_event(OwnerEvent::Claim(ticket, ask), context);
+    fn handle(&mut self, RequestClaim(request): RequestClaim, context: &mut Context<Self>) -> Self::Result {
+        let (query, answer) = self.new_query();
+        self.handle_event(OwnerEvent::Claim(query, request), context);
         answer
     }
 }
@@ -376,8 +382,8 @@
     type Result = ResponseFuture<Verdict>;
 
     fn handle(&mut self, QueryClaim(claim): QueryClaim, context: &mut Context<Self>) -> Self::Result {
-        let (ticket, answer) = self.new_query();
-        self.handle_event(OwnerEvent::Query(ticket, claim), context);
+        let (query, answer) = self.new_query();
+        self.handle_event(OwnerEvent::Query(query, claim), context);
         answer
     }
 }
@@ -390,7 +396,7 @@
     }
 }
 
-/// Writes what is pending and refuses new claims; answered once nothing is left to write.
+/// Refuses new claims and finishes the pending writes; answered when nothing is left to write.
 impl Handler<Shutdown> for ClaimsActor {
     type Result = ResponseFuture<()>;
 
--- a/src/ops/control/load.rs
+++ b/src/ops/control/load.rs
@@ -1,7 +1,7 @@
-//! Polls the engines' load reports and cache events and gives them to the router.
+//! Polls the engines for load reports and cache events and passes them to the router.
 //!
-//! Cells: of its own availability zone an instance follows every engine; of the others it asks a few in turn, so
-//! that what it reads a second does not grow with the fleet.
+//! An instance polls every engine of its own availability zone, and a few engines of the other zones in turn, so that
+//! the number of reads per second does not grow with the fleet.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,21 +26,24 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Engines of the own zone that are asked in each period; with more, the period grows.
+/// Maximum number of engines of the local zone per poll period. If there are more, the period is lengthened.
 const ENGINES_PER_PERIOD: usize = 16;
 
-/// Engines of other zones that are asked in each period, in turn.
+/// Number of engines of other zones that are polled in each period, in turn.
 const REMOTE_PER_PERIOD: usize = 8;
 
-/// Follower of the engines' load.
+/// Polls the engines' load.
 #[derive(Debug)]
 pub struct LoadActor {
     shared: Arc<Shared>,
     engines: EngineClient,
+    /// The number of the last cache event received from each engine.
     event_numbers: BTreeMap<Name, u64>,
+    /// Position among the engines of other zones at which the next poll starts.
     next_remote: usize,
 }
 
+/// The responses of one engine to a poll.
 struct PollResult {
     name: Name,
     load: Result<LoadBody, UpstreamError>,
@@ -48,7 +51,7 @@
 }
 
 impl LoadActor {
-    /// A follower that knows of no engines.
+    /// Creates an actor that has polled no engine.
     pub fn new(shared: Arc<Shared>) -> LoadActor {
         LoadActor {
             shared,
@@ -58,6 +61,7 @@
         }
     }
 
+    /// Polls the engines that are due, and schedules the next poll.
     fn tick(&mut self, context: &mut Context<Self>) {
         let snapshot = self.shared.snapshot.load_full();
         let heard = self.shared.roster().peers.iter().filter(|p| p.heard).count();
@@ -67,32 +71,34 @@
             router.set_instances(1 + heard);
         }
         self.shared.policy.limits().set_instances(1 + heard);
-        let (own, foreign) = split_by_zone(&snapshot, &self.shared.settings.zone);
-        for engine in own.iter().copied().chain(self.choose_remote(&foreign)) {
+        let (local, remote) = split_by_zone(&snapshot, &self.shared.settings.zone);
+        for engine in local.iter().copied().chain(self.choose_remote(&remote)) {
             self.poll(engine, context);
         }
         self.event_numbers
             .retain(|name, _| snapshot.engines.iter().any(|(_, e)| e.name == *name));
-        let stretch = own.len().div_ceil(ENGINES_PER_PERIOD).max(1) as u32;
-        context.run_later(self.shared.settings.poll * stretch, LoadActor::tick);
+        let periods = local.len().div_ceil(ENGINES_PER_PERIOD).max(1) as u32;
+        context.run_later(self.shared.settings.poll * periods, LoadActor::tick);
     }
 
-    fn choose_remote<'a>(&mut self, foreign: &[&'a EngineView]) -> Vec<&'a EngineView> {
-        let count = foreign.len().min(REMOTE_PER_PERIOD);
-        let chosen = (0..count).map(|i| foreign[(self.next_remote + i) % foreign.len()]);
+    /// Returns the engines of other zones that are next in turn.
+    fn choose_remote<'a>(&mut self, remote: &[&'a EngineView]) -> Vec<&'a EngineView> {
+        let count = remote.len().min(REMOTE_PER_PERIOD);
+        let chosen = (0..count).map(|i| remote[(self.next_remote + i) % remote.len()]);
         let chosen = chosen.collect();
         self.next_remote = self.next_remote.wrapping_add(count);
         chosen
     }
 
+    /// Requests an engine's load and its cache events after the last one received.
     fn poll(&mut self, engine: &EngineView, context: &mut Context<Self>) {
         let client = self.engines.clone();
         let name = engine.name.clone();
         let address = engine.address;
         let after = self.event_numbers.get(&name).copied().unwrap_or(0);
-        let asked = async move {
+        let poll = async move {
             let load = client.load(address).await;
-            // An engine that reports no load is not asked for more.
+            // If the load request fails, the cache events are not requested.
             let events = match load.is_ok() {
                 true => client.cache_events(address, after).await.unwrap_or_default(),
                 false => Vec::new(),
@@ -100,30 +106,30 @@
             PollResult { name, load, events }
         };
         context.spawn(
-            asked
-                .into_actor(self)
-                .map(|polled, actor, _| actor.on_polled(polled)),
+            poll.into_actor(self)
+                .map(|result, actor, _| actor.on_polled(result)),
         );
     }
 
-    fn on_polled(&mut self, polled: PollResult) {
+    /// Passes a poll's result to the router. A gap between the numbers of cache events means that events were missed.
+    fn on_polled(&mut self, result: PollResult) {
         let metrics = &self.shared.metrics.policy;
-        let Ok(body) = polled.load else {
+        let Ok(body) = result.load else {
             metrics.polls_failed.inc();
             return;
         };
         metrics.polls.inc();
         let now = clock::now();
         let mut router = self.shared.router();
-        router.report(&polled.name, load_report(&body));
-        let last = self.event_numbers.entry(polled.name.clone()).or_default();
-        for event in polled.events {
+        router.report(&result.name, load_report(&body));
+        let last = self.event_numbers.entry(result.name.clone()).or_default();
+        for event in result.events {
             if *last > 0 && event.number > *last + 1 {
                 metrics.cache_gaps.inc();
-                router.cache_gap(&polled.name);
+                router.cache_gap(&result.name);
             }
             *last = event.number;
-            router.cache_event(now, &polled.name, event.block, event.stored);
+            router.cache_event(now, &result.name, event.block, event.stored);
         }
     }
 }
@@ -136,7 +142,8 @@
     }
 }
 
-/// Model engines of the own zone, and those of the others. A small fleet is one cell.
+/// Splits the model engines into those to poll in every period, which are those of `zone`, and those to poll in turn.
+/// If there are at most [`ENGINES_PER_PERIOD`] in total, all of them are polled in every period.
 fn split_by_zone<'a>(snapshot: &'a Snapshot, zone: &Name) -> (Vec<&'a EngineView>, Vec<&'a EngineView>) {
     let all: Vec<&EngineView> = snapshot
         .engines
@@ -150,11 +157,13 @@
     }
 }
 
+/// Whether the engine belongs to a model service.
 fn is_model(snapshot: &Snapshot, engine: &EngineView) -> bool {
     let service = snapshot.services.get(engine.service);
     service.is_some_and(|s| matches!(s.kind, ServiceKind::Model { .. }))
 }
 
+/// Converts a load response to a report. `body.age` is in milliseconds.
 fn load_report(body: &LoadBody) -> LoadReport {
     LoadReport {
         at: clock::now() - Duration::from_millis(body.age),
--- a/src/ops/control/mod.rs
+++ b/src/ops/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: one arbiter that owns all control state.
+//! The control thread: a single arbiter that owns all control state.
 //!
-//! Each concern is an actor of its own around a state machine of `sequoiastream-core`; traffic threads send
-//! it messages and read what it publishes in [`Shared`](crate::ops::shared::Shared).
+//! Each subsystem is a separate actor around a state machine of `sequoiastream-core`. Traffic threads send messages
+//! to the actors and read the state that the actors publish in [`Shared`].
 
 mod authority;
 pub mod claims;
@@ -51,27 +51,28 @@
 use crate::ops::shared::Shared;
 use crate::settings::Settings;
 
-/// How long an actor may take to release what it holds.
+/// How long shutdown waits for the actors to release their leases and finish their writes.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Addresses of the control thread's actors.
 #[derive(Debug, Clone)]
 pub struct Control {
-    /// Keeper of the configuration.
+    /// Replicates the configuration.
     pub config: Addr<ConfigActor>,
-    /// Keeper of the authorities.
+    /// Runs the authority of each model service.
     pub authority: Addr<AuthorityActor>,
-    /// Owner of claims.
+    /// Owns the claims of this instance's shards.
     pub claims: Addr<ClaimsActor>,
-    /// Keeper of the table of instances.
+    /// Maintains the table of instances.
     pub membership: Addr<MembershipActor>,
     /// The addresses that this instance is bound to.
     pub bound: BoundAddresses,
-    /// Actors that hold leases; each is told [`Shutdown`] before the process exits.
+    /// Actors that hold leases; each is sent [`Shutdown`] before the process exits.
     lease_holders: Vec<Recipient<Shutdown>>,
 }
 
-/// The instance has drained and is about to exit: release leases and finish writes, then answer.
+/// Asks an actor to release its leases and finish its writes, and then to answer. Sent when the instance has drained
+/// and is about to exit.
 #[derive(Debug, Clone, Copy, Message)]
 #[rtype(result = "()")]
 pub struct Shutdown;
@@ -79,13 +80,13 @@
 /// The addresses that this instance is bound to.
 #[derive(Debug, Clone, Copy)]
 pub struct BoundAddresses {
-    /// For callers and operators.
+    /// Address for callers and operators.
     pub listen: SocketAddr,
-    /// For other instances.
+    /// Address for other instances.
     pub peer: SocketAddr,
 }
 
-/// Sockets of the control thread.
+/// Sockets of the control thread: a TCP listener for calls from other instances and a UDP socket for datagrams.
 #[derive(Debug)]
 pub struct Sockets {
     listener: TcpListener,
@@ -98,17 +99,17 @@
     ///
     /// # Errors
     ///
-    /// If either can't be bound.
+    /// Returns an error if either socket cannot be bound or configured.
     pub fn bind(settings: &Settings, listen: SocketAddr) -> eyre::Result<Sockets> {
         let peer = settings.peer;
-        let calls = TcpListener::bind(peer).wrap_err_with(|| format!("could not listen on {peer}"))?;
-        calls.set_nonblocking(true)?;
-        let peer = calls.local_addr()?;
+        let listener = TcpListener::bind(peer).wrap_err_with(|| format!("could not listen on {peer}"))?;
+        listener.set_nonblocking(true)?;
+        let peer = listener.local_addr()?;
         let datagrams =
-            UdpSocket::bind(peer).wrap_err_with(|| format!("could not take datagrams on {peer}"))?;
+            UdpSocket::bind(peer).wrap_err_with(|| format!("could not bind UDP socket to {peer}"))?;
         datagrams.set_nonblocking(true)?;
         Ok(Sockets {
-            listener: calls,
+            listener,
             datagrams,
             bound: BoundAddresses { listen, peer },
         })
@@ -116,40 +117,42 @@
 }
 
 impl Control {
-    /// Starts the actors on a thread of their own.
+    /// Starts the actors on a separate thread.
     ///
     /// # Errors
     ///
-    /// If the thread can't begin.
+    /// Returns an error if a socket cannot be registered with the thread's runtime, or if the thread ends early.
     pub async fn start(shared: Arc<Shared>, sockets: Sockets) -> eyre::Result<Control> {
         let arbiter = Arbiter::new();
         let (sender, receiver) = oneshot::channel();
         arbiter.spawn(async move {
             let control = start_actors(shared, sockets);
-            // The receiver waits below.
+            // The receiver is awaited below, so sending cannot fail while the caller still waits.
             let _ = sender.send(control);
         });
-        receiver.await.wrap_err("the control thread ended")?
+        receiver
+            .await
+            .wrap_err("control thread ended before its actors started")?
     }
 
-    /// Lets the actors that hold leases release them.
+    /// Asks the actors that hold leases to release them, and waits for a limited time.
     pub async fn release_leases(&self) {
-        let asked = self.lease_holders.iter().map(|holder| holder.send(Shutdown));
-        // What isn't released in time lapses by itself.
-        let _ = timeout(RELEASE_TIMEOUT, join_all(asked)).await;
+        let requests = self.lease_holders.iter().map(|holder| holder.send(Shutdown));
+        // A lease that is not released in time expires by itself.
+        let _ = timeout(RELEASE_TIMEOUT, join_all(requests)).await;
     }
 }
 
-/// Starts the actors on the thread that runs this.
+/// Starts the actors on the current thread.
 fn start_actors(shared: Arc<Shared>, sockets: Sockets) -> eyre::Result<Control> {
     let settings = &shared.settings;
     let key = ClusterKey::new(&settings.cluster);
-    let calls = CallClient::new(key.clone());
+    let call_client = CallClient::new(key.clone());
     let datagrams = tokio::net::UdpSocket::from_std(sockets.datagrams)?;
     let socket = DatagramSocket::new(datagrams, key.clone(), settings.name.clone(), Uuid::now_v7());
     let listener = tokio::net::TcpListener::from_std(sockets.listener)?;
     let bound = sockets.bound;
-    let config = ConfigActor::new(shared.clone(), kv_client(&shared), calls.clone()).start();
+    let config = ConfigActor::new(shared.clone(), kv_client(&shared), call_client.clone()).start();
     let membership = MembershipActor::new(
         shared.clone(),
         kv_client(&shared),
@@ -158,8 +161,8 @@
         bound,
     );
     let membership = membership.start();
-    let claims = ClaimsActor::new(shared.clone(), kv_client(&shared), calls.clone()).start();
-    let authority = AuthorityActor::new(shared.clone(), kv_client(&shared), calls).start();
+    let claims = ClaimsActor::new(shared.clone(), kv_client(&shared), call_client.clone()).start();
+    let authority = AuthorityActor::new(shared.clone(), kv_client(&shared), call_client).start();
     LoadActor::new(shared.clone()).start();
     RolesActor::new(shared.clone(), authority.clone()).start();
     let responder = PeerResponder {
@@ -179,7 +182,8 @@
     })
 }
 
-/// A client of the platform. Each has an incarnation of its own, so that its writes can be told from others'.
+/// Creates a client of the key-value service. Each client has its own incarnation, so that its writes can be told apart
+/// from those of other clients.
 fn kv_client(shared: &Shared) -> KvClient {
     let settings = &shared.settings;
     let client = KvClient::new(
--- a/src/ops/control/peers.rs
+++ b/src/ops/control/peers.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other instances.
+//! Answers the requests of other instances.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,16 +25,16 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Passes each question to the actor that can answer it.
+/// Passes each request to the actor that can answer it.
 #[derive(Debug, Clone)]
 pub struct PeerResponder {
-    /// Keeper of the configuration.
+    /// Replicates the configuration.
     pub config: Addr<ConfigActor>,
-    /// Keeper of the authorities.
+    /// Runs the authority of each model service.
     pub authority: Addr<AuthorityActor>,
-    /// Owner of claims.
+    /// Owns the claims of this instance's shards.
     pub claims: Addr<ClaimsActor>,
-    /// What the control thread shares with the traffic threads.
+    /// State that is shared between the control thread and the traffic threads.
     pub shared: Arc<Shared>,
 }
 
@@ -43,7 +43,7 @@
         match request {
             Request::Ping => Response::Pong,
             Request::Page(_) | Request::Since(_) => Response::Unserved,
-            Request::Claim(ask) => verdict_response(self.claims.send(RequestClaim(ask)).await),
+            Request::Claim(request) => verdict_response(self.claims.send(RequestClaim(request)).await),
             Request::Look(claim) => verdict_response(self.claims.send(QueryClaim(claim)).await),
             Request::Clock => Response::Clock(clock::wall()),
             Request::Edit(bucket, edit) => {
@@ -59,9 +59,9 @@
                 self.shared.unhold(&engine);
                 Response::Taken
             }
-            Request::Settle(ask) => {
-                let said = self.authority.send(AskSettlement::from(ask)).await;
-                Response::Settled(said.unwrap_or(Settlement::Unknown))
+            Request::Settle(order) => {
+                let settlement = self.authority.send(AskSettlement::from(order)).await;
+                Response::Settled(settlement.unwrap_or(Settlement::Unknown))
             }
             Request::Config(after) => {
                 let update = self.config.send(UpdateAfter(after)).await;
@@ -71,12 +71,12 @@
     }
 }
 
-/// An owner whose actor has ended is stopping.
+/// Converts a verdict to a response. If the actor of the owner has ended, the owner is stopping.
 fn verdict_response(verdict: Result<Verdict, MailboxError>) -> Response {
     Response::Verdict(verdict.unwrap_or(Verdict::Stopping))
 }
 
-/// Takes what a peer says of requests that crash engines.
+/// Handles a message from a peer about requests that crash engines.
 fn handle_poison(shared: &Shared, request: &PoisonRequest) -> PoisonResponse {
     let now = clock::now();
     let mut response = PoisonResponse {
@@ -85,18 +85,19 @@
     };
     let mut poison = shared.poison();
     match request {
-        PoisonRequest::Note(note) => {
-            response.ran = poison.requests_on(&note.incident);
-            shared.stops.stop(&poison.on_crash_report(now, note));
+        PoisonRequest::Note(report) => {
+            response.ran = poison.requests_on(&report.incident);
+            shared.stops.stop(&poison.on_crash_report(now, report));
         }
-        PoisonRequest::Ask(ask) => response.agreed = poison.on_hold_request(now, ask),
+        PoisonRequest::Ask(hold) => response.agreed = poison.on_hold_request(now, hold),
         PoisonRequest::Vacate(engine) => shared.stops.stop(&poison.attempts_to_move(engine)),
-        PoisonRequest::Release(ask) => poison.release(ask),
+        PoisonRequest::Release(hold) => poison.release(hold),
         PoisonRequest::Clear(fingerprint) => poison.clear(*fingerprint),
         PoisonRequest::Convict(fingerprint) => {
             let quarantine = &shared.snapshot.load().quarantine;
             shared.stops.stop(&poison.confirm(now, *fingerprint));
-            // If the configuration has it already, it alone decides, so that a pardon holds.
+            // If the configuration already lists the fingerprint, the configuration alone decides, so that a pardon
+            // stays in force.
             poison.on_quarantine(quarantine);
         }
     }
--- a/src/ops/control/roles.rs
+++ b/src/ops/control/roles.rs
@@ -1,5 +1,5 @@
-//! Runs the role planners: each instance follows the demand, and the holder of a service's authority proposes
-//! role changes to it.
+//! Runs the role planners: each instance observes the demand, and the instance that holds a service's authority
+//! proposes role changes to the authority.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -37,13 +37,13 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Bounds of the time between two plans.
+/// Minimum and maximum time between two plans.
 const PLAN_INTERVAL: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
-/// Reports are evidence up to an age of so many times the time between two polls.
+/// Maximum age of the load reports that a plan uses, in multiples of the poll interval.
 const MAX_AGE_POLLS: u32 = 4;
 
-/// Runs the planners.
+/// Runs the role planner of each model service.
 #[derive(Debug)]
 pub struct RolesActor {
     shared: Arc<Shared>,
@@ -53,7 +53,7 @@
 }
 
 impl RolesActor {
-    /// Planners that saw no demand yet.
+    /// Creates an actor whose planners have observed no demand.
     pub fn new(shared: Arc<Shared>, authority: Addr<AuthorityActor>) -> RolesActor {
         RolesActor {
             shared,
@@ -63,27 +63,29 @@
         }
     }
 
+    /// Records the demand, plans the services whose authority this instance holds, and schedules the next plan.
     fn tick(&mut self, context: &mut Context<Self>) {
         let snapshot = self.shared.snapshot.load_full();
         let services = model_services(&snapshot);
         self.observe_demand(&services);
-        let asked = services.into_iter().map(|service| {
+        let checks = services.into_iter().map(|service| {
             let authority = self.authority.clone();
             async move {
                 let held = authority.send(IsHolder(service.clone())).await;
                 held.unwrap_or(false).then_some(service)
             }
         });
-        context.spawn(join_all(asked).into_actor(self).map(|held, actor, context| {
+        context.spawn(join_all(checks).into_actor(self).map(|held, actor, context| {
             for service in held.into_iter().flatten() {
                 actor.plan(&service, context);
             }
         }));
-        let period = (self.shared.settings.away / 3).clamp(PLAN_INTERVAL.0, PLAN_INTERVAL.1);
-        context.run_later(period, RolesActor::tick);
+        let interval = (self.shared.settings.away / 3).clamp(PLAN_INTERVAL.0, PLAN_INTERVAL.1);
+        context.run_later(interval, RolesActor::tick);
     }
 
-    /// Feeds what this instance was asked, times the number of instances: callers spread evenly over them.
+    /// Passes the demand on this instance, multiplied by the number of instances, to the planners. Callers are assumed
+    /// to spread evenly over the instances.
     fn observe_demand(&mut self, services: &[Name]) {
         let now = clock::now();
         let settings = &self.shared.settings;
@@ -98,13 +100,14 @@
         }
     }
 
+    /// Plans one service. If the plan changes an engine, requests the engine's load and proposes the change.
     fn plan(&mut self, service: &Name, context: &mut Context<Self>) {
         let snapshot = self.shared.snapshot.load_full();
-        let evidence = self.planner_input(&snapshot, service);
+        let input = self.planner_input(&snapshot, service);
         let Some(planner) = self.planners.get_mut(service) else {
             return;
         };
-        let Some(change) = planner.plan(clock::now(), &evidence) else {
+        let Some(change) = planner.plan(clock::now(), &input) else {
             return;
         };
         let mut engines = snapshot.engines.iter().map(|(_, engine)| engine);
@@ -113,14 +116,15 @@
         };
         let client = self.engines.clone();
         let address = engine.address;
-        let asked = async move { client.load(address).await };
-        context.spawn(asked.into_actor(self).map(move |load, actor, _| {
+        let load = async move { client.load(address).await };
+        context.spawn(load.into_actor(self).map(move |load, actor, _| {
             if let Ok(body) = load {
                 actor.propose(change, body);
             }
         }));
     }
 
+    /// Proposes a role change to the authority. The engine's model, adapter and version stay as it reported them.
     fn propose(&self, change: RoleChange, body: LoadBody) {
         log_event!(
             info,
@@ -143,18 +147,19 @@
         });
     }
 
+    /// Collects the status of a service's engines, except those that are leaving.
     fn planner_input(&self, snapshot: &Snapshot, service: &Name) -> PlannerInput {
         let now = clock::now();
         let roster = self.shared.roster();
         let router = self.shared.router();
         let view = service_view(snapshot, service);
         let engines = view.into_iter().flat_map(|s| s.engines.iter());
-        let seen = engines
+        let statuses = engines
             .filter_map(|key| snapshot.engines.get(*key))
             .filter(|engine| !roster.leaving.contains(&engine.address))
             .filter_map(|engine| engine_status(now, &router, engine));
         PlannerInput {
-            engines: seen.collect(),
+            engines: statuses.collect(),
             change_weight: change_weight(snapshot),
             max_age: self.shared.settings.poll * MAX_AGE_POLLS,
             platform_reachable: roster.standing == Standing::Current,
@@ -170,6 +175,7 @@
     }
 }
 
+/// Names of the model services.
 fn model_services(snapshot: &Snapshot) -> Vec<Name> {
     let services = snapshot.services.iter().map(|(_, service)| service);
     let models = services.filter(|s| matches!(s.kind, ServiceKind::Model { .. }));
@@ -181,7 +187,7 @@
     services.find(|service| service.name == *name)
 }
 
-/// An engine as its last report shows it; `None` if there is none.
+/// The status of an engine according to its last load report; `None` if it has not reported.
 fn engine_status(now: Time, router: &Router, engine: &EngineView) -> Option<EngineStatus> {
     let report = router.engine_load(&engine.name)?.last()?;
     Some(EngineStatus {
@@ -195,7 +201,7 @@
     })
 }
 
-/// The weight of role changes of all products, each counted by what it is owed.
+/// The mean of the products' weights of role changes, weighted by the products' shares; 0 without shares.
 fn change_weight(snapshot: &Snapshot) -> u32 {
     let products = snapshot.products.iter().map(|(_, product)| product);
     let (sum, shares) = products.fold((0, 0), |(sum, shares), p| {
