--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: carries out the decisions of [`MemberTable`], and reads the platform's lists.
+//! Membership: carries out the actions of [`MemberTable`], and reads the platform's lists of instances and upstreams.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -32,24 +32,24 @@
 use sequoiastream_peer::message::Datagram;
 
 use crate::log_event;
-use crate::ops::control::Bound;
-use crate::ops::control::config::Ahead;
+use crate::ops::control::BoundAddresses;
 use crate::ops::control::config::ConfigActor;
-use crate::ops::control::config::Confirm;
-use crate::ops::control::config::Follow;
 use crate::ops::control::config::InForce;
-use crate::ops::control::config::Leaving;
+use crate::ops::control::config::LeavingUpstreams;
+use crate::ops::control::config::PeerAhead;
+use crate::ops::control::config::RefreshHead;
+use crate::ops::control::config::Subscribe;
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Looks at the lists that a fleet of any size makes together, per second: each instance looks the less often
-/// the more there are, and tells the others what it saw.
-const LOOKS: usize = 50;
+/// Maximum rate, per second, at which the whole fleet reads the lists, whatever its size. The larger the fleet, the
+/// less often each instance reads them, and instances tell each other what they read.
+const MAX_LIST_RATE: usize = 50;
 
-/// Pause after a socket error, so that a broken socket doesn't spin.
+/// Pause after a socket error, so that a broken socket does not cause a busy loop.
 const SOCKET_PAUSE: Duration = Duration::from_millis(100);
 
-/// Keeper of the table of instances.
+/// Maintains the table of instances and publishes the roster.
 #[derive(Debug)]
 pub struct MembershipActor {
     shared: Arc<Shared>,
@@ -59,32 +59,33 @@
     members: MemberTable,
 }
 
-/// This instance begins to shut down: others stop naming it.
+/// Notifies the actor that this instance begins to shut down. Other instances then stop naming it to callers.
 #[derive(Debug, Clone, Copy, Message)]
 #[rtype(result = "()")]
 pub struct Leave;
 
+/// The result of receiving one datagram.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 struct Received(Result<(Name, Datagram), PeerError>);
 
 impl MembershipActor {
-    /// A keeper that knows of nobody else.
+    /// Creates an actor that knows of no other instance.
     pub fn new(
         shared: Arc<Shared>,
         kv: KvClient,
         config: Addr<ConfigActor>,
         socket: Rc<DatagramSocket>,
-        bound: Bound,
+        bound: BoundAddresses,
     ) -> MembershipActor {
         let settings = &shared.settings;
-        let about = InstanceInfo::new(clock::wall().0, settings.zone.clone(), bound.listen, bound.peer);
-        let myself = LocalInstance {
+        let info = InstanceInfo::new(clock::wall().0, settings.zone.clone(), bound.listen, bound.peer);
+        let local = LocalInstance {
             name: settings.name.clone(),
-            seed: about.incarnation,
-            info: about,
+            seed: info.incarnation,
+            info,
         };
-        let members = MemberTable::new(myself, settings.limits);
+        let members = MemberTable::new(local, settings.limits);
         MembershipActor {
             shared,
             kv,
@@ -94,22 +95,23 @@
         }
     }
 
-    fn on(&mut self, event: Event) {
+    /// Passes an event to the table and carries out its actions.
+    fn handle_event(&mut self, event: Event) {
         for action in self.members.on(clock::now(), event) {
             match action {
-                Action::Send(to, beat) => self.send(to, beat),
-                Action::PeerAhead(peer, version) => self.config.do_send(Ahead(peer, version)),
+                Action::Send(to, heartbeat) => self.send_heartbeat(to, heartbeat),
+                Action::PeerAhead(peer, version) => self.config.do_send(PeerAhead(peer, version)),
                 Action::Publish => self.publish(),
-                Action::Resumed => self.config.do_send(Confirm),
+                Action::Resumed => self.config.do_send(RefreshHead),
             }
         }
     }
 
-    fn send(&self, to: std::net::SocketAddr, beat: Heartbeat) {
+    fn send_heartbeat(&self, to: std::net::SocketAddr, heartbeat: Heartbeat) {
         let socket = self.socket.clone();
         let metrics = self.shared.metrics.membership.clone();
         actix::spawn(async move {
-            match socket.send(to, Datagram::Beat(beat)).await {
+            match socket.send(to, Datagram::Beat(heartbeat)).await {
                 Ok(bytes) => {
                     metrics.sent.inc();
                     metrics.bytes.inc_by(bytes as u64);
@@ -119,6 +121,7 @@
         });
     }
 
+    /// Publishes the roster, logs a change of standing, and reports changes of the leaving upstreams.
     fn publish(&self) {
         let roster = self.members.roster(clock::now());
         let standing = roster.standing;
@@ -126,19 +129,19 @@
         self.shared.metrics.membership.peers.set(peers);
         let before = self.shared.publish_roster(roster);
         match before.local {
-            // Right after its start an instance knows nothing yet; that is no fault.
+            // An instance that has just started knows nothing yet; this is not logged as an error.
             None => log_event!(info, log_event::STANDING, after = ?standing),
             Some(_) if before.standing != standing => log_standing(before.standing, standing),
             Some(_) => {}
         }
         let leaving = self.shared.roster().leaving.clone();
         if before.leaving != leaving {
-            self.config.do_send(Leaving(leaving));
+            self.config.do_send(LeavingUpstreams(leaving));
         }
     }
 
-    /// Reads the lists, again and again.
-    fn look(&mut self, context: &mut Context<Self>) {
+    /// Reads the platform's lists, and schedules the next read.
+    fn read_lists(&mut self, context: &mut Context<Self>) {
         let kv = self.kv.clone();
         let lists = async move { (kv.instances().await, kv.upstreams().await) };
         context.spawn(
@@ -147,22 +150,24 @@
                 .map(|(instances, upstreams), actor, context| {
                     actor.on_lists(instances, upstreams);
                     let fleet = actor.shared.roster().peers.len() + 1;
-                    let spread = Duration::from_secs(1) * u32::try_from(fleet / LOOKS).unwrap_or(u32::MAX);
+                    let spread =
+                        Duration::from_secs(1) * u32::try_from(fleet / MAX_LIST_RATE).unwrap_or(u32::MAX);
                     let pause = actor.shared.settings.lists.max(spread);
-                    context.run_later(pause, |actor, context| actor.look(context));
+                    context.run_later(pause, |actor, context| actor.read_lists(context));
                 }),
         );
     }
 
+    /// Passes the lists that could be read to the table, and logs the errors of the others.
     fn on_lists(&mut self, instances: Result<Vec<Listed>, KvError>, upstreams: Result<Vec<Listed>, KvError>) {
         match instances {
-            Ok(list) => self.on(Event::Listed(list.iter().filter_map(listing).collect())),
+            Ok(list) => self.handle_event(Event::Listed(list.iter().filter_map(listing).collect())),
             Err(error) => log_event!(warn, log_event::KV_FAILED, %error, call = "list instances"),
         }
         match upstreams {
             Ok(list) => {
                 let leaving = list.iter().filter(|l| l.state == ListedState::Leaving);
-                self.on(Event::Leaving(leaving.map(|l| l.address).collect()));
+                self.handle_event(Event::Leaving(leaving.map(|l| l.address).collect()));
                 self.publish();
             }
             Err(error) => log_event!(warn, log_event::KV_FAILED, %error, call = "list upstreams"),
@@ -170,6 +175,7 @@
     }
 }
 
+/// Converts a list entry; `None` if it has no peer address.
 fn listing(listed: &Listed) -> Option<Listing> {
     Some(Listing {
         name: listed.name.clone(),
@@ -183,6 +189,7 @@
     })
 }
 
+/// Logs a change of standing, as an error if this instance no longer accepts work.
 fn log_standing(before: Standing, after: Standing) {
     match after.accepts_work() {
         true => log_event!(info, log_event::STANDING, ?before, ?after),
@@ -190,7 +197,7 @@
     }
 }
 
-/// Hands datagrams to the actor until it is gone.
+/// Receives datagrams and passes them to the actor until it has ended.
 async fn receive(socket: Rc<DatagramSocket>, actor: Addr<MembershipActor>) {
     while actor.connected() {
         let received = socket.receive().await;
@@ -206,10 +213,10 @@
 
     fn started(&mut self, context: &mut Context<Self>) {
         actix::spawn(receive(self.socket.clone(), context.address()));
-        self.config.do_send(Follow(context.address().recipient()));
-        self.look(context);
+        self.config.do_send(Subscribe(context.address().recipient()));
+        self.read_lists(context);
         let interval = self.shared.settings.limits.interval;
-        context.run_interval(interval, |actor, _| actor.on(Event::Tick));
+        context.run_interval(interval, |actor, _| actor.handle_event(Event::Tick));
     }
 }
 
@@ -218,9 +225,9 @@
 
     fn handle(&mut self, Received(received): Received, _: &mut Context<Self>) {
         match received {
-            Ok((name, Datagram::Beat(beat))) => {
+            Ok((name, Datagram::Beat(heartbeat))) => {
                 self.shared.metrics.membership.received.inc();
-                self.on(Event::Heartbeat(name, beat));
+                self.handle_event(Event::Heartbeat(name, heartbeat));
             }
             Ok((_, Datagram::Ping | Datagram::Load(_))) => {}
             Ok((_, Datagram::Prove(_) | Datagram::Proof(_) | Datagram::Counts(_))) => {}
@@ -232,10 +239,10 @@
 impl Handler<InForce> for MembershipActor {
     type Result = ();
 
-    fn handle(&mut self, news: InForce, _: &mut Context<Self>) {
-        match news.contact {
-            Some(at) => self.on(Event::KvContact(at)),
-            None => self.on(Event::InForce(news.version)),
+    fn handle(&mut self, update: InForce, _: &mut Context<Self>) {
+        match update.kv_contact {
+            Some(at) => self.handle_event(Event::KvContact(at)),
+            None => self.handle_event(Event::InForce(update.version)),
         }
     }
 }
@@ -244,6 +251,6 @@
     type Result = ();
 
     fn handle(&mut self, _: Leave, _: &mut Context<Self>) {
-        self.on(Event::Leave);
+        self.handle_event(Event::Leave);
     }
 }
