--- a/src/ops/dispatch/addresses.rs
+++ b/src/ops/dispatch/addresses.rs
@@ -32,8 +32,8 @@
         conversation: &call.conversation,
     };
     let roster = dispatch.shared.roster();
-    let myself = myself(dispatch);
-    let mut addresses = rank(roster.peers.iter().chain([&myself]), &caller);
+    let own_peer = own_peer(dispatch);
+    let mut addresses = rank(roster.peers.iter().chain([&own_peer]), &caller);
     addresses.truncate(MAX_ADDRESSES);
     Ok(AddressList {
         addresses,
@@ -42,7 +42,7 @@
 }
 
 /// This instance as others see it.
-fn myself(dispatch: &Dispatch) -> Peer {
+fn own_peer(dispatch: &Dispatch) -> Peer {
     let shared = &dispatch.shared;
     let leaves = shared.is_leaving() || shared.closed().is_some();
     Peer {
@@ -65,7 +65,7 @@
 /// Failure guarded against: an instance that doesn't know the configuration in force sends work to an engine
 /// that operators have drained; one that is about to exit cuts what it begins. Nothing was sent, so `not-run`
 /// is true, and the refusal names instances that take the request.
-pub fn check_open(dispatch: &Dispatch, unsent: Unsent) -> Result<Unsent, Refusal> {
+pub fn check_accepting(dispatch: &Dispatch, unsent: Unsent) -> Result<Unsent, Refusal> {
     let Some(reason) = dispatch.shared.closed() else {
         return Ok(unsent);
     };
--- a/src/ops/dispatch/forward.rs
+++ b/src/ops/dispatch/forward.rs
@@ -27,19 +27,19 @@
 use crate::log_event;
 use crate::ops::dispatch::Dispatch;
 use crate::ops::dispatch::once;
-use crate::ops::dispatch::plain::Target;
-use crate::ops::dispatch::plain::reply_of;
+use crate::ops::dispatch::plain::Upstream;
+use crate::ops::dispatch::plain::forward_reply;
 use crate::util::clock;
 
 /// Deadline of a call whose product is not in the configuration any more.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
 /// When to come back if no upstream can take work.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Passes `call` through: once if it may not be repeated, else with further attempts.
 pub(super) async fn run(dispatch: &Dispatch, call: ForwardCall) -> Result<ForwardReply, Refusal> {
-    let Some(Served { service, repeat }) = serve(dispatch, &call) else {
+    let Some(ResolvedService { service, repeat }) = resolve_service(dispatch, &call) else {
         let proof = call.unsent.refuse(Reason::UnknownService);
         let message = format!("there is no plain service `{}`", call.service);
         return Err(Refusal::not_run(proof, message));
@@ -68,7 +68,7 @@
     {
         return Err(fault.refuse(call.unsent));
     }
-    let repeated = Repeated {
+    let repeated = RepeatableCall {
         dispatch,
         service: &service,
         product: &call.product,
@@ -76,22 +76,22 @@
         deadline,
         attempts: Attempts::new(repeat, AttemptLimit::Sent(retry::MAX_ATTEMPTS)),
         tried: Vec::new(),
-        denied: false,
+        retry_denied: false,
     };
     repeated.run(call.unsent).await
 }
 
 /// The service that a call goes to.
-struct Served {
+struct ResolvedService {
     service: Name,
     repeat: Repeat,
 }
 
-fn serve(dispatch: &Dispatch, call: &ForwardCall) -> Option<Served> {
+fn resolve_service(dispatch: &Dispatch, call: &ForwardCall) -> Option<ResolvedService> {
     let snapshot = dispatch.shared.snapshot.load();
     let view = snapshot.services.get(snapshot.service_of(&call.service)?)?;
     match &view.kind {
-        ServiceKind::Plain { routes } => Some(Served {
+        ServiceKind::Plain { routes } => Some(ResolvedService {
             service: view.name.clone(),
             repeat: repeat_of(routes, &call.method, &call.path),
         }),
@@ -110,7 +110,7 @@
 }
 
 /// A call that may be repeated, at further upstreams if one fails.
-struct Repeated<'a> {
+struct RepeatableCall<'a> {
     dispatch: &'a Dispatch,
     service: &'a Name,
     product: &'a Name,
@@ -119,20 +119,20 @@
     attempts: Attempts,
     tried: Vec<Name>,
     /// Whether the retry budget denied a further attempt.
-    denied: bool,
+    retry_denied: bool,
 }
 
-impl Repeated<'_> {
+impl RepeatableCall<'_> {
     async fn run(mut self, unsent: Unsent) -> Result<ForwardReply, Refusal> {
         self.dispatch.shared.policy.retries().record_request(self.product);
         let mut proof = Some(unsent);
         let mut last = None;
-        while self.may_go_on()
+        while self.may_attempt()
             && let Some(target) = self.pick()
         {
             let sent = proof.take().map(Unsent::send);
             let error = match self.send(&target).await {
-                Ok(reply) => return Ok(reply_of(reply)),
+                Ok(reply) => return Ok(forward_reply(reply)),
                 Err(error) => error,
             };
             log_event!(warn, log_event::ATTEMPT_FAILED, engine = %target.name, %error);
@@ -152,41 +152,45 @@
     }
 
     fn refuse(&self, unsent: Unsent) -> Refusal {
-        let (reason, message) = match self.denied {
+        let (reason, message) = match self.retry_denied {
             true => (
                 Reason::RetryBudget,
                 "an upstream refused it, and the retry budget is spent",
             ),
             false => (Reason::NoEngine, "no upstream can take work now"),
         };
-        Refusal::not_run(unsent.refuse(reason).come_back(COME_BACK), message)
+        Refusal::not_run(unsent.refuse(reason).come_back(RETRY_AFTER), message)
     }
 
     /// Whether the product's retry budget and the deadline allow one more attempt.
-    fn may_go_on(&mut self) -> bool {
+    fn may_attempt(&mut self) -> bool {
         let retry = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
-        self.denied = retry > 0 && !self.dispatch.may_retry(self.product, retry);
-        !self.denied && !self.left().is_zero()
+        self.retry_denied = retry > 0 && !self.dispatch.may_retry(self.product, retry);
+        !self.retry_denied && !self.remaining().is_zero()
     }
 
-    fn left(&self) -> Duration {
+    fn remaining(&self) -> Duration {
         self.deadline.since(clock::now())
     }
 
     /// An upstream that was not tried, else any.
-    fn pick(&self) -> Option<Target> {
-        let fresh = self.dispatch.pick_plain(self.service, &self.tried);
-        fresh.or_else(|| self.dispatch.pick_plain(self.service, &[]))
+    fn pick(&self) -> Option<Upstream> {
+        let fresh = self.dispatch.pick_upstream(self.service, &self.tried);
+        fresh.or_else(|| self.dispatch.pick_upstream(self.service, &[]))
     }
 
-    async fn send(&self, target: &Target) -> Result<PlainReply, UpstreamError> {
-        let left = self.left();
+    async fn send(&self, target: &Upstream) -> Result<PlainReply, UpstreamError> {
+        let left = self.remaining();
         // How long a service takes is not known: it may be all that is left.
         let limit = match self.attempts.allows_another() {
             true => retry::first_token_timeout(left, left, 0),
             false => left,
         };
-        let result = self.dispatch.plain.send(target.address, self.plain, limit).await;
+        let result = self
+            .dispatch
+            .plain_client
+            .send(target.address, self.plain, limit)
+            .await;
         self.dispatch.shared.router().release(&target.name);
         result
     }
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -240,7 +240,7 @@
             return Event::AttemptFailed(send.attempt, Failure::NotStarted);
         };
         self.sent = self.unsent.take().map(Unsent::send);
-        let generated = self.dispatch.engines.generate(open.target.address, &body);
+        let generated = self.dispatch.engine_client.generate(open.target.address, &body);
         let result = tokio::select! {
             result = generated => result,
             () = self.sender.closed() => return Event::CallerGone,
@@ -405,7 +405,7 @@
             return;
         };
         self.dispatch.shared.metrics.traffic.cancels.inc();
-        let engines = self.dispatch.engines.clone();
+        let engines = self.dispatch.engine_client.clone();
         let address = open.target.address;
         actix::spawn(async move {
             // An engine that can't be reached sees the closed connection.
--- a/src/ops/dispatch/mod.rs
+++ b/src/ops/dispatch/mod.rs
@@ -58,34 +58,34 @@
 pub struct Dispatch {
     shared: Arc<Shared>,
     control: Control,
-    engines: EngineClient,
-    plain: PlainClient,
-    calls: CallClient,
+    engine_client: EngineClient,
+    plain_client: PlainClient,
+    peer_client: CallClient,
 }
 
 impl Dispatch {
     /// A dispatcher with connection pools of its own.
     pub fn new(shared: Arc<Shared>, control: Control) -> Dispatch {
-        let calls = CallClient::new(ClusterKey::new(&shared.settings.cluster));
+        let peer_client = CallClient::new(ClusterKey::new(&shared.settings.cluster));
         Dispatch {
             shared,
             control,
-            engines: EngineClient::new(),
-            plain: PlainClient::new(),
-            calls,
+            engine_client: EngineClient::new(),
+            plain_client: PlainClient::new(),
+            peer_client,
         }
     }
 }
 
 impl Dispatch {
-    fn start(&self, call: GenerateCall) -> Result<Answer, Refusal> {
-        let unsent = addresses::check_open(self, call.unsent)?;
+    fn start_generate(&self, call: GenerateCall) -> Result<Answer, Refusal> {
+        let unsent = addresses::check_accepting(self, call.unsent)?;
         let call = admit::admit(self, GenerateCall { unsent, ..call })?;
         generate::start(self, call)
     }
 
-    async fn pass(&self, call: ForwardCall) -> Result<ForwardReply, Refusal> {
-        let unsent = addresses::check_open(self, call.unsent)?;
+    async fn run_forward(&self, call: ForwardCall) -> Result<ForwardReply, Refusal> {
+        let unsent = addresses::check_accepting(self, call.unsent)?;
         forward::run(self, ForwardCall { unsent, ..call }).await
     }
 
@@ -98,14 +98,14 @@
         granted
     }
 
-    fn count(&self, product: &Name, outcome: Outcome) {
+    fn count_outcome(&self, product: &Name, outcome: Outcome) {
         self.shared.metrics.traffic.outcome(product, outcome);
     }
 }
 
 impl Dispatch {
     /// The table `kind`, if it shows something else than the configuration.
-    async fn show(&self, kind: Table) -> Result<Option<TableBody>, OperatorError> {
+    async fn show_table(&self, kind: Table) -> Result<Option<TableBody>, OperatorError> {
         let gone = |error: MailboxError| OperatorError::Platform(error.to_string());
         match kind {
             Table::Claims => self.control.claims.send(ShowClaims).await.map(Some).map_err(gone),
@@ -149,19 +149,19 @@
 
     async fn generate(&self, call: GenerateCall) -> Result<Answer, Refusal> {
         let product = call.product.clone();
-        let started = self.start(call);
+        let started = self.start_generate(call);
         // How an answer that was started ends is counted at its end.
         if let Err(refusal) = &started {
-            self.count(&product, refusal.outcome());
+            self.count_outcome(&product, refusal.outcome());
         }
         started
     }
 
     async fn forward(&self, call: ForwardCall) -> Result<ForwardReply, Refusal> {
         let product = call.product.clone();
-        let result = self.pass(call).await;
+        let result = self.run_forward(call).await;
         let outcome = result.as_ref().map_or_else(Refusal::outcome, |_| Outcome::Whole);
-        self.count(&product, outcome);
+        self.count_outcome(&product, outcome);
         result
     }
 
@@ -189,8 +189,8 @@
         statement: StatementBody,
         from: Option<SocketAddr>,
     ) -> Result<ReplyBody, OperatorError> {
-        if let Some(query) = only_query(&statement)
-            && let Some(table) = self.show(query.table).await?
+        if let Some(query) = single_query(&statement)
+            && let Some(table) = self.show_table(query.table).await?
         {
             return select(table, &query).map(ReplyBody::Table);
         }
@@ -202,7 +202,7 @@
 }
 
 /// The query, if the statement is just one.
-fn only_query(statement: &StatementBody) -> Option<Query> {
+fn single_query(statement: &StatementBody) -> Option<Query> {
     match parse_script(&statement.text).ok()?.as_slice() {
         [Statement::Show(query)] => Some(query.clone()),
         _ => None,
--- a/src/ops/dispatch/once.rs
+++ b/src/ops/dispatch/once.rs
@@ -39,55 +39,55 @@
 
 use crate::log_event;
 use crate::ops::dispatch::Dispatch;
-use crate::ops::dispatch::plain::Target;
-use crate::ops::dispatch::plain::reply_of;
+use crate::ops::dispatch::plain::Upstream;
+use crate::ops::dispatch::plain::forward_reply;
 use crate::util::clock;
 
 /// How long after its caller's deadline an answer is still waited for, so that a repeat can be told it.
-const LATE: Duration = Duration::from_secs(60);
+const LATE_ANSWER_WAIT: Duration = Duration::from_secs(60);
 
 /// How long a caller waits at most until the owner of its claim knows what became of its call.
-const TELL: Duration = Duration::from_secs(1);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// When to come back for a request that runs.
-const COME_BACK: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Shortest time after which to come back.
-const SOON: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A claimed call on its way.
-struct Once {
+struct ClaimedCall {
     dispatch: Dispatch,
     claim: ClaimRef,
-    mark: ClaimToken,
+    token: ClaimToken,
     deadline: Time,
 }
 
 /// Why a call's idempotency key can't be used.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum KeyFault {
+pub(super) enum InvalidKey {
     /// There is none.
     Missing,
     /// It is refused.
-    Refused(KeyError),
+    Rejected(KeyError),
 }
 
-impl KeyFault {
+impl InvalidKey {
     /// Refuses the call.
     pub(super) fn refuse(self, unsent: Unsent) -> Refusal {
         let (reason, message) = match self {
-            KeyFault::Missing => (
+            InvalidKey::Missing => (
                 Reason::BadRequest,
                 "this call may not be repeated: it needs the header `idempotency-key` with a UUIDv7"
                     .to_string(),
             ),
-            KeyFault::Refused(error) => (reason_of(error), error.to_string()),
+            InvalidKey::Rejected(error) => (rejection_reason(error), error.to_string()),
         };
         Refusal::not_run(unsent.refuse(reason), message)
     }
 }
 
-fn reason_of(error: KeyError) -> Reason {
+fn rejection_reason(error: KeyError) -> Reason {
     match error {
         KeyError::Malformed | KeyError::Future => Reason::BadRequest,
         KeyError::Old => Reason::KeyExpired,
@@ -102,15 +102,15 @@
 ///
 /// # Errors
 ///
-/// [`KeyFault`] if there is no key, or it can't be used.
-pub(super) fn check_key(dispatch: &Dispatch, key: Option<&str>) -> Result<IdempotencyKey, KeyFault> {
-    let key = key.ok_or(KeyFault::Missing)?;
-    let key: IdempotencyKey = key.parse().map_err(KeyFault::Refused)?;
+/// [`InvalidKey`] if there is no key, or it can't be used.
+pub(super) fn check_key(dispatch: &Dispatch, key: Option<&str>) -> Result<IdempotencyKey, InvalidKey> {
+    let key = key.ok_or(InvalidKey::Missing)?;
+    let key: IdempotencyKey = key.parse().map_err(InvalidKey::Rejected)?;
     if !dispatch.shared.clocks().is_trusted() {
-        return Err(KeyFault::Refused(KeyError::ClockStepped));
+        return Err(InvalidKey::Rejected(KeyError::ClockStepped));
     }
     let checked = dispatch.shared.keys.check(&key, clock::both());
-    checked.map(|()| key).map_err(KeyFault::Refused)
+    checked.map(|()| key).map_err(InvalidKey::Rejected)
 }
 
 /// Claims `key` and passes the call through, at most once.
@@ -125,37 +125,37 @@
         Ok(key) => key,
         Err(fault) => return Err(fault.refuse(call.unsent)),
     };
-    let once = Once {
+    let once = ClaimedCall {
         dispatch: dispatch.clone(),
         claim: ClaimRef::new(&call.product, service, &key),
-        mark: ClaimToken(Uuid::new_v4()),
+        token: ClaimToken(Uuid::new_v4()),
         deadline,
     };
     let print = Fingerprint::new(&call.method, &call.path, &call.body);
     match once.claim(call.unsent, print).await {
         EntryStep::Granted(grant) => once.send(service, grant, plain).await,
-        EntryStep::Held(seen) => seen_reply(seen),
+        EntryStep::Held(seen) => held_reply(seen),
         EntryStep::Refused(unsent, refused, after) => {
             if !matches!(refused, Refused::Mismatch) {
                 once.release();
             }
             let proof = unsent.refuse(refused.reason());
             let proof = after.map_or(proof, |after| proof.come_back(after));
-            Err(refusal(proof, refused))
+            Err(claim_refusal(proof, refused))
         }
         EntryStep::Ask(..) => Err(Refusal::unknown("the claim was lost")),
     }
 }
 
-impl Once {
+impl ClaimedCall {
     /// Asks owners in turn until one decides.
     async fn claim(&self, unsent: Unsent, print: Fingerprint) -> EntryStep<Unsent> {
-        let owners = self.dispatch.owners(self.claim.bucket.shard);
+        let owners = self.dispatch.ranked_owners(self.claim.bucket.shard);
         let now = clock::now();
-        let machine = EntryClaim::new(unsent, self.claim, self.mark, print, owners, now, self.deadline);
+        let machine = EntryClaim::new(unsent, self.claim, self.token, print, owners, now, self.deadline);
         let mut step = machine.begin(clock::both());
         while let EntryStep::Ask(machine, owner, ask) = step {
-            let event = self.dispatch.ask(&owner, ask).await;
+            let event = self.dispatch.request_claim(&owner, ask).await;
             if matches!(event, EntryEvent::NoAnswer) {
                 log_event!(warn, log_event::OWNER_SILENT, %owner, shard = self.claim.bucket.shard);
             }
@@ -172,9 +172,9 @@
         grant: Grant<Unsent>,
         plain: PlainCall,
     ) -> Result<ForwardReply, Refusal> {
-        let Some(target) = self.dispatch.pick_plain(service, &[]) else {
+        let Some(target) = self.dispatch.pick_upstream(service, &[]) else {
             self.release();
-            let proof = grant.into_proof().refuse(Reason::NoEngine).come_back(COME_BACK);
+            let proof = grant.into_proof().refuse(Reason::NoEngine).come_back(RETRY_AFTER);
             return Err(Refusal::not_run(proof, "no upstream can take work now"));
         };
         let left = self.deadline.since(clock::now());
@@ -182,7 +182,9 @@
         let running = self.dispatch.shared.begin_work();
         actix::spawn(async move {
             let _running = running;
-            let result = self.attempt(&target, grant, &plain, left + LATE).await;
+            let result = self
+                .attempt(&target, grant, &plain, left + LATE_ANSWER_WAIT)
+                .await;
             self.dispatch.shared.router().release(&target.name);
             // The caller may be gone; then nobody needs the answer.
             let _ = sender.send(result);
@@ -198,37 +200,42 @@
 
     async fn attempt(
         &self,
-        target: &Target,
+        target: &Upstream,
         grant: Grant<Unsent>,
         plain: &PlainCall,
         limit: Duration,
     ) -> Result<ForwardReply, Refusal> {
         let sent = grant.into_proof().send();
-        match self.dispatch.plain.send_once(target.address, plain, limit).await {
+        match self
+            .dispatch
+            .plain_client
+            .send_once(target.address, plain, limit)
+            .await
+        {
             Ok(reply) => {
-                self.tell(Change::Finish(kept(&reply))).await;
-                Ok(reply_of(reply))
+                self.report(Change::Finish(stored_answer(&reply))).await;
+                Ok(forward_reply(reply))
             }
             Err(error) if error.is_not_started() => {
-                self.tell(Change::Release).await;
+                self.report(Change::Release).await;
                 Err(Refusal::not_run(sent.vouched(), error.to_string()))
             }
             Err(error) => {
-                self.warn(target.address, &error);
-                self.tell(Change::Unknown).await;
+                self.log_unknown(target.address, &error);
+                self.report(Change::Unknown).await;
                 let _ran = sent.lost();
                 Err(Refusal::unknown(error.to_string()))
             }
         }
     }
 
-    fn warn(&self, address: SocketAddr, error: &UpstreamError) {
-        log_event!(warn, log_event::CLAIM_UNKNOWN, %address, %error, request = %self.mark.0);
+    fn log_unknown(&self, address: SocketAddr, error: &UpstreamError) {
+        log_event!(warn, log_event::CLAIM_UNKNOWN, %address, %error, request = %self.token.0);
     }
 
     fn release(&self) {
         // Nobody waits for it; the caller is told at once.
-        let _task = self.report(Change::Release);
+        let _task = self.spawn_report(Change::Release);
     }
 
     /// Tells the owner what became of the call, before the caller hears.
@@ -236,28 +243,28 @@
     /// Failure guarded against: a caller that has its answer sends the call again, and is told that it still runs,
     /// since the owner doesn't know better yet. An owner that is silent doesn't hold the caller up for long; it
     /// is told all the same.
-    async fn tell(&self, change: Change) {
-        let _ = tokio::time::timeout(TELL, self.report(change)).await;
+    async fn report(&self, change: Change) {
+        let _ = tokio::time::timeout(REPORT_TIMEOUT, self.spawn_report(change)).await;
     }
 
-    fn report(&self, change: Change) -> JoinHandle<()> {
+    fn spawn_report(&self, change: Change) -> JoinHandle<()> {
         let dispatch = self.dispatch.clone();
         let bucket = self.claim.bucket;
         let edit = Edit {
             id: self.claim.id,
-            token: self.mark,
+            token: self.token,
             change,
         };
         // A shutdown waits until the owner knows.
         let running = dispatch.shared.begin_work();
         actix::spawn(async move {
-            dispatch.report(bucket, edit).await;
+            dispatch.send_edit(bucket, edit).await;
             drop(running);
         })
     }
 }
 
-fn kept(reply: &PlainReply) -> Option<StoredAnswer> {
+fn stored_answer(reply: &PlainReply) -> Option<StoredAnswer> {
     let stored = StoredAnswer {
         status: reply.status,
         content: reply.content.clone(),
@@ -266,7 +273,7 @@
     stored.is_small().then_some(stored)
 }
 
-fn seen_reply(seen: ClaimStatus) -> Result<ForwardReply, Refusal> {
+fn held_reply(seen: ClaimStatus) -> Result<ForwardReply, Refusal> {
     match seen {
         ClaimStatus::Finished(Some(stored)) => Ok(ForwardReply {
             status: stored.status,
@@ -276,14 +283,14 @@
         ClaimStatus::Finished(None) => Err(Refusal::unknown(
             "the request with this key has run; its answer was too large to be kept",
         )),
-        ClaimStatus::Running(left) => Err(Refusal::running(left.clamp(SOON, COME_BACK))),
+        ClaimStatus::Running(left) => Err(Refusal::running(left.clamp(MIN_RETRY_AFTER, RETRY_AFTER))),
         ClaimStatus::Unknown => Err(Refusal::unknown(
             "a request with this key was sent on, and it is not known whether it ran",
         )),
     }
 }
 
-fn refusal(proof: NotRun, refused: Refused) -> Refusal {
+fn claim_refusal(proof: NotRun, refused: Refused) -> Refusal {
     let message = match refused {
         Refused::Unavailable => {
             "the key-value service is out of reach, so this request can't be claimed and was not sent; \
@@ -301,7 +308,7 @@
 /// What is known of a request, of the named service or of any plain service.
 pub(super) async fn status(dispatch: &Dispatch, call: StatusCall) -> Result<RequestState, Refusal> {
     let Ok(key) = call.key.parse::<IdempotencyKey>() else {
-        return Err(KeyFault::Refused(KeyError::Malformed).refuse(call.unsent));
+        return Err(InvalidKey::Rejected(KeyError::Malformed).refuse(call.unsent));
     };
     let product = &call.product;
     let service = call.service.as_deref();
@@ -309,7 +316,7 @@
         return Ok(RequestState::Expired);
     }
     for name in plain_services(dispatch, service) {
-        let verdict = dispatch.look(ClaimRef::new(product, &name, &key)).await;
+        let verdict = dispatch.query_claim(ClaimRef::new(product, &name, &key)).await;
         match verdict {
             Verdict::Unclaimed => {}
             Verdict::Held(ClaimStatus::Running(_)) => return Ok(RequestState::Running),
--- a/src/ops/dispatch/owners.rs
+++ b/src/ops/dispatch/owners.rs
@@ -25,20 +25,20 @@
 use crate::util::clock;
 
 /// How long an owner may be silent before it is asked whether it runs.
-const PATIENCE: Duration = Duration::from_millis(250);
+const PING_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long an instance that runs may take to say so.
-const PING: Duration = Duration::from_millis(250);
+const PING_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for an answer to travel.
-const TRAVEL: Duration = Duration::from_millis(200);
+const NETWORK_MARGIN: Duration = Duration::from_millis(200);
 
 /// How long an owner may take to say what is known of a claim, or to take a report.
-const SHORT: Duration = Duration::from_secs(4);
+const OWNER_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Dispatch {
     /// Instances to ask about a shard, in turn. Those that leave are not asked; this one comes last if it leaves.
-    pub(super) fn owners(&self, shard: u16) -> Vec<Name> {
+    pub(super) fn ranked_owners(&self, shard: u16) -> Vec<Name> {
         let roster = self.shared.roster();
         let staying = roster.peers.iter().filter(|p| p.state == MemberState::Live);
         let others = staying.map(|p| Candidate {
@@ -53,7 +53,7 @@
         self.shared.owners().ranked(candidates, shard, clock::now())
     }
 
-    fn peer(&self, name: &Name) -> Option<SocketAddr> {
+    fn peer_address(&self, name: &Name) -> Option<SocketAddr> {
         let roster = self.shared.roster();
         roster
             .peers
@@ -63,8 +63,8 @@
     }
 
     /// Asks `owner` for a claim.
-    pub(super) async fn ask(&self, owner: &Name, ask: ClaimRequest) -> EntryEvent {
-        let limit = ask.wait + TRAVEL;
+    pub(super) async fn request_claim(&self, owner: &Name, ask: ClaimRequest) -> EntryEvent {
+        let limit = ask.wait + NETWORK_MARGIN;
         if *owner == self.shared.settings.name {
             let answer = tokio::time::timeout(limit, self.control.claims.send(Claim(ask))).await;
             return match answer {
@@ -72,7 +72,7 @@
                 _ => EntryEvent::NoAnswer,
             };
         }
-        match self.question(owner, Request::Claim(ask), limit).await {
+        match self.call_owner(owner, Request::Claim(ask), limit).await {
             Some(Response::Verdict(verdict)) => {
                 if let Verdict::Unavailable(_) = verdict {
                     // Others may reach the key-value service; for a while they are asked first.
@@ -85,11 +85,11 @@
     }
 
     /// Asks what is known of a claim.
-    pub(super) async fn look(&self, claim: ClaimRef) -> Verdict {
-        for owner in self.owners(claim.bucket.shard) {
+    pub(super) async fn query_claim(&self, claim: ClaimRef) -> Verdict {
+        for owner in self.ranked_owners(claim.bucket.shard) {
             let verdict = match owner == self.shared.settings.name {
                 true => self.control.claims.send(Look(claim)).await.ok(),
-                false => match self.question(&owner, Request::Look(claim), SHORT).await {
+                false => match self.call_owner(&owner, Request::Look(claim), OWNER_TIMEOUT).await {
                     Some(Response::Verdict(verdict)) => Some(verdict),
                     _ => None,
                 },
@@ -98,19 +98,19 @@
                 return verdict;
             }
         }
-        Verdict::Unavailable(SHORT)
+        Verdict::Unavailable(OWNER_TIMEOUT)
     }
 
     /// Tells the owner what became of a claim; if nobody takes it, the claim stays granted and is told as
     /// unknown.
-    pub(super) async fn report(&self, bucket: BucketId, edit: Edit) {
-        for owner in self.owners(bucket.shard) {
+    pub(super) async fn send_edit(&self, bucket: BucketId, edit: Edit) {
+        for owner in self.ranked_owners(bucket.shard) {
             if owner == self.shared.settings.name {
                 self.control.claims.do_send(Report(bucket, edit));
                 return;
             }
             let request = Request::Edit(bucket, edit.clone());
-            if let Some(Response::Taken) = self.question(&owner, request, SHORT).await {
+            if let Some(Response::Taken) = self.call_owner(&owner, request, OWNER_TIMEOUT).await {
                 return;
             }
         }
@@ -120,13 +120,18 @@
     ///
     /// Failure guarded against: a paused owner holds a caller up until its deadline. A question that takes
     /// long is no sign of a pause, since the key-value service may be slow; a ping that nobody answers is.
-    async fn question(&self, owner: &Name, request: Request, limit: Duration) -> Option<Response> {
-        let address = self.peer(owner)?;
-        let call = std::pin::pin!(self.calls.call(address, &request, limit));
+    async fn call_owner(&self, owner: &Name, request: Request, limit: Duration) -> Option<Response> {
+        let address = self.peer_address(owner)?;
+        let call = std::pin::pin!(self.peer_client.call(address, &request, limit));
         let watch = std::pin::pin!(async {
             loop {
-                tokio::time::sleep(PATIENCE).await;
-                if self.calls.call(address, &Request::Ping, PING).await.is_err() {
+                tokio::time::sleep(PING_INTERVAL).await;
+                if self
+                    .peer_client
+                    .call(address, &Request::Ping, PING_TIMEOUT)
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/src/ops/dispatch/plain.rs
+++ b/src/ops/dispatch/plain.rs
@@ -10,7 +10,7 @@
 
 /// A picked upstream.
 #[derive(Debug, Clone)]
-pub(super) struct Target {
+pub(super) struct Upstream {
     /// Its name.
     pub(super) name: Name,
     /// Where it listens.
@@ -19,12 +19,12 @@
 
 impl Dispatch {
     /// Picks an upstream of `service` and counts the call there.
-    pub(super) fn pick_plain(&self, service: &Name, except: &[Name]) -> Option<Target> {
+    pub(super) fn pick_upstream(&self, service: &Name, except: &[Name]) -> Option<Upstream> {
         let snapshot = self.shared.snapshot.load();
         let service = snapshot.service_of(service.as_str())?;
         let key = self.shared.router().pick(&snapshot, service, except)?;
         let engine = snapshot.engines.get(key)?;
-        Some(Target {
+        Some(Upstream {
             name: engine.name.clone(),
             address: engine.address,
         })
@@ -32,7 +32,7 @@
 }
 
 /// The answer to the caller.
-pub(super) fn reply_of(reply: PlainReply) -> ForwardReply {
+pub(super) fn forward_reply(reply: PlainReply) -> ForwardReply {
     ForwardReply {
         status: reply.status,
         content: reply.content,
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -291,14 +291,14 @@
             return None;
         }
         let before = self.shared.poison().incarnation(attempt);
-        let mut probe = self.engines.probe(target.address).await;
+        let mut probe = self.engine_client.probe(target.address).await;
         for _ in 0..PROBES {
             if probe != Probe::Breaks {
                 break;
             }
             // A process that dies still takes connections for a moment, and breaks them.
             tokio::time::sleep(PROBE_PAUSE).await;
-            probe = self.engines.probe(target.address).await;
+            probe = self.engine_client.probe(target.address).await;
         }
         match probe {
             Probe::Refuses => Some(Evidence::Crashed),
@@ -351,7 +351,7 @@
         let calls = roster
             .peers
             .iter()
-            .map(|peer| self.calls.call(peer.peer_address, &request, PEER_LIMIT));
+            .map(|peer| self.peer_client.call(peer.peer_address, &request, PEER_LIMIT));
         let answers = join_all(calls).await.into_iter();
         answers
             .filter_map(|answer| match answer {
