--- a/src/ops/dispatch/addresses.rs
+++ b/src/ops/dispatch/addresses.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers should use, and whether this instance takes new work.
+//! The instance addresses that callers should use, and whether this instance accepts new work.
 
 use sequoiastream_caller::AddressCall;
 use sequoiastream_caller::AddressList;
@@ -12,10 +12,14 @@
 
 use crate::ops::dispatch::Dispatch;
 
-/// Most addresses named.
+/// Maximum number of addresses in a list or in a refusal.
 const MAX_ADDRESSES: usize = 8;
 
-/// The addresses for `call`.
+/// Lists the addresses that the caller should use, best first.
+///
+/// # Errors
+///
+/// A refusal if the service is unknown.
 pub fn list(dispatch: &Dispatch, call: AddressCall) -> Result<AddressList, Refusal> {
     let snapshot = dispatch.shared.snapshot.load();
     if let Some(service) = call.service.as_deref()
@@ -41,16 +45,16 @@
     })
 }
 
-/// This instance as others see it.
+/// This instance in the form in which the roster holds its peers.
 fn own_peer(dispatch: &Dispatch) -> Peer {
     let shared = &dispatch.shared;
-    let leaves = shared.is_leaving() || shared.closed().is_some();
+    let leaving = shared.is_leaving() || shared.closed().is_some();
     Peer {
         name: shared.settings.name.clone(),
         zone: shared.settings.zone.clone(),
         address: dispatch.control.bound.listen,
         peer_address: dispatch.control.bound.peer,
-        state: if leaves {
+        state: if leaving {
             MemberState::Leaving
         } else {
             MemberState::Live
@@ -60,18 +64,18 @@
     }
 }
 
-/// Refuses new work if this instance stops or is cut off.
+/// Refuses new work if this instance is stopping or cut off from the configuration.
 ///
-/// Failure guarded against: an instance that doesn't know the configuration in force sends work to an engine
-/// that operators have drained; one that is about to exit cuts what it begins. Nothing was sent, so `not-run`
-/// is true, and the refusal names instances that take the request.
+/// Failure guarded against: an instance that doesn't know the current configuration sends work to an engine that
+/// operators have drained; one that is about to exit interrupts work that it starts. Nothing was sent, so the outcome
+/// `not-run` is correct, and the refusal names instances that accept the request.
 pub fn check_accepting(dispatch: &Dispatch, unsent: Unsent) -> Result<Unsent, Refusal> {
     let Some(reason) = dispatch.shared.closed() else {
         return Ok(unsent);
     };
-    let what = match reason {
+    let cause = match reason {
         Reason::Stopping => "this instance is stopping",
-        _ => "this instance is cut off and doesn't know the configuration in force",
+        _ => "this instance is cut off and doesn't know the current configuration",
     };
     let roster = dispatch.shared.roster();
     let others = roster.peers.iter().filter(|peer| peer.accepts_work());
@@ -80,8 +84,8 @@
         .map(|p| p.address.to_string())
         .collect();
     let message = match others.is_empty() {
-        true => what.to_string(),
-        false => format!("{what}; use {}", others.join(", ")),
+        true => cause.to_string(),
+        false => format!("{cause}; use {}", others.join(", ")),
     };
     Err(Refusal::not_run(unsent.refuse(reason), message))
 }
--- a/src/ops/dispatch/admit.rs
+++ b/src/ops/dispatch/admit.rs
@@ -1,4 +1,4 @@
-//! What the policy has to know of a request, and whether it may run now.
+//! Admission control: describes a request to the policies and decides whether it may run now.
 
 use std::time::Duration;
 
@@ -22,13 +22,13 @@
 use crate::ops::shared::Shared;
 use crate::util::clock;
 
-/// Deadline of a request of a product that sets none.
+/// Deadline of a request if neither the request nor its product sets one.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// Priority at the engine of work on borrowed time.
+/// Priority at the engine of work on engine time borrowed from another product's share.
 const BORROWED_PRIORITY: u8 = 4;
 
-/// Describes `call` to the router.
+/// Builds the description of `call` that the router and the limits work with.
 pub fn route_request(
     shared: &Shared,
     snapshot: &Snapshot,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Deadline of a request that names none.
+/// Deadline of a request that sets none: that of its product, or else [`DEFAULT_DEADLINE`].
 pub fn default_deadline(snapshot: &Snapshot, call: &GenerateCall) -> Duration {
     match find_product(snapshot, &call.product) {
         Some(product) if product.deadline > 0 => Duration::from_millis(u64::from(product.deadline)),
@@ -64,12 +64,12 @@
     }
 }
 
-/// The service that runs what callers name `name`, and its model. Callers may name the service that serves a model;
-/// engines know only the model.
+/// Resolves the name in a request, which may be that of a model or of the service that serves it, to the service and its
+/// model. Engines know only the model's name.
 ///
 /// # Errors
 ///
-/// Why there is none.
+/// A message for the caller if `name` is unknown or names a plain service.
 pub fn resolve_service<'s>(snapshot: &'s Snapshot, name: &str) -> Result<(ServiceKey, &'s str), String> {
     let service = snapshot.service_of(name);
     let view = service.and_then(|key| Some((key, snapshot.services.get(key)?)));
@@ -82,12 +82,12 @@
     }
 }
 
-/// Lets `call` through if its product may use the engines now and its deadline can be met. An answer that was
-/// begun before is let through always.
+/// Admits `call` if its product may use the engines now and its deadline can be met. A call that resumes an answer is
+/// always admitted.
 ///
 /// # Errors
 ///
-/// A refusal, given at once: nothing was sent.
+/// A refusal, returned at once: nothing was sent.
 pub fn admit(dispatch: &Dispatch, mut call: GenerateCall) -> Result<GenerateCall, Refusal> {
     let shared = &dispatch.shared;
     let snapshot = shared.snapshot.load();
@@ -96,9 +96,9 @@
         Err(why) => return Err(Refusal::not_run(call.unsent.refuse(Reason::UnknownService), why)),
     };
     shared.policy.retries().record_request(&call.product);
-    let ask = route_request(shared, &snapshot, &call, service);
+    let route = route_request(shared, &snapshot, &call, service);
     let now = clock::now();
-    let Some(foreseen) = shared.router().forecast(now, &snapshot, &ask) else {
+    let Some(forecast) = shared.router().forecast(now, &snapshot, &route) else {
         return Ok(call);
     };
     let Some(view) = snapshot.services.get(service) else {
@@ -106,29 +106,29 @@
     };
     shared
         .policy
-        .ask(&view.name, f64::from(foreseen.prefill), f64::from(ask.output));
+        .ask(&view.name, f64::from(forecast.prefill), f64::from(route.output));
     if !shared.settings.policy.enforces_limits() || call.resume.offset > 0 {
         return Ok(call);
     }
-    let owed = ServiceShare {
+    let share = ServiceShare {
         share: find_product(&snapshot, &call.product).map_or(Share::default(), |p| p.share),
         engines: view.engines.len(),
     };
-    let need = RequestCost {
-        cost: limit::cost(foreseen.speed, foreseen.prefill, ask.output),
-        total: foreseen.estimate.total(),
-        left: ask.deadline.since(now).as_secs_f64(),
+    let cost = RequestCost {
+        cost: limit::cost(forecast.speed, forecast.prefill, route.output),
+        total: forecast.estimate.total(),
+        left: route.deadline.since(now).as_secs_f64(),
     };
-    let verdict = shared
+    let admission = shared
         .policy
         .limits()
         .at(&view.name)
-        .admit(now, &call.product, owed, need);
-    shared.metrics.policy.verdict(&call.product, verdict);
-    match verdict {
+        .admit(now, &call.product, share, cost);
+    shared.metrics.policy.verdict(&call.product, admission);
+    match admission {
         Admission::WithinShare => Ok(call),
         Admission::Borrowed => {
-            // Work on borrowed time goes behind the work of those who are owed it.
+            // Work on borrowed engine time runs after the work of products within their own share.
             call.priority = call.priority.max(BORROWED_PRIORITY);
             Ok(call)
         }
@@ -147,6 +147,6 @@
 fn refusal_message(reason: Reason) -> &'static str {
     match reason {
         Reason::TooLate => "no engine can finish the request before its deadline",
-        _ => "the product's share of engine time is used up and nobody lends",
+        _ => "the product's share of engine time is used up and no other product lends capacity",
     }
 }
--- a/src/ops/dispatch/forward.rs
+++ b/src/ops/dispatch/forward.rs
@@ -1,4 +1,4 @@
-//! Passing calls through to plain services.
+//! Passes calls through to plain services.
 
 use std::time::Duration;
 
@@ -31,13 +31,13 @@
 use crate::ops::dispatch::plain::forward_reply;
 use crate::util::clock;
 
-/// Deadline of a call whose product is not in the configuration any more.
+/// Deadline of a call that sets none and whose product is no longer in the configuration.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// When to come back if no upstream can take work.
+/// Retry delay given to the caller if no upstream can take the call.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Passes `call` through: once if it may not be repeated, else with further attempts.
+/// Passes `call` through: at most once if its route may not be repeated, otherwise with retries at other upstreams.
 pub(super) async fn run(dispatch: &Dispatch, call: ForwardCall) -> Result<ForwardReply, Refusal> {
     let Some(ResolvedService { service, repeat }) = resolve_service(dispatch, &call) else {
         let proof = call.unsent.refuse(Reason::UnknownService);
@@ -81,7 +81,7 @@
     repeated.run(call.unsent).await
 }
 
-/// The service that a call goes to.
+/// The service that a call goes to, and whether calls on its route may be repeated.
 struct ResolvedService {
     service: Name,
     repeat: Repeat,
@@ -109,7 +109,7 @@
     call.deadline.unwrap_or(default).min(MAX_DEADLINE)
 }
 
-/// A call that may be repeated, at further upstreams if one fails.
+/// A call that may be repeated: if one upstream fails, it is retried at another.
 struct RepeatableCall<'a> {
     dispatch: &'a Dispatch,
     service: &'a Name,
@@ -118,7 +118,7 @@
     deadline: Time,
     attempts: Attempts,
     tried: Vec<Name>,
-    /// Whether the retry budget denied a further attempt.
+    /// Whether the retry budget denied another attempt, which decides the reason given to the caller.
     retry_denied: bool,
 }
 
@@ -155,14 +155,14 @@
         let (reason, message) = match self.retry_denied {
             true => (
                 Reason::RetryBudget,
-                "an upstream refused it, and the retry budget is spent",
+                "an upstream refused the call, and the product's retry budget is used up",
             ),
             false => (Reason::NoEngine, "no upstream can take work now"),
         };
         Refusal::not_run(unsent.refuse(reason).come_back(RETRY_AFTER), message)
     }
 
-    /// Whether the product's retry budget and the deadline allow one more attempt.
+    /// Whether the product's retry budget and the deadline allow another attempt. Takes a retry from the budget.
     fn may_attempt(&mut self) -> bool {
         let retry = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
         self.retry_denied = retry > 0 && !self.dispatch.may_retry(self.product, retry);
@@ -173,15 +173,15 @@
         self.deadline.since(clock::now())
     }
 
-    /// An upstream that was not tried, else any.
+    /// Picks an upstream that was not tried, or any if all were.
     fn pick(&self) -> Option<Upstream> {
-        let fresh = self.dispatch.pick_upstream(self.service, &self.tried);
-        fresh.or_else(|| self.dispatch.pick_upstream(self.service, &[]))
+        let untried = self.dispatch.pick_upstream(self.service, &self.tried);
+        untried.or_else(|| self.dispatch.pick_upstream(self.service, &[]))
     }
 
     async fn send(&self, target: &Upstream) -> Result<PlainReply, UpstreamError> {
         let left = self.remaining();
-        // How long a service takes is not known: it may be all that is left.
+        // The time that a service takes is unknown, so the whole time left is passed as the expected time.
         let limit = match self.attempts.allows_another() {
             true => retry::first_token_timeout(left, left, 0),
             false => left,
--- a/src/ops/dispatch/mod.rs
+++ b/src/ops/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! What a traffic thread does with requests: picks upstreams, starts attempts and relays answers.
+//! Handles requests on the traffic threads: picks upstreams, starts attempts and relays answers.
 
 mod addresses;
 mod admit;
@@ -53,7 +53,7 @@
 use crate::ops::tables;
 use crate::util::clock;
 
-/// One traffic thread's side of the daemon.
+/// The request dispatcher of one traffic thread.
 #[derive(Debug, Clone)]
 pub struct Dispatch {
     shared: Arc<Shared>,
@@ -64,7 +64,7 @@
 }
 
 impl Dispatch {
-    /// A dispatcher with connection pools of its own.
+    /// Creates a dispatcher with its own connection pools.
     pub fn new(shared: Arc<Shared>, control: Control) -> Dispatch {
         let peer_client = CallClient::new(ClusterKey::new(&shared.settings.cluster));
         Dispatch {
@@ -89,7 +89,8 @@
         forward::run(self, ForwardCall { unsent, ..call }).await
     }
 
-    /// Takes retry number `retry` of a request from the product's retry budget.
+    /// Takes retry number `retry` (counted from 1) of a request from the product's retry budget. Returns `false` if it
+    /// is denied.
     fn may_retry(&self, product: &Name, retry: u32) -> bool {
         let granted = self.shared.policy.retries().take_retry(product, retry).is_some();
         if !granted {
@@ -104,14 +105,20 @@
 }
 
 impl Dispatch {
-    /// The table `kind`, if it shows something else than the configuration.
+    /// Returns the table `kind` if it shows something other than the configuration.
     async fn show_table(&self, kind: Table) -> Result<Option<TableBody>, OperatorError> {
-        let gone = |error: MailboxError| OperatorError::Platform(error.to_string());
+        let actor_gone = |error: MailboxError| OperatorError::Platform(error.to_string());
         match kind {
-            Table::Claims => self.control.claims.send(ShowClaims).await.map(Some).map_err(gone),
+            Table::Claims => self
+                .control
+                .claims
+                .send(ShowClaims)
+                .await
+                .map(Some)
+                .map_err(actor_gone),
             Table::Leases | Table::Orders => {
-                let shown = self.control.authority.send(ShowAuthorities(kind)).await;
-                shown.map_err(gone)?.map(Some)
+                let table = self.control.authority.send(ShowAuthorities(kind)).await;
+                table.map_err(actor_gone)?.map(Some)
             }
             Table::Limits => Ok(Some(tables::limits(&self.shared.policy.limits(), clock::now()))),
             _ => Ok(None),
@@ -150,7 +157,7 @@
     async fn generate(&self, call: GenerateCall) -> Result<Answer, Refusal> {
         let product = call.product.clone();
         let started = self.start_generate(call);
-        // How an answer that was started ends is counted at its end.
+        // The outcome of an answer that was started is counted when it ends.
         if let Err(refusal) = &started {
             self.count_outcome(&product, refusal.outcome());
         }
@@ -180,7 +187,7 @@
 
 impl Executor for Dispatch {
     fn authorize(&self, token: &str) -> bool {
-        // Hashes are compared so that the time taken tells nothing about the token.
+        // Hashes are compared so that the time taken reveals nothing about the token.
         blake3::hash(token.as_bytes()) == blake3::hash(self.shared.settings.token.as_bytes())
     }
 
@@ -201,7 +208,7 @@
     }
 }
 
-/// The query, if the statement is just one.
+/// Returns the query if the statement consists of a single query.
 fn single_query(statement: &StatementBody) -> Option<Query> {
     match parse_script(&statement.text).ok()?.as_slice() {
         [Statement::Show(query)] => Some(query.clone()),
--- a/src/ops/dispatch/owners.rs
+++ b/src/ops/dispatch/owners.rs
@@ -1,4 +1,4 @@
-//! Asking the owners of claims.
+//! Calls to the owners of claims.
 
 use std::iter::once;
 use std::net::SocketAddr;
@@ -24,24 +24,25 @@
 use crate::ops::dispatch::Dispatch;
 use crate::util::clock;
 
-/// How long an owner may be silent before it is asked whether it runs.
+/// Interval at which an owner that has not answered yet is pinged.
 const PING_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long an instance that runs may take to say so.
+/// Maximum time that a running instance takes to answer a ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for an answer to travel.
+/// Time allowed for the network, added to the time that the owner may take.
 const NETWORK_MARGIN: Duration = Duration::from_millis(200);
 
-/// How long an owner may take to say what is known of a claim, or to take a report.
+/// Time limit for an owner to answer a query for a claim or to accept an edit.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Dispatch {
-    /// Instances to ask about a shard, in turn. Those that leave are not asked; this one comes last if it leaves.
+    /// Instances to ask about a shard, in order. Other instances that are leaving are left out; this one comes last if it
+    /// is leaving.
     pub(super) fn ranked_owners(&self, shard: u16) -> Vec<Name> {
         let roster = self.shared.roster();
-        let staying = roster.peers.iter().filter(|p| p.state == MemberState::Live);
-        let others = staying.map(|p| Candidate {
+        let live = roster.peers.iter().filter(|p| p.state == MemberState::Live);
+        let others = live.map(|p| Candidate {
             name: &p.name,
             heard: p.heard,
         });
@@ -62,20 +63,20 @@
             .map(|p| p.peer_address)
     }
 
-    /// Asks `owner` for a claim.
-    pub(super) async fn request_claim(&self, owner: &Name, ask: ClaimRequest) -> EntryEvent {
-        let limit = ask.wait + NETWORK_MARGIN;
+    /// Requests a claim from `owner`, which may be this instance.
+    pub(super) async fn request_claim(&self, owner: &Name, request: ClaimRequest) -> EntryEvent {
+        let limit = request.wait + NETWORK_MARGIN;
         if *owner == self.shared.settings.name {
-            let answer = tokio::time::timeout(limit, self.control.claims.send(Claim(ask))).await;
+            let answer = tokio::time::timeout(limit, self.control.claims.send(Claim(request))).await;
             return match answer {
                 Ok(Ok(verdict)) => EntryEvent::Answered(verdict),
                 _ => EntryEvent::NoAnswer,
             };
         }
-        match self.call_owner(owner, Request::Claim(ask), limit).await {
+        match self.call_owner(owner, Request::Claim(request), limit).await {
             Some(Response::Verdict(verdict)) => {
                 if let Verdict::Unavailable(_) = verdict {
-                    // Others may reach the key-value service; for a while they are asked first.
+                    // Other instances may still reach the key-value service, so they are asked first for a while.
                     self.shared.owners().suspect(owner, clock::now());
                 }
                 EntryEvent::Answered(verdict)
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Asks what is known of a claim.
+    /// Queries the status of a claim from its owners in order, until one answers that is not stopping.
     pub(super) async fn query_claim(&self, claim: ClaimRef) -> Verdict {
         for owner in self.ranked_owners(claim.bucket.shard) {
             let verdict = match owner == self.shared.settings.name {
@@ -101,8 +102,8 @@
         Verdict::Unavailable(OWNER_TIMEOUT)
     }
 
-    /// Tells the owner what became of a claim; if nobody takes it, the claim stays granted and is told as
-    /// unknown.
+    /// Sends the change of a claim to its owner. If no owner accepts it, the claim stays granted, and its status is
+    /// reported as unknown.
     pub(super) async fn send_edit(&self, bucket: BucketId, edit: Edit) {
         for owner in self.ranked_owners(bucket.shard) {
             if owner == self.shared.settings.name {
@@ -116,14 +117,14 @@
         }
     }
 
-    /// Asks a peer; `None` if it can't be reached or shows no sign of life.
+    /// Calls a peer; returns `None` if it is unreachable or stops answering pings.
     ///
-    /// Failure guarded against: a paused owner holds a caller up until its deadline. A question that takes
-    /// long is no sign of a pause, since the key-value service may be slow; a ping that nobody answers is.
+    /// Failure guarded against: a paused owner delays a caller until its deadline. A call that takes long doesn't
+    /// indicate a pause, since the key-value service may be slow; an unanswered ping does.
     async fn call_owner(&self, owner: &Name, request: Request, limit: Duration) -> Option<Response> {
         let address = self.peer_address(owner)?;
         let call = std::pin::pin!(self.peer_client.call(address, &request, limit));
-        let watch = std::pin::pin!(async {
+        let ping = std::pin::pin!(async {
             loop {
                 tokio::time::sleep(PING_INTERVAL).await;
                 if self
@@ -136,7 +137,7 @@
                 }
             }
         });
-        let answer = match select(call, watch).await {
+        let answer = match select(call, ping).await {
             Either::Left((answer, _)) => answer.ok(),
             Either::Right(_) => None,
         };
--- a/src/ops/dispatch/plain.rs
+++ b/src/ops/dispatch/plain.rs
@@ -1,4 +1,4 @@
-//! Upstreams of plain services: which one a call goes to, and what it answered.
+//! Upstreams of plain services: picks one for a call and converts its reply.
 
 use std::net::SocketAddr;
 
@@ -8,17 +8,17 @@
 
 use crate::ops::dispatch::Dispatch;
 
-/// A picked upstream.
+/// An upstream picked for a call.
 #[derive(Debug, Clone)]
 pub(super) struct Upstream {
     /// Its name.
     pub(super) name: Name,
-    /// Where it listens.
+    /// Address on which it listens.
     pub(super) address: SocketAddr,
 }
 
 impl Dispatch {
-    /// Picks an upstream of `service` and counts the call there.
+    /// Picks an upstream of `service` that is none of `except`. The router counts the call there until it is released.
     pub(super) fn pick_upstream(&self, service: &Name, except: &[Name]) -> Option<Upstream> {
         let snapshot = self.shared.snapshot.load();
         let service = snapshot.service_of(service.as_str())?;
@@ -31,7 +31,7 @@
     }
 }
 
-/// The answer to the caller.
+/// Converts an upstream's reply to the reply to the caller.
 pub(super) fn forward_reply(reply: PlainReply) -> ForwardReply {
     ForwardReply {
         status: reply.status,
--- a/src/ops/dispatch/request.rs
+++ b/src/ops/dispatch/request.rs
@@ -1,4 +1,4 @@
-//! A request to generate, on its way to engines.
+//! The parameters of a generation request.
 
 use sequoiastream_core::name::Name;
 use sequoiastream_core::poison::Fingerprint;
@@ -7,29 +7,29 @@
 use sequoiastream_core::time::Time;
 use uuid::Uuid;
 
-/// What is asked, apart from the proof that it has not run.
+/// A generation request, without the proof that it has not run.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Names the request.
+    /// ID of the request.
     pub id: Uuid,
-    /// The product that asks.
+    /// The product that sent the request.
     pub product: Name,
-    /// The model, as engines know it.
+    /// Name of the model, as engines know it.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub limit: u32,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: u64,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// The service.
+    /// The service that runs the model.
     pub service: ServiceKey,
-    /// By which two requests are known to be the same.
+    /// Identifies equal requests.
     pub fingerprint: Fingerprint,
-    /// When the answer must be there.
+    /// Time by which the answer must be complete.
     pub deadline: Time,
-    /// The request as the router sees it.
+    /// Description of the request for the router.
     pub route: RouteRequest,
 }
