--- a/src/ops/relay/follow/join.rs
+++ b/src/ops/relay/follow/join.rs
@@ -64,7 +64,7 @@
     /// Loads the contents of the store from a peer, or reads the store if this instance is a watcher or no peer answers
     /// in time.
     pub(super) async fn join(&mut self, now: Time) {
-        let seat = self.fleet.seat();
+        let seat = self.fleet.watch_rank();
         let age = now.since(self.startup.started);
         let patience = self.shared.tuning().bound.fallback_age(seat);
         let must_read = self.startup.stage == Stage::Listed && age >= DISCOVERY_TIME && seat.is_watcher();
@@ -90,7 +90,7 @@
         if self.known.revision() > 0 {
             return true;
         }
-        let patience = self.shared.tuning().bound.fallback_age(self.fleet.seat());
+        let patience = self.shared.tuning().bound.fallback_age(self.fleet.watch_rank());
         !self.startup.is_joining() || now.since(self.startup.started) >= patience / 2
     }
 }
--- a/src/ops/relay/follow/listen.rs
+++ b/src/ops/relay/follow/listen.rs
@@ -15,7 +15,7 @@
 use crate::ops::relay::follow::Follower;
 use crate::ops::relay::follow::rest;
 use crate::ops::relay::known;
-use crate::ops::relay::peers::Told;
+use crate::ops::relay::peers::PeerAnswer;
 use crate::util::clock;
 
 impl Follower {
@@ -35,7 +35,7 @@
     pub(super) async fn wait_for_news(&mut self, timeout: Duration) {
         let fleet = self.fleet.clone();
         tokio::select! {
-            () = fleet.news() => {}
+            () = fleet.wait_for_update() => {}
             () = self.pass(timeout) => {}
         }
     }
@@ -44,11 +44,11 @@
     pub(super) async fn ask_peer(&mut self) -> bool {
         match self
             .fleet
-            .ask_ahead(self.known.revision(), self.may_ask_other_zones(clock::now()))
+            .ask_for_changes(self.known.revision(), self.may_ask_other_zones(clock::now()))
             .await
         {
-            Some(Told::All(peer, first)) => self.on_first_page(peer, first).await,
-            Some(Told::Since(peer, told)) => self.on_told(peer, told).await,
+            Some(PeerAnswer::FirstPage(peer, first)) => self.on_first_page(peer, first).await,
+            Some(PeerAnswer::Changes(peer, told)) => self.on_told(peer, told).await,
             None => false,
         }
     }
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -174,11 +174,11 @@
             return self.join(now).await;
         }
         let tuning = self.shared.tuning();
-        let duty = self.known.duty(self.fleet.seat(), tuning.bound, now);
+        let duty = self.known.duty(self.fleet.watch_rank(), tuning.bound, now);
         let prove = self
             .shared
             .proof_limit()
-            .map(|limit| self.known.prove_at(self.fleet.seat(), limit));
+            .map(|limit| self.known.prove_at(self.fleet.watch_rank(), limit));
         let asked = match (duty, prove) {
             (WatchAction::Listen(_), Some(at)) if now >= at && self.complete => self.prove().await,
             (WatchAction::Listen(until), at) => {
@@ -204,7 +204,7 @@
 
     /// An instance that should listen and watches all the same has not heard of the store for too long.
     fn log_unconfirmed(&self, now: Time) {
-        if self.fleet.seat().is_watcher() {
+        if self.fleet.watch_rank().is_watcher() {
             return;
         }
         let age = self.known.word(now).map(SyncStatus::age_millis);
@@ -268,7 +268,7 @@
                 changes = &mut watch => break changes?,
                 () = tokio::time::sleep(TICK), if self.engines.has_missing() => self.on_tick(),
                 // Others watch for it again, and know more by now.
-                () = fleet.news() => if !fleet.seat().is_watcher() {
+                () = fleet.wait_for_update() => if !fleet.watch_rank().is_watcher() {
                     self.ask_peer().await;
                     return Ok(());
                 }
@@ -441,7 +441,7 @@
             self.shared.publish(|view| view.lead = lead);
         }
         if changed.instances {
-            self.fleet.relist();
+            self.fleet.apply_list();
         }
     }
 
@@ -488,7 +488,7 @@
         let now = clock::now();
         self.engines.on_store_failure(now);
         self.failed = Some(now);
-        let longest = match self.fleet.seat().is_watcher() {
+        let longest = match self.fleet.watch_rank().is_watcher() {
             true => LONGEST,
             false => LONGEST_LISTENER,
         };
--- a/src/ops/relay/peers/ask.rs
+++ b/src/ops/relay/peers/ask.rs
@@ -18,26 +18,26 @@
 use crate::util::clock;
 
 /// Time limit for a peer's answer with the changes since a revision.
-const NEWS_TIMEOUT: Duration = Duration::from_millis(800);
+const CHANGES_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Time limit for a peer's answer with a page: eight peers may share its link at once.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a peer knows of the store beyond what is known here.
 #[derive(Debug)]
-pub enum Told {
+pub enum PeerAnswer {
     /// The first page of everything, and the peer that sent it.
-    All(SocketAddr, StorePage),
+    FirstPage(SocketAddr, StorePage),
     /// What happened since, and whom it was heard of.
-    Since(SocketAddr, StoreNews),
+    Changes(SocketAddr, StoreNews),
 }
 
 impl Fleet {
     /// A peer that knows the store beyond `revision`: one of those furthest ahead in this zone. If there is none and
     /// `other_zones` is set, one of those furthest ahead in the other zones.
-    fn ahead(&self, revision: u64, other_zones: bool) -> Option<(Name, SocketAddr)> {
+    fn most_advanced_peer(&self, revision: u64, other_zones: bool) -> Option<(Name, SocketAddr)> {
         let roster = self.0.members.borrow().roster(clock::now());
-        let ahead = self.0.ahead.borrow();
+        let ahead = self.0.peer_revisions.borrow();
         let zone = &self.0.shared.options.zone;
         let heard = |same_zone: bool| -> Vec<&Peer> {
             let peers = roster.peers.iter().filter(|p| p.heard);
@@ -54,17 +54,17 @@
 
     /// What a peer knows of the store beyond `revision`, if one does. Peers of other zones are asked only if
     /// `other_zones` is set.
-    pub async fn ask_ahead(&self, revision: u64, other_zones: bool) -> Option<Told> {
-        let (name, peer) = self.ahead(revision, other_zones)?;
+    pub async fn ask_for_changes(&self, revision: u64, other_zones: bool) -> Option<PeerAnswer> {
+        let (name, peer) = self.most_advanced_peer(revision, other_zones)?;
         let (request, timeout) = match revision {
             0 => (Request::Page(String::new()), PAGE_TIMEOUT),
-            _ => (Request::Since(revision), NEWS_TIMEOUT),
+            _ => (Request::Since(revision), CHANGES_TIMEOUT),
         };
         let sent = clock::now();
         let told = match self.0.calls.call(peer, &request, timeout).await {
-            Ok(Response::News(news)) if news.revision > revision => Some(Told::Since(peer, news)),
+            Ok(Response::News(news)) if news.revision > revision => Some(PeerAnswer::Changes(peer, news)),
             Ok(Response::Page(page)) if page.revision > revision => {
-                Some(Told::All(peer, add_elapsed(page, sent)))
+                Some(PeerAnswer::FirstPage(peer, add_elapsed(page, sent)))
             }
             Ok(_) => None,
             Err(error) => {
@@ -74,7 +74,7 @@
         };
         if told.is_none() {
             // It says so anew if it can be asked.
-            self.0.ahead.borrow_mut().remove(&name);
+            self.0.peer_revisions.borrow_mut().remove(&name);
         }
         told
     }
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -49,18 +49,18 @@
 
 use crate::log_event;
 use crate::ops::relay::known::Known;
-pub use crate::ops::relay::peers::ask::Told;
-use crate::ops::relay::peers::counts::Tallies;
-use crate::ops::relay::peers::prove::Proofs;
+pub use crate::ops::relay::peers::ask::PeerAnswer;
+use crate::ops::relay::peers::counts::UsageState;
+use crate::ops::relay::peers::prove::ProofState;
 use crate::ops::relay::register::Listed;
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
 /// Time between two heartbeats.
-const INTERVAL: Duration = Duration::from_millis(400);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A peer not heard of for so long isn't named to callers: four heartbeats may be lost in a row.
-const SILENT: Duration = Duration::from_millis(1_800);
+const SILENT_AFTER: Duration = Duration::from_millis(1_800);
 
 /// Time between two messages about load. An engine reads a prompt in about eight milliseconds; older news would
 /// describe work that is done.
@@ -70,14 +70,14 @@
 const BUSY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Part of what would just fit to which a message about load that is too long is cut: not all of it can be cut.
-const FITS: f64 = 0.8;
+const TRIM_FACTOR: f64 = 0.8;
 
 /// Capacity, in thousandths of a core, that allows one full transfer of the known store to a peer per second. A
 /// transfer is three megabytes for ten thousand engines.
 const CAPACITY_PER_TRANSFER: u32 = 60;
 
 /// Pause after the socket failed.
-const SOCKET_PAUSE: Duration = Duration::from_millis(100);
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Of the [`FANOUT`] peers that get each heartbeat, those in other zones, in a fleet with more peers.
 const CROSS_ZONE_FANOUT: usize = 2;
@@ -105,7 +105,7 @@
 
 /// Answers calls of peers.
 #[derive(Debug, Clone)]
-struct Answers {
+struct StoreResponder {
     known: Known,
     /// Capacity of this instance, in thousandths of a core.
     capacity: u32,
@@ -113,9 +113,9 @@
     transfers: Rc<RefCell<VecDeque<Time>>>,
 }
 
-impl Answers {
-    fn new(known: Known, capacity: u32) -> Answers {
-        Answers {
+impl StoreResponder {
+    fn new(known: Known, capacity: u32) -> StoreResponder {
+        StoreResponder {
             known,
             capacity,
             transfers: Rc::default(),
@@ -147,7 +147,7 @@
     }
 }
 
-impl Responder for Answers {
+impl Responder for StoreResponder {
     async fn respond(&self, request: Request) -> Response {
         match request {
             Request::Ping => Response::Pong,
@@ -175,14 +175,14 @@
     /// When each peer last reported work.
     busy: RefCell<BTreeMap<SocketAddr, Time>>,
     /// Up to which revision of the store each peer said to know.
-    ahead: RefCell<BTreeMap<Name, u64>>,
-    proofs: Proofs,
-    tallies: Tallies,
+    peer_revisions: RefCell<BTreeMap<Name, u64>>,
+    proofs: ProofState,
+    usage: UsageState,
     started: Time,
     /// Rank of this instance among those that it hears.
-    seat: Cell<FleetRank>,
+    watch_rank: Cell<FleetRank>,
     /// Wakes whoever listens to the peers instead of the store: one knows more, or the seat changed.
-    news: Notify,
+    updates: Notify,
 }
 
 /// The fleet as this instance sees it; cheap to clone, stays on one thread.
@@ -199,10 +199,10 @@
         info: about,
     };
     let limits = Limits {
-        interval: INTERVAL,
+        interval: HEARTBEAT_INTERVAL,
         fanout: FANOUT,
         cross_zone: CROSS_ZONE_FANOUT,
-        silent_after: SILENT,
+        silent_after: SILENT_AFTER,
         partition_policy: PartitionPolicy::Serve,
         ..Limits::default()
     };
@@ -210,7 +210,7 @@
     actix_rt::spawn(call::serve(
         sockets.calls,
         key.clone(),
-        Answers::new(known.clone(), shared.options.capacity),
+        StoreResponder::new(known.clone(), shared.options.capacity),
     ));
     let fleet = Fleet(Rc::new(State {
         shared,
@@ -219,20 +219,20 @@
         known,
         heard: RefCell::default(),
         busy: RefCell::default(),
-        ahead: RefCell::default(),
-        proofs: Proofs::default(),
-        tallies: Tallies::new(),
+        peer_revisions: RefCell::default(),
+        proofs: ProofState::default(),
+        usage: UsageState::new(),
         members: RefCell::new(MemberTable::new(myself, limits)),
         listed: RefCell::default(),
         quiet: Cell::new(true),
         turn: Cell::new(0),
         started: clock::now(),
-        seat: Cell::default(),
-        news: Notify::new(),
+        watch_rank: Cell::default(),
+        updates: Notify::new(),
     }));
     actix_rt::spawn(receive(fleet.clone()));
-    actix_rt::spawn(beat(fleet.clone()));
-    actix_rt::spawn(tell(fleet.clone()));
+    actix_rt::spawn(tick(fleet.clone()));
+    actix_rt::spawn(send_load_messages(fleet.clone()));
     fleet
 }
 
@@ -241,30 +241,30 @@
         match fleet.0.socket.receive().await {
             Ok((name, Datagram::Beat(beat))) => fleet.on(Event::Heartbeat(name, beat)),
             Ok((name, Datagram::Load(digest))) => fleet.on_load(&name, digest),
-            Ok((name, Datagram::Prove(question))) => fleet.on_prove(&name, question),
+            Ok((name, Datagram::Prove(question))) => fleet.on_proof_request(&name, question),
             Ok((_, Datagram::Proof(proof))) => fleet.on_proof(proof),
             Ok((name, Datagram::Counts(told))) => fleet.on_counts(&name, told),
             Ok((_, Datagram::Ping)) => {}
             Err(PeerError::Broken(error)) => {
                 log_event!(warn, log_event::PEER_FAILED, %error, call = "receive");
-                tokio::time::sleep(SOCKET_PAUSE).await;
+                tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
             Err(error) => log_event!(debug, log_event::PEER_REFUSED, %error),
         }
     }
 }
 
-async fn beat(fleet: Fleet) {
+async fn tick(fleet: Fleet) {
     loop {
         fleet.on(Event::Tick);
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-async fn tell(fleet: Fleet) {
+async fn send_load_messages(fleet: Fleet) {
     loop {
         tokio::time::sleep(LOAD_INTERVAL).await;
-        fleet.tell().await;
+        fleet.send_load().await;
     }
 }
 
@@ -276,7 +276,7 @@
             .map(|l| (l.listing.name.clone(), l))
             .collect();
         *self.0.listed.borrow_mut() = listed;
-        self.relist();
+        self.apply_list();
     }
 
     /// Takes an instance that was added to the list, if it is one; [`Self::relist`] is to follow.
@@ -326,7 +326,7 @@
     }
 
     /// Puts the list in force, once for all that an answer has changed: each time costs as much as the fleet is large.
-    pub fn relist(&self) {
+    pub fn apply_list(&self) {
         let listed = self
             .0
             .listed
@@ -366,22 +366,25 @@
     }
 
     /// Rank of this instance among those that it hears.
-    pub fn seat(&self) -> FleetRank {
-        self.0.seat.get()
+    pub fn watch_rank(&self) -> FleetRank {
+        self.0.watch_rank.get()
     }
 
     /// Returns when a peer knows more of the store, or when the seat has changed.
-    pub async fn news(&self) {
-        self.0.news.notified().await;
+    pub async fn wait_for_update(&self) {
+        self.0.updates.notified().await;
     }
 
     fn on_load(&self, name: &Name, digest: LoadMessage) {
         let now = clock::now();
-        self.0.ahead.borrow_mut().insert(name.clone(), digest.revision);
-        self.0.proofs.on_told(now, name, digest.proof);
+        self.0
+            .peer_revisions
+            .borrow_mut()
+            .insert(name.clone(), digest.revision);
+        self.0.proofs.on_proof_age(now, name, digest.proof);
         self.on_clock(now, name, digest.wall);
         if self.0.known.on_word(now, digest.sync_status()) {
-            self.0.news.notify_one();
+            self.0.updates.notify_one();
         }
         if self.is_large()
             && !digest.shares.is_empty()
@@ -444,11 +447,11 @@
     }
 
     /// Tells the peers about this instance's work and how far it knows the store; seldom, if there is no work.
-    async fn tell(&self) {
+    async fn send_load(&self) {
         let now = clock::now();
         self.0.known.on_tick(now);
-        self.prove(now);
-        self.count(now);
+        self.update_proof(now);
+        self.send_counts(now);
         let turn = self.0.turn.get();
         self.0.turn.set(turn.wrapping_add(1));
         let (peers, turns) = self.load_recipients(now, turn);
@@ -473,7 +476,7 @@
         for peer in peers {
             let mut sent = self.0.socket.send(peer, Datagram::Load(digest.clone())).await;
             if let Err(PeerError::TooLong(length)) = sent {
-                digest = digest.trim(MAX_DATAGRAM as f64 / length as f64 * FITS);
+                digest = digest.trim(MAX_DATAGRAM as f64 / length as f64 * TRIM_FACTOR);
                 sent = self.0.socket.send(peer, Datagram::Load(digest.clone())).await;
             }
             if let Err(error) = sent {
--- a/src/ops/relay/peers/prove.rs
+++ b/src/ops/relay/peers/prove.rs
@@ -24,22 +24,22 @@
 use crate::util::clock;
 
 /// Time between two questions: several may be lost before the proof is too old.
-const AGAIN: Duration = Duration::from_millis(250);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A question and when it left.
 #[derive(Debug, Clone, Copy)]
-struct Question {
+struct ProofRequest {
     number: u64,
     sent: Time,
 }
 
 /// What was asked and told of proofs.
 #[derive(Debug, Default)]
-pub(super) struct Proofs {
+pub(super) struct ProofState {
     /// The last two questions: the answer to one may cross the next.
-    questions: Cell<[Option<Question>; 2]>,
+    requests: Cell<[Option<ProofRequest>; 2]>,
     /// Up to when each peer said that its knowledge is proven.
-    told: RefCell<BTreeMap<Name, Time>>,
+    peer_proofs: RefCell<BTreeMap<Name, Time>>,
     /// Peers that watch the store.
     pub(super) watchers: RefCell<Vec<SocketAddr>>,
     /// The first peer of each zone in the order of watchers.
@@ -48,50 +48,50 @@
     proven: Cell<bool>,
 }
 
-impl Proofs {
+impl ProofState {
     /// Takes the age of a peer's proof, in milliseconds.
-    pub(super) fn on_told(&self, now: Time, peer: &Name, millis: u32) {
+    pub(super) fn on_proof_age(&self, now: Time, peer: &Name, millis: u32) {
         let age = Duration::from_millis(u64::from(millis));
         if now.since(Time::ZERO) > age {
-            self.told.borrow_mut().insert(peer.clone(), now - age);
+            self.peer_proofs.borrow_mut().insert(peer.clone(), now - age);
         }
     }
 
     /// Whether a peer may let requests with keys in, as far as it said, if a proof may be `limit` old.
-    pub(super) fn holds(&self, now: Time, peer: &Name, limit: Duration) -> bool {
-        let told = self.told.borrow();
+    pub(super) fn is_peer_proven(&self, now: Time, peer: &Name, limit: Duration) -> bool {
+        let told = self.peer_proofs.borrow();
         told.get(peer).is_some_and(|until| now.since(*until) <= limit)
     }
 
     /// The number of a new question.
-    fn ask(&self, now: Time) -> u64 {
+    fn start_request(&self, now: Time) -> u64 {
         let number = rand::random();
-        let [latest, _] = self.questions.get();
-        let question = Question { number, sent: now };
-        self.questions.set([Some(question), latest]);
+        let [latest, _] = self.requests.get();
+        let question = ProofRequest { number, sent: now };
+        self.requests.set([Some(question), latest]);
         number
     }
 
-    fn sent(&self, number: u64) -> Option<Time> {
-        let questions = self.questions.get().into_iter().flatten();
+    fn sent_at(&self, number: u64) -> Option<Time> {
+        let questions = self.requests.get().into_iter().flatten();
         questions.filter(|q| q.number == number).map(|q| q.sent).next()
     }
 
     /// The watchers and the first peer of each zone, without duplicates.
-    fn all(&self) -> BTreeSet<SocketAddr> {
+    fn all_peers(&self) -> BTreeSet<SocketAddr> {
         let (watchers, zone_peers) = (self.watchers.borrow(), self.zone_peers.borrow());
         watchers.iter().chain(zone_peers.iter()).copied().collect()
     }
 
-    fn is_early(&self, now: Time) -> bool {
-        let [latest, _] = self.questions.get();
-        latest.is_some_and(|q| now.since(q.sent) < AGAIN)
+    fn requested_recently(&self, now: Time) -> bool {
+        let [latest, _] = self.requests.get();
+        latest.is_some_and(|q| now.since(q.sent) < REQUEST_INTERVAL)
     }
 }
 
 impl Fleet {
     /// Puts in force what is known of keys, and asks for a newer proof of it if the last grows old.
-    pub(super) fn prove(&self, now: Time) {
+    pub(super) fn update_proof(&self, now: Time) {
         let shared = &self.0.shared;
         let known = &self.0.known;
         if let Some(age) = known.age(now) {
@@ -103,23 +103,23 @@
         if let Some(age) = known.proof_age(now) {
             shared.on_proof(now - age);
         }
-        self.note_proven(shared.is_proven(now));
+        self.set_proven(shared.is_proven(now));
         let proofs = &self.0.proofs;
-        if proofs.is_early(now) {
+        if proofs.requested_recently(now) {
             return;
         }
         let peers: BTreeSet<SocketAddr> = match known.asks(limit, now) {
             ProofPeers::Nobody => return,
             ProofPeers::Watchers => proofs.watchers.borrow().iter().copied().collect(),
-            ProofPeers::All => proofs.all(),
+            ProofPeers::All => proofs.all_peers(),
         };
-        let number = proofs.ask(now);
+        let number = proofs.start_request(now);
         for peer in peers {
             self.send(peer, Datagram::Prove(number));
         }
     }
 
-    fn note_proven(&self, proven: bool) {
+    fn set_proven(&self, proven: bool) {
         if self.0.proofs.proven.replace(proven) != proven {
             let age = self
                 .0
@@ -132,7 +132,7 @@
     }
 
     /// Answers a peer's question for a proof.
-    pub(super) fn on_prove(&self, name: &Name, question: u64) {
+    pub(super) fn on_proof_request(&self, name: &Name, question: u64) {
         let listed = self.0.listed.borrow();
         let Some(peer) = listed.get(name).map(|l| l.listing.peer_address) else {
             return;
@@ -150,7 +150,7 @@
 
     /// Takes the answer to a question of this instance.
     pub(super) fn on_proof(&self, proof: StoreProof) {
-        let Some(sent) = self.0.proofs.sent(proof.question) else {
+        let Some(sent) = self.0.proofs.sent_at(proof.question) else {
             return;
         };
         if self
@@ -158,7 +158,7 @@
             .known
             .on_peer_proof(sent, SyncStatus::new(proof.revision, proof.age))
         {
-            self.0.news.notify_one();
+            self.0.updates.notify_one();
         }
     }
 }
--- a/src/ops/relay/peers/roster.rs
+++ b/src/ops/relay/peers/roster.rs
@@ -17,32 +17,32 @@
 
 use crate::log_event;
 use crate::ops::relay::peers::Fleet;
-use crate::ops::relay::peers::counts::STAND_BY;
+use crate::ops::relay::peers::counts::STANDBY_COUNT;
 use crate::ops::relay::register::Listed;
 use crate::util::clock;
 
 /// How long after its start an instance takes those that the store lists for present: by then it has heard of all that
 /// live.
-const YOUNG: Duration = Duration::from_secs(3);
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 
 impl Fleet {
     pub(super) fn publish(&self) {
         let roster = self.0.members.borrow().roster(clock::now());
-        let entrances = self.entrances(&roster);
+        let entrances = self.caller_endpoints(&roster);
         let instances = roster.peers.len() + 1;
         let before = roster
             .peers
             .iter()
             .filter(|p| p.accepts_work() && p.name < self.0.shared.options.name);
         let rank = u32::try_from(before.count()).unwrap_or(u32::MAX);
-        self.sit(&roster);
-        self.note_heard(&roster);
+        self.update_watchers(&roster);
+        self.update_heard(&roster);
         let open = roster
             .peers
             .iter()
             .filter(|p| p.accepts_work())
             .map(|p| p.peer_address);
-        self.note_stand_by(open.take(STAND_BY).collect());
+        self.set_standbys(open.take(STANDBY_COUNT).collect());
         let view = self.0.shared.view.load();
         if view.entrances != entrances || view.instances != instances || view.rank != rank {
             self.0.shared.publish(|view| {
@@ -53,7 +53,7 @@
         }
     }
 
-    fn note_heard(&self, roster: &Roster) {
+    fn update_heard(&self, roster: &Roster) {
         let zone = &self.0.shared.options.zone;
         let heard = roster.peers.iter().filter(|p| p.heard);
         let (same_zone, other_zones): (Vec<&Peer>, Vec<&Peer>) = heard.partition(|p| p.zone == *zone);
@@ -62,7 +62,7 @@
     }
 
     /// Where callers may go, each address once.
-    fn entrances(&self, roster: &Roster) -> Vec<Endpoint> {
+    fn caller_endpoints(&self, roster: &Roster) -> Vec<Endpoint> {
         let listed = self.0.listed.borrow();
         let options = &self.0.shared.options;
         let own = self.0.shared.is_ready().then(|| Endpoint {
@@ -72,7 +72,7 @@
         });
         let now = clock::now();
         let limit = self.0.shared.proof_limit();
-        let holds = |p: &&Peer| limit.is_none_or(|limit| self.0.proofs.holds(now, &p.name, limit));
+        let holds = |p: &&Peer| limit.is_none_or(|limit| self.0.proofs.is_peer_proven(now, &p.name, limit));
         let open: Vec<&Peer> = roster.peers.iter().filter(|p| p.accepts_work()).collect();
         let proven: Vec<&Peer> = open.iter().copied().filter(holds).collect();
         // Where nobody may let requests in, callers are told of all: those that come back first serve them.
@@ -96,9 +96,9 @@
     /// Failure guarded against: a fleet of hundreds starts, and until they hear each other all of its instances watch, each
     /// ended by every registration. Just after its start an instance takes those that the store lists for present; if
     /// they are not, what it knows grows old, and it watches by itself.
-    fn sit(&self, roster: &Roster) {
+    fn update_watchers(&self, roster: &Roster) {
         let options = &self.0.shared.options;
-        let is_young = clock::now().since(self.0.started) < YOUNG;
+        let is_young = clock::now().since(self.0.started) < STARTUP_PERIOD;
         // Peers without a configuration count too: before the first one is installed, every instance would watch
         // otherwise.
         let is_present = |p: &&Peer| p.state == MemberState::Live && (p.heard || is_young);
@@ -122,17 +122,17 @@
         };
         *self.0.proofs.watchers.borrow_mut() = top_addresses(watcher_count).collect();
         *self.0.proofs.zone_peers.borrow_mut() = top_addresses(zones.len()).collect();
-        self.update_seat(FleetRank::among(&ranked, options.name.as_str()));
+        self.set_watch_rank(FleetRank::among(&ranked, options.name.as_str()));
     }
 
-    fn update_seat(&self, seat: FleetRank) {
+    fn set_watch_rank(&self, seat: FleetRank) {
         let watches = seat.is_watcher();
         self.0.shared.metrics.watcher.set(i64::from(watches));
-        let former = self.0.seat.replace(seat);
+        let former = self.0.watch_rank.replace(seat);
         if former.is_watcher() != watches {
             let (rank, members) = (seat.rank, seat.members);
             log_event!(info, log_event::WATCHER, watches, rank, members);
-            self.0.news.notify_one();
+            self.0.updates.notify_one();
         }
     }
 }
--- a/src/ops/relay/register.rs
+++ b/src/ops/relay/register.rs
@@ -183,7 +183,7 @@
     ///
     /// Guards against an isolated instance, which hears no peer, removing the keys of all others.
     async fn remove_silent(&mut self) -> Result<(), StoreError> {
-        if self.fleet.seat().rank > 0 {
+        if self.fleet.watch_rank().rank > 0 {
             return Ok(());
         }
         let listed = self.fleet.listed_zones();
@@ -264,7 +264,7 @@
     for item in &page.items {
         fleet.on_item(listing(shared, item));
     }
-    fleet.relist();
+    fleet.apply_list();
     Ok(())
 }
 
--- a/src/ops/relay/usage.rs
+++ b/src/ops/relay/usage.rs
@@ -118,13 +118,13 @@
         let now = self.shared.true_micros(clock::now());
         let told = u64::try_from(TOLD.as_micros()).unwrap_or(u64::MAX);
         let current = Window::at(now.saturating_sub(told), self.length);
-        let Some(first) = self.fleet.first_counted() else {
+        let Some(first) = self.fleet.first_counted_window() else {
             return (next, Vec::new());
         };
         let mut reports = Vec::new();
         let mut window = next.max(first);
         while window < current {
-            let counts = self.fleet.counted(window);
+            let counts = self.fleet.total_counts(window);
             if !counts.is_empty() {
                 let body = self.shared.translate.usage(window, &counts);
                 reports.push(Report { window, body });
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -66,7 +66,7 @@
     ];
     let [.., (_, listener)] = &instances;
     until(|| instances.iter().all(|(shared, _)| version(shared) == 3)).await;
-    until(|| !listener.seat().is_watcher()).await;
+    until(|| !listener.watch_rank().is_watcher()).await;
     let gauges = instances
         .each_ref()
         .map(|(shared, _)| shared.metrics.watcher.get());
@@ -380,7 +380,7 @@
     let mut options = options();
     options.tuning.bound = ApplyLimit(Duration::from_secs(60));
     let (shared, fleet) = start_seated(options, &store).await;
-    until(|| version(&shared) == 3 && !fleet.seat().is_watcher()).await;
+    until(|| version(&shared) == 3 && !fleet.watch_rank().is_watcher()).await;
     for number in 0..70 {
         store.put(&format!("engines/e{number}"), "chat 127.0.0.1:9 ready 1");
     }
@@ -402,7 +402,7 @@
     options.tuning.forget = Duration::from_millis(50);
     let (shared, fleet) = start_seated(options, &store).await;
     let _registration = register::start(shared.clone(), Rc::new(store.clone()), fleet.clone());
-    until(|| store.has("own/a/one") && fleet.seat().rank == 0).await;
+    until(|| store.has("own/a/one") && fleet.watch_rank().rank == 0).await;
     // Each check of the keys begins with rewriting the instance's own key if it is missing.
     for _ in 0..3 {
         store.remove("own/a/one");
@@ -437,7 +437,7 @@
     }
     let (shared, fleet) = start_seated(options(), &store).await;
     until(|| version(&shared) == 3).await;
-    assert!(!fleet.seat().is_watcher(), "{:?}", fleet.seat());
+    assert!(!fleet.watch_rank().is_watcher(), "{:?}", fleet.watch_rank());
     store.put("config", "5 /a/");
     until(|| version(&shared) == 5).await;
 }
