--- a/src/ops/relay/follow/join.rs
+++ b/src/ops/relay/follow/join.rs
@@ -70,7 +70,7 @@
         let must_read = self.startup.stage == Stage::Listed && age >= DISCOVERY_TIME && seat.is_watcher();
         if must_read || age >= patience {
             self.startup.stage = Stage::Reading;
-            let result = self.read().await;
+            let result = self.read_all().await;
             return self.on_result(result).await;
         }
         if self.startup.stage == Stage::Large && age >= REGISTRATION_TIME {
@@ -80,7 +80,7 @@
                 return self.on_failure(&error).await;
             }
         }
-        self.wait_for_news(RETRY_INTERVAL).await;
+        self.wait_for_update(RETRY_INTERVAL).await;
         self.ask_peer().await;
     }
 
--- a/src/ops/relay/follow/listen.rs
+++ b/src/ops/relay/follow/listen.rs
@@ -13,7 +13,7 @@
 
 use crate::log_event;
 use crate::ops::relay::follow::Follower;
-use crate::ops::relay::follow::rest;
+use crate::ops::relay::follow::batch_delay;
 use crate::ops::relay::known;
 use crate::ops::relay::peers::PeerAnswer;
 use crate::util::clock;
@@ -21,22 +21,22 @@
 impl Follower {
     /// Listens to the peers until `until`, and takes what they know more.
     pub(super) async fn listen(&mut self, until: Time) {
-        self.wait_for_news(until.since(clock::now())).await;
+        self.wait_for_update(until.since(clock::now())).await;
         // Asks only once: while a fleet starts, some peer is always ahead, and a loop would ask without a pause.
         let is_told = self.ask_peer().await;
         self.on_confirmed();
         if is_told {
             // What follows is fetched together: taking changes in costs as much as the fleet is large, each time.
-            self.pass(rest(self.shared.view.load().instances)).await;
+            self.wait(batch_delay(self.shared.view.load().instances)).await;
         }
     }
 
     /// Waits until a peer knows more, for at most `timeout`.
-    pub(super) async fn wait_for_news(&mut self, timeout: Duration) {
+    pub(super) async fn wait_for_update(&mut self, timeout: Duration) {
         let fleet = self.fleet.clone();
         tokio::select! {
             () = fleet.wait_for_update() => {}
-            () = self.pass(timeout) => {}
+            () = self.wait(timeout) => {}
         }
     }
 
@@ -48,7 +48,7 @@
             .await
         {
             Some(PeerAnswer::FirstPage(peer, first)) => self.on_first_page(peer, first).await,
-            Some(PeerAnswer::Changes(peer, told)) => self.on_told(peer, told).await,
+            Some(PeerAnswer::Changes(peer, told)) => self.on_peer_changes(peer, told).await,
             None => false,
         }
     }
@@ -57,16 +57,16 @@
     async fn on_first_page(&mut self, peer: SocketAddr, first: StorePage) -> bool {
         let all = self.fleet.ask_remaining(peer, first).await;
         let is_told = all.is_some();
-        all.into_iter().for_each(|all| self.on_state(all));
+        all.into_iter().for_each(|all| self.on_peer_snapshot(all));
         is_told
     }
 
     /// Takes all that a peer knows of the store.
-    fn on_state(&mut self, told: StorePage) {
-        self.doubt();
+    fn on_peer_snapshot(&mut self, told: StorePage) {
+        self.distrust_removals();
         let word = SyncStatus::new(told.revision, told.age);
         let items: Vec<Item> = told.items.into_iter().map(known::item).collect();
-        self.on_all(word.revision, &items);
+        self.on_snapshot(word.revision, &items);
         self.known.on_news(clock::now(), word);
         self.complete = true;
         log_event!(
@@ -78,10 +78,10 @@
     }
 
     /// Takes what happened in the store since, as a peer knows it; whether all of it could be had.
-    async fn on_told(&mut self, peer: SocketAddr, told: StoreNews) -> bool {
+    async fn on_peer_changes(&mut self, peer: SocketAddr, told: StoreNews) -> bool {
         let mut items: Vec<Item> = told.items.into_iter().map(known::item).collect();
         for (revision, key) in &told.large {
-            match self.large(*revision, key).await {
+            match self.fetch_large(*revision, key).await {
                 Some(item) => items.push(item),
                 None => {
                     return match self.fleet.ask_first_page(peer).await {
@@ -91,13 +91,13 @@
                 }
             }
         }
-        self.doubt();
+        self.distrust_removals();
         let removed = told
             .removed
             .into_iter()
             .map(|(revision, key)| Change::Removed { key, revision });
         let mut changes: Vec<Change> = items.into_iter().map(Change::Put).chain(removed).collect();
-        changes.sort_by_key(revision);
+        changes.sort_by_key(change_revision);
         self.on_changes(changes);
         self.known
             .on_news(clock::now(), SyncStatus::new(told.revision, told.age));
@@ -111,24 +111,24 @@
     /// Failure guarded against: the store was away, entries of engines lapsed meanwhile, and an instance that hears of its
     /// return from a peer takes their removal for their end. A peer's own failures say nothing: it may have been cut off
     /// alone, and an engine that has left would keep its work at all who hear of it from that peer.
-    fn doubt(&mut self) {
+    fn distrust_removals(&mut self) {
         if self.failures > 0 {
             self.engines.on_store_failure(clock::now());
         }
     }
 
     /// Notes that peers have heard of the store again since it failed this instance.
-    pub(super) fn on_heard(&mut self, now: Time) {
+    pub(super) fn detect_recovery(&mut self, now: Time) {
         let confirmed = self.known.age(now).map(|age| now - age);
-        if self.failures > 0 && confirmed > self.failed {
-            self.doubt();
+        if self.failures > 0 && confirmed > self.last_failure {
+            self.distrust_removals();
             self.on_success();
         }
     }
 
     /// The item under a key from the store itself, as of a revision or later. One that is gone by then counts as not had:
     /// the peer's whole state says so.
-    async fn large(&self, revision: u64, key: &str) -> Option<Item> {
+    async fn fetch_large(&self, revision: u64, key: &str) -> Option<Item> {
         match self.store.range(key, "").await {
             Ok(page) => {
                 let found = page.items.into_iter().find(|item| item.key == key);
@@ -142,7 +142,7 @@
     }
 }
 
-fn revision(change: &Change) -> u64 {
+fn change_revision(change: &Change) -> u64 {
     match change {
         Change::Put(item) => item.revision,
         Change::Removed { revision, .. } => *revision,
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -46,30 +46,30 @@
 use crate::util::clock;
 
 /// Pause after the first failed call; doubles with each.
-const PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Longest pause of an instance that watches for others: with it, it knows within a second that the store is back.
-const LONGEST: Duration = Duration::from_millis(800);
+const MAX_WATCHER_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Longest pause of all other instances: they hear of the store's return from those.
-const LONGEST_LISTENER: Duration = Duration::from_millis(2_000);
+const MAX_LISTENER_BACKOFF: Duration = Duration::from_millis(2_000);
 
 /// How often engines whose entry is missing are looked through.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Maximum number of questions per second that all instances together ask their peers.
-const MAX_QUESTIONS_PER_SECOND: u32 = 200;
+const MAX_REQUESTS_PER_SECOND: u32 = 200;
 
 /// Longest time that an instance waits after hearing of changes from peers, to fetch them in one batch.
-const LONGEST_REST: Duration = Duration::from_millis(500);
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(500);
 
 /// Range from which a watcher draws how long it batches changes, as a part of the time within which a change must be in
 /// force. Shorter than the wait of a watch, so that a silent watch is detected no later; random, so that the watchers don't
 /// all call the store at the same time.
-const GATHER: std::ops::Range<f64> = 0.08..0.12;
+const WATCHER_BATCH_FRACTION: std::ops::Range<f64> = 0.08..0.12;
 
 /// Longest time that a watcher batches changes.
-const LONGEST_WATCHER_REST: Duration = Duration::from_secs(2);
+const MAX_WATCHER_BATCH_DELAY: Duration = Duration::from_secs(2);
 
 /// Number of changes from which the answer of a watch may be truncated. The store returns about five hundred changes or a
 /// megabyte at once. Such an answer does not prove that the instance is up to date, and the next watch begins at once.
@@ -82,10 +82,10 @@
 const TRUNCATION_BYTES: usize = 256 * 1024;
 
 /// How long a look at the store waits for something to happen.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_WAIT: Duration = Duration::from_millis(1);
 
 /// Everything that begins with this is read and watched.
-const ALL: &str = "";
+const ALL_KEYS: &str = "";
 
 /// What an answer of the store has changed, and is published once for all of it: a fleet that starts brings hundreds of
 /// changes in one answer, and each copy is as long as the fleet.
@@ -106,12 +106,12 @@
     ordered: Ordered,
     lead: Option<LeaseRecord>,
     /// Revision of the configuration that is in force.
-    config: u64,
+    config_revision: u64,
     failures: u32,
     /// When the last call failed.
-    failed: Option<Time>,
+    last_failure: Option<Time>,
     /// How long the next watch waits before it begins.
-    rest: Duration,
+    watch_delay: Duration,
     /// Whether all up to the known revision was taken in, and the store still tells what follows it.
     complete: bool,
     startup: Startup,
@@ -121,18 +121,18 @@
 ///
 /// Guards against every change making each instance process a list as long as the fleet, which keeps the smallest instances
 /// from serving for half a minute when hundreds of instances start or engines come and go.
-pub fn rest(askers: usize) -> Duration {
+pub fn batch_delay(askers: usize) -> Duration {
     let askers = u32::try_from(askers).unwrap_or(u32::MAX);
-    let rest = Duration::from_secs(1) / MAX_QUESTIONS_PER_SECOND;
-    rest.saturating_mul(askers).min(LONGEST_REST)
+    let rest = Duration::from_secs(1) / MAX_REQUESTS_PER_SECOND;
+    rest.saturating_mul(askers).min(MAX_BATCH_DELAY)
 }
 
 /// How long a watcher waits after changes before it watches again.
 ///
 /// Guards against each of the frequent updates of engine entries ending the watch of every watcher.
-fn watcher_rest(bound: ApplyLimit) -> Duration {
-    let rest = bound.0.mul_f64(rand::rng().random_range(GATHER));
-    rest.min(LONGEST_WATCHER_REST)
+fn watcher_batch_delay(bound: ApplyLimit) -> Duration {
+    let rest = bound.0.mul_f64(rand::rng().random_range(WATCHER_BATCH_FRACTION));
+    rest.min(MAX_WATCHER_BATCH_DELAY)
 }
 
 fn may_be_truncated(changes: &[Change]) -> bool {
@@ -153,10 +153,10 @@
         engines: Engines::new(),
         ordered: Ordered::default(),
         lead: None,
-        config: 0,
+        config_revision: 0,
         failures: 0,
-        failed: None,
-        rest: Duration::ZERO,
+        last_failure: None,
+        watch_delay: Duration::ZERO,
         complete: false,
         startup: Startup::new(clock::now()),
     };
@@ -169,7 +169,7 @@
     /// Asks the store, or listens to the peers until one knows more or too much time has passed.
     async fn step(&mut self) {
         let now = clock::now();
-        self.on_heard(now);
+        self.detect_recovery(now);
         if self.startup.is_joining() && self.known.revision() == 0 {
             return self.join(now).await;
         }
@@ -180,7 +180,7 @@
             .proof_limit()
             .map(|limit| self.known.prove_at(self.fleet.watch_rank(), limit));
         let asked = match (duty, prove) {
-            (WatchAction::Listen(_), Some(at)) if now >= at && self.complete => self.prove().await,
+            (WatchAction::Listen(_), Some(at)) if now >= at && self.complete => self.poll().await,
             (WatchAction::Listen(until), at) => {
                 return self.listen(at.map_or(until, |at| until.min(at))).await;
             }
@@ -188,7 +188,7 @@
                 self.log_unconfirmed(now);
                 self.watch(self.known.revision()).await
             }
-            (WatchAction::Watch, _) => self.read().await,
+            (WatchAction::Watch, _) => self.read_all().await,
         };
         self.on_result(asked).await;
     }
@@ -217,13 +217,13 @@
     }
 
     /// Reads everything, page by page.
-    async fn read(&mut self) -> Result<(), StoreError> {
+    async fn read_all(&mut self) -> Result<(), StoreError> {
         let mut items: Vec<Item> = Vec::new();
         let mut revision = u64::MAX;
         let sent = clock::now();
         loop {
             let after = items.last().map_or("", |item| &item.key);
-            let page = self.store.range(ALL, after).await?;
+            let page = self.store.range(ALL_KEYS, after).await?;
             // Pages are no snapshot: what changed after the first one is in the watch that follows.
             revision = revision.min(page.revision);
             let last = page.items.is_empty();
@@ -235,7 +235,7 @@
                 return Ok(());
             }
         }
-        self.on_all(revision, &items);
+        self.on_snapshot(revision, &items);
         self.known.on_answer(clock::now(), sent, Duration::ZERO, revision);
         self.known.on_proof(sent);
         Ok(())
@@ -243,30 +243,30 @@
 
     /// Asks the store for what happened since, without waiting for more: nobody else has proved in time that what is
     /// known is all there is.
-    async fn prove(&mut self) -> Result<(), StoreError> {
+    async fn poll(&mut self) -> Result<(), StoreError> {
         let revision = self.known.revision();
         let sent = clock::now();
-        let changes = self.store.watch(ALL, revision, LOOK).await?;
+        let changes = self.store.watch(ALL_KEYS, revision, POLL_WAIT).await?;
         if let Some(revision) = self.on_watch_answer(changes, revision) {
-            self.known.on_answer(clock::now(), sent, LOOK, revision);
+            self.known.on_answer(clock::now(), sent, POLL_WAIT, revision);
             self.known.on_proof(sent);
         }
         Ok(())
     }
 
     async fn watch(&mut self, revision: u64) -> Result<(), StoreError> {
-        let pause = std::mem::take(&mut self.rest);
-        self.pass(pause).await;
+        let pause = std::mem::take(&mut self.watch_delay);
+        self.wait(pause).await;
         // A watch that falls silent is found out as soon as without the rest.
         let wait = self.shared.tuning().bound.watch_timeout().saturating_sub(pause);
         let watch = self.store.clone();
         let sent = clock::now();
-        let mut watch = watch.watch(ALL, revision, wait);
+        let mut watch = watch.watch(ALL_KEYS, revision, wait);
         let fleet = self.fleet.clone();
         let changes = loop {
             tokio::select! {
                 changes = &mut watch => break changes?,
-                () = tokio::time::sleep(TICK), if self.engines.has_missing() => self.on_tick(),
+                () = tokio::time::sleep(TICK_INTERVAL), if self.engines.has_missing() => self.on_tick(),
                 // Others watch for it again, and know more by now.
                 () = fleet.wait_for_update() => if !fleet.watch_rank().is_watcher() {
                     self.ask_peer().await;
@@ -280,7 +280,7 @@
         };
         let now = clock::now();
         if !is_quiet {
-            self.rest = watcher_rest(self.shared.tuning().bound);
+            self.watch_delay = watcher_batch_delay(self.shared.tuning().bound);
         }
         self.known.on_answer(now, sent, wait, revision);
         self.known
@@ -312,21 +312,21 @@
     }
 
     /// Lets time pass; engines whose entry is missing are looked through meanwhile.
-    async fn pass(&mut self, time: Duration) {
+    async fn wait(&mut self, time: Duration) {
         let until = clock::now() + time;
         loop {
             let left = until.since(clock::now());
             if left.is_zero() {
                 return;
             }
-            tokio::time::sleep(left.min(TICK)).await;
+            tokio::time::sleep(left.min(TICK_INTERVAL)).await;
             if self.engines.has_missing() {
                 self.on_tick();
             }
         }
     }
 
-    fn on_all(&mut self, revision: u64, items: &[Item]) {
+    fn on_snapshot(&mut self, revision: u64, items: &[Item]) {
         let now = clock::now();
         self.known.on_all(self.shared.translate.keys(), revision, items);
         let entries = items.iter().filter_map(|item| self.entry(item));
@@ -397,7 +397,7 @@
     }
 
     fn on_config(&mut self, item: &Item) {
-        if item.key != self.shared.translate.keys().config || item.revision <= self.config {
+        if item.key != self.shared.translate.keys().config || item.revision <= self.config_revision {
             return;
         }
         match self.shared.translate.config(&item.value) {
@@ -415,7 +415,7 @@
             log_event!(warn, log_event::CONFIG_STALE, before, offered = table.version);
             return;
         }
-        self.config = revision;
+        self.config_revision = revision;
         let version = table.version;
         self.shared.publish(|view| view.table = Arc::new(table));
         self.fleet.on_version(version);
@@ -487,15 +487,17 @@
         }
         let now = clock::now();
         self.engines.on_store_failure(now);
-        self.failed = Some(now);
+        self.last_failure = Some(now);
         let longest = match self.fleet.watch_rank().is_watcher() {
-            true => LONGEST,
-            false => LONGEST_LISTENER,
+            true => MAX_WATCHER_BACKOFF,
+            false => MAX_LISTENER_BACKOFF,
         };
-        let pause = PAUSE.saturating_mul(1 << self.failures.min(8)).min(longest);
+        let pause = INITIAL_BACKOFF
+            .saturating_mul(1 << self.failures.min(8))
+            .min(longest);
         self.failures += 1;
         self.ask_peer().await;
         let pause = pause.mul_f64(0.5 + rand::rng().random::<f64>());
-        self.pass(pause).await;
+        self.wait(pause).await;
     }
 }
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -110,7 +110,7 @@
 /// few need not wait.
 #[test]
 fn rest_by_fleet() {
-    let millis = [0, 1, 8, 84, 350, 1_000_000].map(|watchers| follow::rest(watchers).as_millis());
+    let millis = [0, 1, 8, 84, 350, 1_000_000].map(|watchers| follow::batch_delay(watchers).as_millis());
     assert_eq!(millis, [0, 5, 40, 420, 500, 500]);
 }
 
@@ -484,6 +484,6 @@
         served.put("config", &format!("{change} /a/"));
         until(|| version(&listener) == change).await;
     }
-    let rests = follow::rest(listener.view.load().instances) * 4;
+    let rests = follow::batch_delay(listener.view.load().instances) * 4;
     assert!(clock::now().since(begun) >= rests, "{rests:?}");
 }
