--- a/src/ops/relay/peers/ask.rs
+++ b/src/ops/relay/peers/ask.rs
@@ -1,4 +1,4 @@
-//! Asking peers what they know of the store.
+//! Requests for changes and pages of the store from peers that have read it further than this instance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,33 +17,33 @@
 use crate::ops::relay::peers::Fleet;
 use crate::util::clock;
 
-/// Time limit for a peer's answer with the changes since a revision.
+/// Timeout of a request for the changes since a revision.
 const CHANGES_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time limit for a peer's answer with a page: eight peers may share its link at once.
+/// Timeout of a request for a page: eight peers may share the answering peer's link at the same time.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a peer knows of the store beyond what is known here.
+/// A peer's answer with parts of the store that are not known here, and the address of that peer.
 #[derive(Debug)]
 pub enum PeerAnswer {
-    /// The first page of everything, and the peer that sent it.
+    /// The first page of the whole store.
     FirstPage(SocketAddr, StorePage),
-    /// What happened since, and whom it was heard of.
+    /// The changes since the known revision.
     Changes(SocketAddr, StoreNews),
 }
 
 impl Fleet {
-    /// A peer that knows the store beyond `revision`: one of those furthest ahead in this zone. If there is none and
-    /// `other_zones` is set, one of those furthest ahead in the other zones.
+    /// Selects a peer that has read the store beyond `revision`: one of those with the highest revision in this zone.
+    /// If there is none and `other_zones` is set, one of those with the highest revision in the other zones.
     fn most_advanced_peer(&self, revision: u64, other_zones: bool) -> Option<(Name, SocketAddr)> {
         let roster = self.0.members.borrow().roster(clock::now());
-        let ahead = self.0.peer_revisions.borrow();
+        let revisions = self.0.peer_revisions.borrow();
         let zone = &self.0.shared.options.zone;
         let heard = |same_zone: bool| -> Vec<&Peer> {
             let peers = roster.peers.iter().filter(|p| p.heard);
             peers.filter(|p| (p.zone == *zone) == same_zone).collect()
         };
-        let known = |peer: &&Peer| ahead.get(&peer.name).copied().unwrap_or_default();
+        let known = |peer: &&Peer| revisions.get(&peer.name).copied().unwrap_or_default();
         let choose = |peers: Vec<&Peer>| {
             let known: Vec<u64> = peers.iter().map(known).collect();
             let asked = peers[most_advanced(&known, revision, rand::random::<u32>() as usize)?];
@@ -52,8 +52,8 @@
         choose(heard(true)).or_else(|| choose(heard(false)).filter(|_| other_zones))
     }
 
-    /// What a peer knows of the store beyond `revision`, if one does. Peers of other zones are asked only if
-    /// `other_zones` is set.
+    /// Asks a peer that is ahead for everything after `revision`; `None` if no peer is ahead or it did not answer with
+    /// anything new. Peers of other zones are asked only if `other_zones` is set.
     pub async fn ask_for_changes(&self, revision: u64, other_zones: bool) -> Option<PeerAnswer> {
         let (name, peer) = self.most_advanced_peer(revision, other_zones)?;
         let (request, timeout) = match revision {
@@ -61,8 +61,10 @@
             _ => (Request::Since(revision), CHANGES_TIMEOUT),
         };
         let sent = clock::now();
-        let told = match self.0.calls.call(peer, &request, timeout).await {
-            Ok(Response::News(news)) if news.revision > revision => Some(PeerAnswer::Changes(peer, news)),
+        let answer = match self.0.calls.call(peer, &request, timeout).await {
+            Ok(Response::News(changes)) if changes.revision > revision => {
+                Some(PeerAnswer::Changes(peer, changes))
+            }
             Ok(Response::Page(page)) if page.revision > revision => {
                 Some(PeerAnswer::FirstPage(peer, add_elapsed(page, sent)))
             }
@@ -72,14 +74,14 @@
                 None
             }
         };
-        if told.is_none() {
-            // It says so anew if it can be asked.
+        if answer.is_none() {
+            // Its next message about load sets the revision again, if the peer can still be reached.
             self.0.peer_revisions.borrow_mut().remove(&name);
         }
-        told
+        answer
     }
 
-    /// The first page of what a peer knows of the store.
+    /// Asks a peer for the first page of the store; `None` if it could not be fetched.
     pub async fn ask_first_page(&self, peer: SocketAddr) -> Option<StorePage> {
         self.ask_page(peer, String::new()).await
     }
@@ -111,7 +113,8 @@
     }
 }
 
-/// Adds the time since `sent` to the page's age, as its upper bound: over a slow link the answer takes seconds.
+/// Adds the time since `sent` to the age of the page, which makes it an upper bound: over a slow link, the answer takes
+/// seconds.
 fn add_elapsed(page: StorePage, sent: Time) -> StorePage {
     let elapsed = clock::now().since(sent).as_millis();
     let elapsed = u32::try_from(elapsed).unwrap_or(u32::MAX);
--- a/src/ops/relay/peers/counts.rs
+++ b/src/ops/relay/peers/counts.rs
@@ -1,4 +1,5 @@
-//! Telling peers what this instance counted, and what its wall clock shows.
+//! Counts of requests by workspace, as this instance sends them to its peers and receives them, and the estimate of
+//! true time that assigns requests to windows.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -19,32 +20,36 @@
 use crate::ops::relay::peers::Fleet;
 use crate::util::clock;
 
-/// Time between two messages: an instance that is killed loses what it counted since the last.
+/// Time between two messages: an instance that is killed loses what it counted since the last one.
 const SEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Windows of which each message tells: the current one, and those that may not be decided on yet.
+/// Number of windows that each message covers: the current one, and those that may not have been decided yet.
 const REPORTED_WINDOWS: u64 = 3;
 
-/// Workspaces of a message: with names of twenty bytes it is as long as a datagram may be.
+/// Maximum number of workspaces in a message: with names of twenty bytes, it has the maximum length of a datagram.
 const MAX_WORKSPACES: usize = 48;
 
-/// Instances that sum up besides the one that reports: whoever acts next is most probably one of them.
+/// Number of instances that add up the counts besides the lease holder, which reports them: the next holder is most
+/// likely one of them.
 pub(super) const STANDBY_COUNT: usize = 3;
 
-/// What is counted here and heard of others.
+/// Counts of this instance and its peers, and what is needed to send them.
 #[derive(Debug, Default)]
 pub(super) struct UsageState {
+    /// Counts of all instances.
     totals: RefCell<FleetCounts>,
+    /// Wall clocks of all instances.
     true_time: RefCell<TrueTime>,
-    /// Instances that sum up, besides the holder of the lease.
+    /// Instances that add up the counts besides the lease holder.
     standbys: RefCell<Vec<SocketAddr>>,
+    /// When counts were last sent.
     last_sent: Cell<Time>,
-    /// This start of the instance.
+    /// Identifies this start of the instance; random.
     process: u64,
 }
 
 impl UsageState {
-    /// Nothing yet, of a new start.
+    /// Creates the empty state of a newly started instance.
     pub(super) fn new() -> UsageState {
         UsageState {
             process: rand::random(),
@@ -54,40 +59,41 @@
 }
 
 impl Fleet {
-    /// Takes what a peer's wall clock showed.
+    /// Handles the reading of an instance's wall clock, in microseconds since the epoch.
     pub(super) fn on_clock(&self, now: Time, name: &Name, wall: u64) {
-        let mut truth = self.0.usage.true_time.borrow_mut();
-        truth.on_clock(now, name.as_str(), wall);
+        let mut true_time = self.0.usage.true_time.borrow_mut();
+        true_time.on_clock(now, name.as_str(), wall);
     }
 
-    /// Takes what a peer counted.
-    pub(super) fn on_counts(&self, name: &Name, told: CountsMessage) {
+    /// Handles the counts of an instance.
+    pub(super) fn on_counts(&self, name: &Name, message: CountsMessage) {
         let source = CountSource {
             instance: name.to_string(),
-            process: told.process,
+            process: message.process,
         };
-        self.0.usage.totals.borrow_mut().on_counts(source, told.tally);
+        self.0.usage.totals.borrow_mut().on_counts(source, message.tally);
     }
 
-    /// Notes who sums up: those who come first among the live instances.
-    pub(super) fn set_standbys(&self, first: Vec<SocketAddr>) {
-        *self.0.usage.standbys.borrow_mut() = first;
+    /// Sets the standbys: the first of the live instances.
+    pub(super) fn set_standbys(&self, standbys: Vec<SocketAddr>) {
+        *self.0.usage.standbys.borrow_mut() = standbys;
     }
 
-    /// Tells the instances that sum up what was counted here.
+    /// Sends the counts of this instance to the aggregators, if [`SEND_INTERVAL`] has passed. Also updates the estimate
+    /// of true time.
     pub(super) fn send_counts(&self, now: Time) {
         let shared = &self.0.shared;
         let Some(acts) = &shared.options.acts else {
             return;
         };
-        let tallies = &self.0.usage;
-        if now.since(tallies.last_sent.get()) < SEND_INTERVAL {
+        let usage = &self.0.usage;
+        if now.since(usage.last_sent.get()) < SEND_INTERVAL {
             return;
         }
-        tallies.last_sent.set(now);
+        usage.last_sent.set(now);
         self.on_clock(now, &shared.options.name, clock::wall_micros());
-        if let Some(lead) = tallies.true_time.borrow_mut().offset(now) {
-            shared.on_truth(lead);
+        if let Some(offset) = usage.true_time.borrow_mut().offset(now) {
+            shared.on_truth(offset);
         }
         let current = Window::at(shared.true_micros(now), acts.window);
         let first = Window((current.0 + 1).saturating_sub(REPORTED_WINDOWS));
@@ -95,39 +101,39 @@
         if tally.is_empty() {
             return;
         }
-        let counters = self.aggregators();
-        let parts = tally
+        let aggregators = self.aggregators();
+        let messages = tally
             .chunks(MAX_WORKSPACES)
             .into_iter()
             .map(|tally| CountsMessage {
-                process: tallies.process,
+                process: usage.process,
                 tally,
             });
-        for told in parts {
-            self.on_counts(&shared.options.name, told.clone());
-            for peer in &counters {
-                self.send(*peer, Datagram::Counts(told.clone()));
+        for message in messages {
+            self.on_counts(&shared.options.name, message.clone());
+            for peer in &aggregators {
+                self.send(*peer, Datagram::Counts(message.clone()));
             }
         }
     }
 
-    /// Who sums up: the holder of the lease and those that stand by.
+    /// Peers that add up the counts: the lease holder and the standbys.
     fn aggregators(&self) -> BTreeSet<SocketAddr> {
         let view = self.0.shared.view.load();
         let listed = self.0.listed.borrow();
         let holder = view.lead.as_ref().and_then(|lead| Name::new(&lead.holder).ok());
         let holder = holder.and_then(|name| Some(listed.get(&name)?.listing.peer_address));
-        let stand_by = self.0.usage.standbys.borrow();
-        let all = holder.into_iter().chain(stand_by.iter().copied());
+        let standbys = self.0.usage.standbys.borrow();
+        let all = holder.into_iter().chain(standbys.iter().copied());
         all.filter(|peer| *peer != self.0.shared.options.peer).collect()
     }
 
-    /// The first window of which something was counted.
+    /// The first window with known counts.
     pub fn first_counted_window(&self) -> Option<Window> {
         self.0.usage.totals.borrow().first_window()
     }
 
-    /// What all instances counted in a window.
+    /// The sum of a window over all instances.
     pub fn total_counts(&self, window: Window) -> Counts {
         self.0.usage.totals.borrow().total(window)
     }
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -1,4 +1,5 @@
-//! The other instances: who they are, whether they are alive, and how much work they have at each engine.
+//! The other instances of the fleet: which ones exist, whether they are alive, how much work they have at each engine,
+//! and how far they have read the store.
 
 mod ask;
 mod counts;
@@ -59,37 +60,39 @@
 /// Time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A peer not heard of for so long isn't named to callers: four heartbeats may be lost in a row.
+/// A peer not heard from for this long is not given to callers as an endpoint: four heartbeats in a row may be lost.
 const SILENT_AFTER: Duration = Duration::from_millis(1_800);
 
-/// Time between two messages about load. An engine reads a prompt in about eight milliseconds; older news would
-/// describe work that is done.
+/// Time between two messages about load. An engine computes a prefill in about eight milliseconds; older messages would
+/// describe work that is already done.
 const LOAD_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How long a peer counts as busy after it reported work.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Part of what would just fit to which a message about load that is too long is cut: not all of it can be cut.
+/// Fraction of the maximum length to which a message about load that is too long is trimmed. It is less than one
+/// because parts of a message cannot be trimmed.
 const TRIM_FACTOR: f64 = 0.8;
 
 /// Capacity, in thousandths of a core, that allows one full transfer of the known store to a peer per second. A
 /// transfer is three megabytes for ten thousand engines.
 const CAPACITY_PER_TRANSFER: u32 = 60;
 
-/// Pause after the socket failed.
+/// Pause before the socket is read again after an error.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Of the [`FANOUT`] peers that get each heartbeat, those in other zones, in a fleet with more peers.
+/// Number of peers in other zones among the [`FANOUT`] peers to which each heartbeat is sent, in a fleet with more
+/// peers.
 const CROSS_ZONE_FANOUT: usize = 2;
 
-/// Where peers speak.
+/// The sockets on which an instance communicates with its peers.
 pub struct Sockets {
     datagrams: DatagramSocket,
     calls: TcpListener,
 }
 
 impl Sockets {
-    /// Binds the peers' address, for datagrams and for calls.
+    /// Binds the address for peers, for datagrams and for calls.
     ///
     /// # Errors
     ///
@@ -103,7 +106,7 @@
     }
 }
 
-/// Answers calls of peers.
+/// Answers the calls of peers for changes and pages of the store.
 #[derive(Debug, Clone)]
 struct StoreResponder {
     known: Known,
@@ -114,6 +117,7 @@
 }
 
 impl StoreResponder {
+    /// Creates a responder without any transfers yet.
     fn new(known: Known, capacity: u32) -> StoreResponder {
         StoreResponder {
             known,
@@ -124,8 +128,8 @@
 
     /// Starts a full transfer if the limit per second allows another one.
     ///
-    /// Guards against all instances of a starting fleet loading from the first one that knows the store: they share its
-    /// link, and none finishes in time.
+    /// Guards against all instances of a starting fleet loading the store from the first one that knows it: they would
+    /// share its link, and none would finish in time.
     fn begin_transfer(&self, now: Time) -> bool {
         let mut transfers = self.transfers.borrow_mut();
         transfers.retain(|at| now.since(*at) < Duration::from_secs(1));
@@ -137,7 +141,7 @@
         is_allowed
     }
 
-    /// Answers with the page after a key. Only the first page of a transfer counts against the limit.
+    /// Answers with the page after the key `after`. Only the first page of a transfer counts against the limit.
     fn page(&self, after: &str) -> Response {
         let now = clock::now();
         match !after.is_empty() || self.begin_transfer(now) {
@@ -153,50 +157,56 @@
             Request::Ping => Response::Pong,
             Request::Page(after) => self.page(&after),
             Request::Since(revision) => {
-                let news = self.known.tell_since(clock::now(), revision);
-                news.map_or_else(|| self.page(""), Response::News)
+                let changes = self.known.tell_since(clock::now(), revision);
+                changes.map_or_else(|| self.page(""), Response::News)
             }
             _ => Response::Unserved,
         }
     }
 }
 
+/// State shared by all clones of a [`Fleet`].
 struct State {
     shared: Arc<Shared>,
     socket: DatagramSocket,
     members: RefCell<MemberTable>,
+    /// Instances that the store lists.
     listed: RefCell<BTreeMap<Name, Listed>>,
+    /// Whether there was nothing to report in the last turn.
     quiet: Cell<bool>,
+    /// Number of the next turn of messages about load.
     turn: Cell<u32>,
     calls: CallClient,
     known: Known,
-    /// Addresses of the peers that are heard, as of the last roster: those of this zone, then those of other zones.
+    /// Addresses of the peers that are currently heard, as of the last roster: those of this zone, then those of other
+    /// zones.
     heard: RefCell<[Vec<SocketAddr>; 2]>,
-    /// When each peer last reported work.
+    /// When each peer last reported work; filled only in a large fleet.
     busy: RefCell<BTreeMap<SocketAddr, Time>>,
-    /// Up to which revision of the store each peer said to know.
+    /// Revision up to which each peer reported to have read the store.
     peer_revisions: RefCell<BTreeMap<Name, u64>>,
     proofs: ProofState,
     usage: UsageState,
     started: Time,
-    /// Rank of this instance among those that it hears.
+    /// Rank of this instance as a watcher among those that it hears.
     watch_rank: Cell<FleetRank>,
-    /// Wakes whoever listens to the peers instead of the store: one knows more, or the seat changed.
+    /// Wakes the follower of the store when a peer has a higher revision, or this instance becomes a watcher or stops
+    /// being one.
     updates: Notify,
 }
 
-/// The fleet as this instance sees it; cheap to clone, stays on one thread.
+/// The fleet as seen by this instance. Cheap to clone; not `Send`.
 #[derive(Clone)]
 pub struct Fleet(Rc<State>);
 
-/// Starts to speak with the peers.
+/// Starts the tasks that exchange messages with the peers.
 pub fn start(shared: Arc<Shared>, sockets: Sockets, known: Known) -> Fleet {
     let options = &shared.options;
-    let about = InstanceInfo::new(clock::wall().0, options.zone.clone(), options.front, options.peer);
-    let myself = LocalInstance {
+    let info = InstanceInfo::new(clock::wall().0, options.zone.clone(), options.front, options.peer);
+    let local = LocalInstance {
         name: options.name.clone(),
-        seed: about.incarnation,
-        info: about,
+        seed: info.incarnation,
+        info,
     };
     let limits = Limits {
         interval: HEARTBEAT_INTERVAL,
@@ -222,7 +232,7 @@
         peer_revisions: RefCell::default(),
         proofs: ProofState::default(),
         usage: UsageState::new(),
-        members: RefCell::new(MemberTable::new(myself, limits)),
+        members: RefCell::new(MemberTable::new(local, limits)),
         listed: RefCell::default(),
         quiet: Cell::new(true),
         turn: Cell::new(0),
@@ -236,14 +246,15 @@
     fleet
 }
 
+/// Handles the datagrams of peers.
 async fn receive(fleet: Fleet) {
     loop {
         match fleet.0.socket.receive().await {
-            Ok((name, Datagram::Beat(beat))) => fleet.on(Event::Heartbeat(name, beat)),
-            Ok((name, Datagram::Load(digest))) => fleet.on_load(&name, digest),
-            Ok((name, Datagram::Prove(question))) => fleet.on_proof_request(&name, question),
+            Ok((name, Datagram::Beat(heartbeat))) => fleet.on(Event::Heartbeat(name, heartbeat)),
+            Ok((name, Datagram::Load(message))) => fleet.on_load(&name, message),
+            Ok((name, Datagram::Prove(number))) => fleet.on_proof_request(&name, number),
             Ok((_, Datagram::Proof(proof))) => fleet.on_proof(proof),
-            Ok((name, Datagram::Counts(told))) => fleet.on_counts(&name, told),
+            Ok((name, Datagram::Counts(message))) => fleet.on_counts(&name, message),
             Ok((_, Datagram::Ping)) => {}
             Err(PeerError::Broken(error)) => {
                 log_event!(warn, log_event::PEER_FAILED, %error, call = "receive");
@@ -254,6 +265,7 @@
     }
 }
 
+/// Sends heartbeats and updates the membership.
 async fn tick(fleet: Fleet) {
     loop {
         fleet.on(Event::Tick);
@@ -261,6 +273,7 @@
     }
 }
 
+/// Sends a message about load in each turn.
 async fn send_load_messages(fleet: Fleet) {
     loop {
         tokio::time::sleep(LOAD_INTERVAL).await;
@@ -269,7 +282,7 @@
 }
 
 impl Fleet {
-    /// Takes the list of instances in the store.
+    /// Replaces the list of instances by the one that was read from the store.
     pub fn on_listed(&self, listings: Vec<Listed>) {
         let listed = listings
             .into_iter()
@@ -279,7 +292,8 @@
         self.apply_list();
     }
 
-    /// Takes an instance that was added to the list, if it is one; [`Self::relist`] is to follow.
+    /// Adds an instance to the list or updates it; `None` changes nothing. Returns whether there was one to add; if so,
+    /// [`Self::apply_list`] must be called.
     pub fn on_item(&self, listed: Option<Listed>) -> bool {
         let Some(listed) = listed else {
             return false;
@@ -289,17 +303,18 @@
         true
     }
 
-    /// Takes an instance off the list, if it is one; [`Self::relist`] is to follow.
+    /// Removes an instance from the list; `None` changes nothing. Returns whether it was listed; if so,
+    /// [`Self::apply_list`] must be called.
     pub fn on_removed(&self, name: Option<Name>) -> bool {
         name.is_some_and(|name| self.0.listed.borrow_mut().remove(&name).is_some())
     }
 
-    /// What this instance knows of the store.
+    /// The contents of the store as known to this instance.
     pub fn known(&self) -> &Known {
         &self.0.known
     }
 
-    /// The zones of the instances that the store lists.
+    /// The zones of the instances that the store lists, by name.
     pub fn listed_zones(&self) -> BTreeMap<Name, Name> {
         let listed = self.0.listed.borrow();
         listed
@@ -315,17 +330,18 @@
         heard.map(|p| p.name.to_string()).collect()
     }
 
-    /// Tells the peers which configuration is in force here.
+    /// Notifies the peers of the version of the configuration that came into force here.
     pub fn on_version(&self, version: u64) {
         self.on(Event::InForce(Version(version)));
     }
 
-    /// Tells the peers that this instance leaves.
+    /// Notifies the peers that this instance is shutting down.
     pub fn leave(&self) {
         self.on(Event::Leave);
     }
 
-    /// Puts the list in force, once for all that an answer has changed: each time costs as much as the fleet is large.
+    /// Applies the list to the membership. It is called once for all changes of an answer, because its cost grows with
+    /// the size of the fleet.
     pub fn apply_list(&self) {
         let listed = self
             .0
@@ -337,25 +353,27 @@
         self.on(Event::Listed(listed));
     }
 
+    /// Handles a membership event and carries out the resulting actions.
     fn on(&self, event: Event) {
         let is_heartbeat = matches!(event, Event::Heartbeat(..));
         let actions = self.0.members.borrow_mut().on(clock::now(), event);
         let mut publish = false;
         for action in actions {
             match action {
-                Action::Send(to, beat) => self.send(to, Datagram::Beat(beat)),
+                Action::Send(to, heartbeat) => self.send(to, Datagram::Beat(heartbeat)),
                 Action::Publish => publish = true,
                 Action::PeerAhead(..) | Action::Resumed => {}
             }
         }
-        // The cost of publishing grows with the size of the fleet, and in a large fleet heartbeats with news arrive all the
-        // time: these wait for the next tick.
+        // The cost of publishing grows with the size of the fleet, and in a large fleet heartbeats that change the
+        // roster arrive all the time: their changes are published at the next tick.
         let is_deferred = is_heartbeat && self.is_large();
         if publish && !is_deferred {
             self.publish();
         }
     }
 
+    /// Sends a datagram without waiting for the socket.
     fn send(&self, to: SocketAddr, body: Datagram) {
         let fleet = self.clone();
         actix_rt::spawn(async move {
@@ -365,65 +383,60 @@
         });
     }
 
-    /// Rank of this instance among those that it hears.
+    /// Rank of this instance as a watcher among those that it hears.
     pub fn watch_rank(&self) -> FleetRank {
         self.0.watch_rank.get()
     }
 
-    /// Returns when a peer knows more of the store, or when the seat has changed.
+    /// Waits until a peer has a higher revision of the store, or this instance becomes a watcher or stops being one.
     pub async fn wait_for_update(&self) {
         self.0.updates.notified().await;
     }
 
-    fn on_load(&self, name: &Name, digest: LoadMessage) {
+    /// Handles a peer's message about its load and how far it has read the store.
+    fn on_load(&self, name: &Name, message: LoadMessage) {
         let now = clock::now();
         self.0
             .peer_revisions
             .borrow_mut()
-            .insert(name.clone(), digest.revision);
-        self.0.proofs.on_proof_age(now, name, digest.proof);
-        self.on_clock(now, name, digest.wall);
-        if self.0.known.on_word(now, digest.sync_status()) {
+            .insert(name.clone(), message.revision);
+        self.0.proofs.on_proof_age(now, name, message.proof);
+        self.on_clock(now, name, message.wall);
+        if self.0.known.on_word(now, message.sync_status()) {
             self.0.updates.notify_one();
         }
         if self.is_large()
-            && !digest.shares.is_empty()
+            && !message.shares.is_empty()
             && let Some(peer) = self.0.members.borrow().address(name)
         {
             self.0.busy.borrow_mut().insert(peer, now);
         }
         let keys = self.0.shared.view.load().keys().clone();
-        let work: BTreeMap<EngineKey, Work> = digest
+        let work: BTreeMap<EngineKey, Work> = message
             .shares
             .into_iter()
             .filter_map(|share| {
                 let key = keys.get(share.engine.as_str())?;
-                let reading = Duration::from_micros(share.reading);
+                let prefill = Duration::from_micros(share.reading);
                 let requests = share.requests;
-                Some((
-                    *key,
-                    Work {
-                        requests,
-                        prefill: reading,
-                    },
-                ))
+                Some((*key, Work { requests, prefill }))
             })
             .collect();
         let mut ledger = self.0.shared.ledger();
         ledger.book.on_peer_report(now, name.as_str(), work);
-        for note in digest.notes {
+        for note in message.notes {
             ledger.suspects.on_note(now, note);
         }
         let view = self.0.shared.view.load();
-        for read in digest.reads {
-            // An engine that is not known here yet, or no more, gets no work from here.
+        for read in message.reads {
+            // An engine that is not yet or no longer known here gets no work from this instance.
             if let Some(engine) = view.hashes().get(&read.engine) {
                 ledger.book.cached_parts.on_prefill(now, *engine, read);
             }
         }
     }
 
-    /// Whether there are too many peers to tell all of them about load in time.
+    /// Whether there are too many peers to send all of them messages about load in time.
     fn is_large(&self) -> bool {
         let peers = self.0.heard.borrow().iter().map(Vec::len).sum();
         load_message::is_large_fleet(peers)
@@ -446,7 +459,8 @@
         (load_peers.recipients(turn), load_peers.turns())
     }
 
-    /// Tells the peers about this instance's work and how far it knows the store; seldom, if there is no work.
+    /// Sends the peers the load of this instance and how far it has read the store; less often if there is nothing to
+    /// report.
     async fn send_load(&self) {
         let now = clock::now();
         self.0.known.on_tick(now);
@@ -455,7 +469,7 @@
         let turn = self.0.turn.get();
         self.0.turn.set(turn.wrapping_add(1));
         let (peers, turns) = self.load_recipients(now, turn);
-        let (all, notes, reads) = {
+        let (load, notes, reads) = {
             let mut ledger = self.0.shared.ledger();
             let reads = ledger
                 .book
@@ -463,23 +477,23 @@
                 .records_to_send(u32::try_from(turns).unwrap_or(u32::MAX));
             (ledger.book.own_by_engine(), ledger.suspects.notes(now), reads)
         };
-        let quiet = all.is_empty() && notes.is_empty() && reads.is_empty();
+        let quiet = load.is_empty() && notes.is_empty() && reads.is_empty();
         if self.0.quiet.replace(quiet) && quiet && !load_message::is_quiet_turn(turn) {
             return;
         }
         let ids = self.0.shared.view.load().ids().clone();
-        let work = all
+        let work = load
             .into_iter()
             .filter_map(|(key, work)| Some((ids.get(&key)?.clone(), work)));
-        let digest = LoadMessage::new(work.collect(), notes, reads).with_sync_status(self.0.known.word(now));
-        let mut digest = digest.with_clock(clock::wall_micros(), self.0.known.proof_word(now));
+        let message = LoadMessage::new(work.collect(), notes, reads).with_sync_status(self.0.known.word(now));
+        let mut message = message.with_clock(clock::wall_micros(), self.0.known.proof_word(now));
         for peer in peers {
-            let mut sent = self.0.socket.send(peer, Datagram::Load(digest.clone())).await;
-            if let Err(PeerError::TooLong(length)) = sent {
-                digest = digest.trim(MAX_DATAGRAM as f64 / length as f64 * TRIM_FACTOR);
-                sent = self.0.socket.send(peer, Datagram::Load(digest.clone())).await;
+            let mut result = self.0.socket.send(peer, Datagram::Load(message.clone())).await;
+            if let Err(PeerError::TooLong(length)) = result {
+                message = message.trim(MAX_DATAGRAM as f64 / length as f64 * TRIM_FACTOR);
+                result = self.0.socket.send(peer, Datagram::Load(message.clone())).await;
             }
-            if let Err(error) = sent {
+            if let Err(error) = result {
                 log_event!(debug, log_event::PEER_FAILED, to = %peer, %error, call = "load");
             }
         }
--- a/src/ops/relay/peers/prove.rs
+++ b/src/ops/relay/peers/prove.rs
@@ -1,8 +1,8 @@
-//! Proofs that nothing happened in the store that this instance does not know.
+//! Proofs that this instance has read all changes of the store.
 //!
-//! Failure guarded against: a key is taken away, and an instance that is paused, cut off or turned away by the store lets
-//! its holder in for longer than allowed, since a message that was held up made its knowledge seem new. An age counts from
-//! when the question for it left, so that no time on the way is missed.
+//! Guards against an instance that is paused, partitioned or rejected by the store and admits the holder of a revoked
+//! API key for longer than allowed, because a delayed message made its data seem recent. The age of a proof is
+//! therefore counted from the time at which the request for it was sent, which includes all time in transit.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -23,33 +23,34 @@
 use crate::ops::relay::peers::Fleet;
 use crate::util::clock;
 
-/// Time between two questions: several may be lost before the proof is too old.
+/// Minimum time between two requests for a proof: several may be lost before the last proof is too old.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A question and when it left.
+/// A request for a proof that was sent to peers.
 #[derive(Debug, Clone, Copy)]
 struct ProofRequest {
+    /// Random number that the answers repeat.
     number: u64,
     sent: Time,
 }
 
-/// What was asked and told of proofs.
+/// Requests for proofs, and the proofs of peers.
 #[derive(Debug, Default)]
 pub(super) struct ProofState {
-    /// The last two questions: the answer to one may cross the next.
+    /// The latest request and the one before it: an answer to a request may arrive after the next one was sent.
     requests: Cell<[Option<ProofRequest>; 2]>,
-    /// Up to when each peer said that its knowledge is proven.
+    /// Time up to which each peer reported to have proven that it has read all changes.
     peer_proofs: RefCell<BTreeMap<Name, Time>>,
     /// Peers that watch the store.
     pub(super) watchers: RefCell<Vec<SocketAddr>>,
-    /// The first peer of each zone in the order of watchers.
+    /// The first peer of each zone, by rank as a watcher.
     pub(super) zone_peers: RefCell<Vec<SocketAddr>>,
-    /// Whether requests with keys may be let in here, as last logged.
+    /// Whether this instance may admit requests with API keys, as last logged.
     proven: Cell<bool>,
 }
 
 impl ProofState {
-    /// Takes the age of a peer's proof, in milliseconds.
+    /// Handles the age of a peer's proof, in milliseconds, as reported by that peer.
     pub(super) fn on_proof_age(&self, now: Time, peer: &Name, millis: u32) {
         let age = Duration::from_millis(u64::from(millis));
         if now.since(Time::ZERO) > age {
@@ -57,24 +58,27 @@
         }
     }
 
-    /// Whether a peer may let requests with keys in, as far as it said, if a proof may be `limit` old.
+    /// Whether a peer may admit requests with API keys according to its reports, if a proof may be `limit` old.
     pub(super) fn is_peer_proven(&self, now: Time, peer: &Name, limit: Duration) -> bool {
-        let told = self.peer_proofs.borrow();
-        told.get(peer).is_some_and(|until| now.since(*until) <= limit)
+        let peer_proofs = self.peer_proofs.borrow();
+        peer_proofs
+            .get(peer)
+            .is_some_and(|until| now.since(*until) <= limit)
     }
 
-    /// The number of a new question.
+    /// Records a new request; returns its number.
     fn start_request(&self, now: Time) -> u64 {
         let number = rand::random();
         let [latest, _] = self.requests.get();
-        let question = ProofRequest { number, sent: now };
-        self.requests.set([Some(question), latest]);
+        let request = ProofRequest { number, sent: now };
+        self.requests.set([Some(request), latest]);
         number
     }
 
+    /// When the request of this number was sent; `None` if it is not one of the last two.
     fn sent_at(&self, number: u64) -> Option<Time> {
-        let questions = self.requests.get().into_iter().flatten();
-        questions.filter(|q| q.number == number).map(|q| q.sent).next()
+        let requests = self.requests.get().into_iter().flatten();
+        requests.filter(|r| r.number == number).map(|r| r.sent).next()
     }
 
     /// The watchers and the first peer of each zone, without duplicates.
@@ -85,12 +89,13 @@
 
     fn requested_recently(&self, now: Time) -> bool {
         let [latest, _] = self.requests.get();
-        latest.is_some_and(|q| now.since(q.sent) < REQUEST_INTERVAL)
+        latest.is_some_and(|r| now.since(r.sent) < REQUEST_INTERVAL)
     }
 }
 
 impl Fleet {
-    /// Puts in force what is known of keys, and asks for a newer proof of it if the last grows old.
+    /// Publishes the ages of the last confirmation and of the last proof, and asks peers for a newer proof if the last
+    /// one becomes old.
     pub(super) fn update_proof(&self, now: Time) {
         let shared = &self.0.shared;
         let known = &self.0.known;
@@ -119,6 +124,7 @@
         }
     }
 
+    /// Sets whether this instance may admit requests with API keys; logs and publishes a change.
     fn set_proven(&self, proven: bool) {
         if self.0.proofs.proven.replace(proven) != proven {
             let age = self
@@ -131,24 +137,24 @@
         }
     }
 
-    /// Answers a peer's question for a proof.
-    pub(super) fn on_proof_request(&self, name: &Name, question: u64) {
+    /// Answers a peer's request for a proof, if there is one.
+    pub(super) fn on_proof_request(&self, name: &Name, number: u64) {
         let listed = self.0.listed.borrow();
         let Some(peer) = listed.get(name).map(|l| l.listing.peer_address) else {
             return;
         };
-        if let Some(word) = self.0.known.proof_word(clock::now()) {
+        if let Some(status) = self.0.known.proof_word(clock::now()) {
             let proof = StoreProof {
-                question,
-                revision: word.revision,
-                // Rounded up: the age must not seem shorter than it is.
-                age: word.age_millis().saturating_add(1),
+                question: number,
+                revision: status.revision,
+                // Rounded up: the age must not be reported as shorter than it is.
+                age: status.age_millis().saturating_add(1),
             };
             self.send(peer, Datagram::Proof(proof));
         }
     }
 
-    /// Takes the answer to a question of this instance.
+    /// Handles a peer's answer to a request of this instance; answers to older requests are ignored.
     pub(super) fn on_proof(&self, proof: StoreProof) {
         let Some(sent) = self.0.proofs.sent_at(proof.question) else {
             return;
--- a/src/ops/relay/peers/roster.rs
+++ b/src/ops/relay/peers/roster.rs
@@ -1,4 +1,5 @@
-//! What follows from who is heard: where callers may go, and who watches the store.
+//! What an instance derives from the peers that it hears: the endpoints for callers, its own rank as a watcher of the
+//! store, and the peers to ask for proofs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,14 +22,15 @@
 use crate::ops::relay::register::Listed;
 use crate::util::clock;
 
-/// How long after its start an instance takes those that the store lists for present: by then it has heard of all that
-/// live.
+/// Time after its start during which an instance counts all instances that the store lists as present. By the end of
+/// it, it has heard of all live instances.
 const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 
 impl Fleet {
+    /// Updates everything that depends on the roster, and replaces the view of the traffic thread if it changed.
     pub(super) fn publish(&self) {
         let roster = self.0.members.borrow().roster(clock::now());
-        let entrances = self.caller_endpoints(&roster);
+        let endpoints = self.caller_endpoints(&roster);
         let instances = roster.peers.len() + 1;
         let before = roster
             .peers
@@ -44,9 +46,9 @@
             .map(|p| p.peer_address);
         self.set_standbys(open.take(STANDBY_COUNT).collect());
         let view = self.0.shared.view.load();
-        if view.entrances != entrances || view.instances != instances || view.rank != rank {
+        if view.entrances != endpoints || view.instances != instances || view.rank != rank {
             self.0.shared.publish(|view| {
-                view.entrances = entrances;
+                view.entrances = endpoints;
                 view.instances = instances;
                 view.rank = rank;
             });
@@ -61,7 +63,7 @@
         *self.0.heard.borrow_mut() = [addresses(same_zone), addresses(other_zones)];
     }
 
-    /// Where callers may go, each address once.
+    /// The endpoints that callers may use, without duplicate addresses.
     fn caller_endpoints(&self, roster: &Roster) -> Vec<Endpoint> {
         let listed = self.0.listed.borrow();
         let options = &self.0.shared.options;
@@ -72,40 +74,43 @@
         });
         let now = clock::now();
         let limit = self.0.shared.proof_limit();
-        let holds = |p: &&Peer| limit.is_none_or(|limit| self.0.proofs.is_peer_proven(now, &p.name, limit));
+        let is_proven =
+            |p: &&Peer| limit.is_none_or(|limit| self.0.proofs.is_peer_proven(now, &p.name, limit));
         let open: Vec<&Peer> = roster.peers.iter().filter(|p| p.accepts_work()).collect();
-        let proven: Vec<&Peer> = open.iter().copied().filter(holds).collect();
-        // Where nobody may let requests in, callers are told of all: those that come back first serve them.
-        let named = match proven.is_empty() && own.is_none() {
+        let proven: Vec<&Peer> = open.iter().copied().filter(is_proven).collect();
+        // If no instance may admit requests, callers are given all of them: whichever recovers first serves them.
+        let offered = match proven.is_empty() && own.is_none() {
             true => open,
             false => proven,
         };
-        let open = named.into_iter().map(|p| Endpoint {
+        let open = offered.into_iter().map(|p| Endpoint {
             address: p.address,
             zone: p.zone.clone(),
             capacity: listed.get(&p.name).map_or(0, |l| l.capacity),
         });
-        let mut entrances: Vec<Endpoint> = open.chain(own).collect();
-        entrances.sort();
-        entrances.dedup_by_key(|e| e.address);
-        entrances
+        let mut endpoints: Vec<Endpoint> = open.chain(own).collect();
+        endpoints.sort();
+        endpoints.dedup_by_key(|e| e.address);
+        endpoints
     }
 
     /// Determines the rank of this instance among those that it hears, and which peers to ask for proofs.
     ///
-    /// Failure guarded against: a fleet of hundreds starts, and until they hear each other all of its instances watch, each
-    /// ended by every registration. Just after its start an instance takes those that the store lists for present; if
-    /// they are not, what it knows grows old, and it watches by itself.
+    /// Guards against all instances of a starting fleet of hundreds watching the store until they hear each other, with
+    /// every registration ending all these watches. Shortly after its start, an instance therefore counts all instances
+    /// that the store lists as present. If they are not, its last confirmation becomes too old, and it watches the
+    /// store itself.
     fn update_watchers(&self, roster: &Roster) {
         let options = &self.0.shared.options;
-        let is_young = clock::now().since(self.0.started) < STARTUP_PERIOD;
-        // Peers without a configuration count too: before the first one is installed, every instance would watch
-        // otherwise.
-        let is_present = |p: &&Peer| p.state == MemberState::Live && (p.heard || is_young);
+        let is_starting = clock::now().since(self.0.started) < STARTUP_PERIOD;
+        // Peers without a configuration count too: otherwise every instance would watch until the first configuration
+        // is installed.
+        let is_present = |p: &&Peer| p.state == MemberState::Live && (p.heard || is_starting);
         let present: Vec<&Peer> = roster.peers.iter().filter(is_present).collect();
         let listed = self.0.listed.borrow();
         let others = present.iter().map(|p| candidate(&listed, &p.name, &p.zone));
-        // Its own capacity comes from the list too: with different sources, two instances could both rank themselves first.
+        // The capacity of this instance is taken from the list too: with different sources, two instances could both
+        // rank themselves first.
         let own = candidate(&listed, &options.name, &options.zone);
         let ranked = watchers::rank_candidates(others.chain([own]).collect());
         let zones: BTreeSet<&str> = ranked.iter().map(|c| c.zone).collect();
@@ -125,12 +130,13 @@
         self.set_watch_rank(FleetRank::among(&ranked, options.name.as_str()));
     }
 
-    fn set_watch_rank(&self, seat: FleetRank) {
-        let watches = seat.is_watcher();
+    /// Replaces the rank, and wakes the follower of the store if this instance becomes a watcher or stops being one.
+    fn set_watch_rank(&self, new_rank: FleetRank) {
+        let watches = new_rank.is_watcher();
         self.0.shared.metrics.watcher.set(i64::from(watches));
-        let former = self.0.watch_rank.replace(seat);
-        if former.is_watcher() != watches {
-            let (rank, members) = (seat.rank, seat.members);
+        let previous = self.0.watch_rank.replace(new_rank);
+        if previous.is_watcher() != watches {
+            let (rank, members) = (new_rank.rank, new_rank.members);
             log_event!(info, log_event::WATCHER, watches, rank, members);
             self.0.updates.notify_one();
         }
