--- a/src/ops/relay/follow/join.rs
+++ b/src/ops/relay/follow/join.rs
@@ -14,13 +14,13 @@
 /// Time after the start by which instances that start together have registered and can be listed.
 const REGISTRATION_TIME: Duration = Duration::from_millis(500);
 
-/// Time after the start by which these instances have exchanged heartbeats and know which of them watch.
+/// Time after the start by which these instances have exchanged heartbeats and know which of them are watchers.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_000);
 
 /// Longest wait between two attempts to find a peer that knows the store.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Startup progress of an instance.
+/// Progress of an instance's startup.
 #[derive(Debug)]
 pub(super) struct Startup {
     started: Time,
@@ -40,6 +40,7 @@
 }
 
 impl Startup {
+    /// Startup of an instance that was started at `started`.
     pub(super) fn new(started: Time) -> Startup {
         let stage = Stage::Initial;
         Startup { started, stage }
@@ -64,11 +65,11 @@
     /// Loads the contents of the store from a peer, or reads the store if this instance is a watcher or no peer answers
     /// in time.
     pub(super) async fn join(&mut self, now: Time) {
-        let seat = self.fleet.watch_rank();
+        let rank = self.fleet.watch_rank();
         let age = now.since(self.startup.started);
-        let patience = self.shared.tuning().bound.fallback_age(seat);
-        let must_read = self.startup.stage == Stage::Listed && age >= DISCOVERY_TIME && seat.is_watcher();
-        if must_read || age >= patience {
+        let fallback_age = self.shared.tuning().bound.fallback_age(rank);
+        let must_read = self.startup.stage == Stage::Listed && age >= DISCOVERY_TIME && rank.is_watcher();
+        if must_read || age >= fallback_age {
             self.startup.stage = Stage::Reading;
             let result = self.read_all().await;
             return self.on_result(result).await;
@@ -90,7 +91,7 @@
         if self.known.revision() > 0 {
             return true;
         }
-        let patience = self.shared.tuning().bound.fallback_age(self.fleet.watch_rank());
-        !self.startup.is_joining() || now.since(self.startup.started) >= patience / 2
+        let fallback_age = self.shared.tuning().bound.fallback_age(self.fleet.watch_rank());
+        !self.startup.is_joining() || now.since(self.startup.started) >= fallback_age / 2
     }
 }
--- a/src/ops/relay/follow/listen.rs
+++ b/src/ops/relay/follow/listen.rs
@@ -1,4 +1,4 @@
-//! Hearing of changes from peers, instead of asking the store.
+//! Following the store through peers: changes are fetched from a peer that is ahead, instead of from the store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,19 +19,20 @@
 use crate::util::clock;
 
 impl Follower {
-    /// Listens to the peers until `until`, and takes what they know more.
+    /// Waits until `until` at the latest for a peer that is ahead, then fetches and applies its changes.
     pub(super) async fn listen(&mut self, until: Time) {
         self.wait_for_update(until.since(clock::now())).await;
         // Asks only once: while a fleet starts, some peer is always ahead, and a loop would ask without a pause.
-        let is_told = self.ask_peer().await;
+        let is_updated = self.ask_peer().await;
         self.on_confirmed();
-        if is_told {
-            // What follows is fetched together: taking changes in costs as much as the fleet is large, each time.
+        if is_updated {
+            // Later changes are fetched in one batch: the cost of applying changes grows with the size of the fleet,
+            // however few they are.
             self.wait(batch_delay(self.shared.view.load().instances)).await;
         }
     }
 
-    /// Waits until a peer knows more, for at most `timeout`.
+    /// Waits until a peer is ahead or this instance becomes a watcher or stops being one, for at most `timeout`.
     pub(super) async fn wait_for_update(&mut self, timeout: Duration) {
         let fleet = self.fleet.clone();
         tokio::select! {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Takes what a peer knows of the store, if one knows more; whether one did.
+    /// Fetches and applies the changes of a peer that is ahead. Returns whether there was one and its changes were
+    /// applied.
     pub(super) async fn ask_peer(&mut self) -> bool {
         match self
             .fleet
@@ -48,39 +50,39 @@
             .await
         {
             Some(PeerAnswer::FirstPage(peer, first)) => self.on_first_page(peer, first).await,
-            Some(PeerAnswer::Changes(peer, told)) => self.on_peer_changes(peer, told).await,
+            Some(PeerAnswer::Changes(peer, changes)) => self.on_peer_changes(peer, changes).await,
             None => false,
         }
     }
 
-    /// Fetches the pages that follow `first` and takes them all; `false` if a page could not be fetched.
+    /// Fetches the pages that follow `first` and applies all of them; `false` if a page could not be fetched.
     async fn on_first_page(&mut self, peer: SocketAddr, first: StorePage) -> bool {
         let all = self.fleet.ask_remaining(peer, first).await;
-        let is_told = all.is_some();
+        let is_complete = all.is_some();
         all.into_iter().for_each(|all| self.on_peer_snapshot(all));
-        is_told
+        is_complete
     }
 
-    /// Takes all that a peer knows of the store.
-    fn on_peer_snapshot(&mut self, told: StorePage) {
+    /// Applies the complete contents of the store as sent by a peer.
+    fn on_peer_snapshot(&mut self, page: StorePage) {
         self.distrust_removals();
-        let word = SyncStatus::new(told.revision, told.age);
-        let items: Vec<Item> = told.items.into_iter().map(known::item).collect();
-        self.on_snapshot(word.revision, &items);
-        self.known.on_news(clock::now(), word);
+        let status = SyncStatus::new(page.revision, page.age);
+        let items: Vec<Item> = page.items.into_iter().map(known::item).collect();
+        self.on_snapshot(status.revision, &items);
+        self.known.on_news(clock::now(), status);
         self.complete = true;
         log_event!(
             info,
             log_event::PEER_TOLD,
-            revision = word.revision,
+            revision = status.revision,
             items = items.len()
         );
     }
 
-    /// Takes what happened in the store since, as a peer knows it; whether all of it could be had.
-    async fn on_peer_changes(&mut self, peer: SocketAddr, told: StoreNews) -> bool {
-        let mut items: Vec<Item> = told.items.into_iter().map(known::item).collect();
-        for (revision, key) in &told.large {
+    /// Applies the changes since the known revision as sent by a peer. Returns whether all of them could be fetched.
+    async fn on_peer_changes(&mut self, peer: SocketAddr, news: StoreNews) -> bool {
+        let mut items: Vec<Item> = news.items.into_iter().map(known::item).collect();
+        for (revision, key) in &news.large {
             match self.fetch_large(*revision, key).await {
                 Some(item) => items.push(item),
                 None => {
@@ -92,7 +94,7 @@
             }
         }
         self.distrust_removals();
-        let removed = told
+        let removed = news
             .removed
             .into_iter()
             .map(|(revision, key)| Change::Removed { key, revision });
@@ -100,24 +102,25 @@
         changes.sort_by_key(change_revision);
         self.on_changes(changes);
         self.known
-            .on_news(clock::now(), SyncStatus::new(told.revision, told.age));
+            .on_news(clock::now(), SyncStatus::new(news.revision, news.age));
         self.complete = true;
         true
     }
 
-    /// Doubts what a peer tells of entries that vanished, if the store failed this instance and nobody has confirmed
-    /// anything since.
+    /// Makes removals of engine entries that a peer reports not trusted, if the last calls of this instance to the
+    /// store failed and nothing was confirmed since.
     ///
-    /// Failure guarded against: the store was away, entries of engines lapsed meanwhile, and an instance that hears of its
-    /// return from a peer takes their removal for their end. A peer's own failures say nothing: it may have been cut off
-    /// alone, and an engine that has left would keep its work at all who hear of it from that peer.
+    /// Guards against an instance that learns from a peer that the store is back after an outage, and takes the removal
+    /// of engine entries that expired during the outage as the end of those engines. Only failures of this instance
+    /// count, not those of the peer: the peer alone may have been partitioned from the store, and otherwise an engine
+    /// that has left would continue to get work from all instances that learn of its removal from that peer.
     fn distrust_removals(&mut self) {
         if self.failures > 0 {
             self.engines.on_store_failure(clock::now());
         }
     }
 
-    /// Notes that peers have heard of the store again since it failed this instance.
+    /// Ends the failure state if peers have confirmed the state of the store since this instance's last failed call.
     pub(super) fn detect_recovery(&mut self, now: Time) {
         let confirmed = self.known.age(now).map(|age| now - age);
         if self.failures > 0 && confirmed > self.last_failure {
@@ -126,8 +129,9 @@
         }
     }
 
-    /// The item under a key from the store itself, as of a revision or later. One that is gone by then counts as not had:
-    /// the peer's whole state says so.
+    /// Reads the item under a key from the store itself, at `revision` or later; `None` if it could not be read. An
+    /// item that was removed meanwhile counts as not read: the caller then loads the peer's complete state, which shows
+    /// the removal.
     async fn fetch_large(&self, revision: u64, key: &str) -> Option<Item> {
         match self.store.range(key, "").await {
             Ok(page) => {
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -1,12 +1,13 @@
-//! Keeping up with the configuration and the engines.
+//! Follows the configuration, the engines and the other records in the store.
 //!
-//! One watch covers both. It is resumed from the revision of its last answer. Failures guarded against: history that
-//! is no longer kept, a watch that was cut, and one that stays silent on a connection that looks alive. Each ends in
-//! a read of everything, which asks the store itself, not a copy that lags. The longest silence of a watch that
-//! is not noticed is [`ApplyLimit::watch_timeout`](sequoiastream_core::relay::watchers::ApplyLimit::watch_timeout) and [`ANSWER`].
+//! One watch covers all of them. It is resumed from the revision of its last answer. Failures guarded against: history
+//! that is no longer kept, an interrupted watch, and one that stays silent on a connection that appears alive. After
+//! each of them, everything is read again, from the store itself and not from a replica that lags. A silent watch is
+//! detected after at most [`ApplyLimit::watch_timeout`] and the store client's answer timeout (see
+//! [`sequoiastream_kv::store`]).
 //!
-//! Only a few instances watch, see [`watchers`](sequoiastream_core::relay::watchers): the others listen to their peers and
-//! ask one that knows more.
+//! Only a few instances watch, see [`watchers`]: the others rely on the messages of their peers, and fetch changes from
+//! a peer that is ahead.
 
 mod join;
 mod listen;
@@ -45,50 +46,51 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Pause after the first failed call; doubles with each.
+/// Pause after the first failed call; doubles with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest pause of an instance that watches for others: with it, it knows within a second that the store is back.
+/// Longest pause of a watcher after failed calls: it lets a watcher notice within a second that the store is back.
 const MAX_WATCHER_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Longest pause of all other instances: they hear of the store's return from those.
+/// Longest pause of all other instances: they learn from the watchers that the store is back.
 const MAX_LISTENER_BACKOFF: Duration = Duration::from_millis(2_000);
 
-/// How often engines whose entry is missing are looked through.
+/// Interval at which engines whose entry is missing are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Maximum number of questions per second that all instances together ask their peers.
+/// Maximum number of requests per second that all instances together send to their peers.
 const MAX_REQUESTS_PER_SECOND: u32 = 200;
 
-/// Longest time that an instance waits after hearing of changes from peers, to fetch them in one batch.
+/// Longest time that an instance waits after it has fetched changes from a peer, to fetch later ones in one batch.
 const MAX_BATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// Range from which a watcher draws how long it batches changes, as a part of the time within which a change must be in
-/// force. Shorter than the wait of a watch, so that a silent watch is detected no later; random, so that the watchers don't
-/// all call the store at the same time.
+/// Range of the time for which a watcher batches changes, as a fraction of the time within which a change must be
+/// applied. It is shorter than the wait of a watch, so that a silent watch is detected no later; random, so that the
+/// watchers don't all call the store at the same time.
 const WATCHER_BATCH_FRACTION: std::ops::Range<f64> = 0.08..0.12;
 
 /// Longest time that a watcher batches changes.
 const MAX_WATCHER_BATCH_DELAY: Duration = Duration::from_secs(2);
 
-/// Number of changes from which the answer of a watch may be truncated. The store returns about five hundred changes or a
-/// megabyte at once. Such an answer does not prove that the instance is up to date, and the next watch begins at once.
+/// Number of changes from which the answer of a watch may be truncated. The store returns about five hundred changes or
+/// a megabyte at once. Such an answer does not prove that the instance is up to date, and the next watch begins at
+/// once.
 ///
-/// Guards against an instance that pauses after each answer while ten thousand engines register: it would know them half a
-/// minute late, and treat each truncated answer as complete.
+/// Guards against an instance that pauses after each answer while ten thousand engines register: it would know them
+/// half a minute late, and treat each truncated answer as complete.
 const TRUNCATION_CHANGES: usize = 250;
 
 /// Total size of the changed values, in bytes, from which the answer of a watch may be truncated.
 const TRUNCATION_BYTES: usize = 256 * 1024;
 
-/// How long a look at the store waits for something to happen.
+/// How long the store may wait for a change when it is polled.
 const POLL_WAIT: Duration = Duration::from_millis(1);
 
-/// Everything that begins with this is read and watched.
+/// The prefix of the keys that are read and watched: all keys.
 const ALL_KEYS: &str = "";
 
-/// What an answer of the store has changed, and is published once for all of it: a fleet that starts brings hundreds of
-/// changes in one answer, and each copy is as long as the fleet.
+/// Parts of the view that an answer of the store has changed. Each is published once per answer: when a fleet starts,
+/// an answer contains hundreds of changes, and each published copy is as long as the fleet.
 #[derive(Debug, Default)]
 struct Changed {
     engines: bool,
@@ -97,6 +99,7 @@
     lead: bool,
 }
 
+/// Follows the store for one instance.
 struct Follower {
     shared: Arc<Shared>,
     store: Rc<dyn Store>,
@@ -104,37 +107,42 @@
     known: Known,
     engines: Engines,
     ordered: Ordered,
+    /// Lease of the instance that acts for the fleet.
     lead: Option<LeaseRecord>,
     /// Revision of the configuration that is in force.
     config_revision: u64,
+    /// Number of calls that failed since the last success.
     failures: u32,
     /// When the last call failed.
     last_failure: Option<Time>,
-    /// How long the next watch waits before it begins.
+    /// Delay before the next watch, in which changes are batched.
     watch_delay: Duration,
-    /// Whether all up to the known revision was taken in, and the store still tells what follows it.
+    /// Whether all changes up to the known revision were applied and the store still has the history after it, so that
+    /// a watch can resume there.
     complete: bool,
     startup: Startup,
 }
 
-/// How long one of `askers` instances waits after a peer reported changes, before it fetches them in one batch.
+/// How long each of `instances` instances waits after it has fetched changes from a peer, before it fetches later ones
+/// in one batch.
 ///
-/// Guards against every change making each instance process a list as long as the fleet, which keeps the smallest instances
-/// from serving for half a minute when hundreds of instances start or engines come and go.
-pub fn batch_delay(askers: usize) -> Duration {
-    let askers = u32::try_from(askers).unwrap_or(u32::MAX);
-    let rest = Duration::from_secs(1) / MAX_REQUESTS_PER_SECOND;
-    rest.saturating_mul(askers).min(MAX_BATCH_DELAY)
+/// Guards against each instance processing a list as long as the fleet at every change, which keeps the smallest
+/// instances from serving for half a minute when hundreds of instances start or engines come and go.
+pub fn batch_delay(instances: usize) -> Duration {
+    let instances = u32::try_from(instances).unwrap_or(u32::MAX);
+    let delay = Duration::from_secs(1) / MAX_REQUESTS_PER_SECOND;
+    delay.saturating_mul(instances).min(MAX_BATCH_DELAY)
 }
 
-/// How long a watcher waits after changes before it watches again.
+/// How long a watcher waits after an answer with changes before it watches again.
 ///
-/// Guards against each of the frequent updates of engine entries ending the watch of every watcher.
+/// Guards against the watch of every watcher ending at each of the frequent updates of engine entries.
 fn watcher_batch_delay(bound: ApplyLimit) -> Duration {
-    let rest = bound.0.mul_f64(rand::rng().random_range(WATCHER_BATCH_FRACTION));
-    rest.min(MAX_WATCHER_BATCH_DELAY)
+    let delay = bound.0.mul_f64(rand::rng().random_range(WATCHER_BATCH_FRACTION));
+    delay.min(MAX_WATCHER_BATCH_DELAY)
 }
 
+/// Whether the store may have more changes than the answer contains.
 fn may_be_truncated(changes: &[Change]) -> bool {
     let size = |change: &Change| match change {
         Change::Put(item) => item.value.len(),
@@ -143,7 +151,7 @@
     changes.len() >= TRUNCATION_CHANGES || changes.iter().map(size).sum::<usize>() >= TRUNCATION_BYTES
 }
 
-/// Follows until the process ends.
+/// Follows the store until the process ends.
 pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>, fleet: Fleet, known: Known) {
     let mut follower = Follower {
         shared,
@@ -166,7 +174,7 @@
 }
 
 impl Follower {
-    /// Asks the store, or listens to the peers until one knows more or too much time has passed.
+    /// Calls the store, or waits until a peer is ahead or the last confirmation becomes too old.
     async fn step(&mut self) {
         let now = clock::now();
         self.detect_recovery(now);
@@ -174,12 +182,12 @@
             return self.join(now).await;
         }
         let tuning = self.shared.tuning();
-        let duty = self.known.duty(self.fleet.watch_rank(), tuning.bound, now);
-        let prove = self
+        let action = self.known.duty(self.fleet.watch_rank(), tuning.bound, now);
+        let poll_at = self
             .shared
             .proof_limit()
             .map(|limit| self.known.prove_at(self.fleet.watch_rank(), limit));
-        let asked = match (duty, prove) {
+        let result = match (action, poll_at) {
             (WatchAction::Listen(_), Some(at)) if now >= at && self.complete => self.poll().await,
             (WatchAction::Listen(until), at) => {
                 return self.listen(at.map_or(until, |at| until.min(at))).await;
@@ -190,7 +198,7 @@
             }
             (WatchAction::Watch, _) => self.read_all().await,
         };
-        self.on_result(asked).await;
+        self.on_result(result).await;
     }
 
     /// Handles the result of a call to the store.
@@ -202,7 +210,7 @@
         }
     }
 
-    /// An instance that should listen and watches all the same has not heard of the store for too long.
+    /// Logs that an instance that is no watcher watches the store, because its last confirmation is too old.
     fn log_unconfirmed(&self, now: Time) {
         if self.fleet.watch_rank().is_watcher() {
             return;
@@ -216,7 +224,7 @@
         );
     }
 
-    /// Reads everything, page by page.
+    /// Reads everything, page by page. Stops early if [`Startup::defer_large_read`] requires it.
     async fn read_all(&mut self) -> Result<(), StoreError> {
         let mut items: Vec<Item> = Vec::new();
         let mut revision = u64::MAX;
@@ -224,7 +232,7 @@
         loop {
             let after = items.last().map_or("", |item| &item.key);
             let page = self.store.range(ALL_KEYS, after).await?;
-            // Pages are no snapshot: what changed after the first one is in the watch that follows.
+            // The pages are not a snapshot: the watch that follows reports what changed after the first one.
             revision = revision.min(page.revision);
             let last = page.items.is_empty();
             items.extend(page.items);
@@ -241,8 +249,8 @@
         Ok(())
     }
 
-    /// Asks the store for what happened since, without waiting for more: nobody else has proved in time that what is
-    /// known is all there is.
+    /// Asks the store for the changes since the known revision, without waiting for further ones. Called when no peer
+    /// has proven in time that all changes are known.
     async fn poll(&mut self) -> Result<(), StoreError> {
         let revision = self.known.revision();
         let sent = clock::now();
@@ -254,20 +262,21 @@
         Ok(())
     }
 
+    /// Watches the store for changes after `revision` and applies them.
     async fn watch(&mut self, revision: u64) -> Result<(), StoreError> {
-        let pause = std::mem::take(&mut self.watch_delay);
-        self.wait(pause).await;
-        // A watch that falls silent is found out as soon as without the rest.
-        let wait = self.shared.tuning().bound.watch_timeout().saturating_sub(pause);
-        let watch = self.store.clone();
+        let delay = std::mem::take(&mut self.watch_delay);
+        self.wait(delay).await;
+        // The timeout is shorter by the delay, so that a silent watch is detected as early as without it.
+        let wait = self.shared.tuning().bound.watch_timeout().saturating_sub(delay);
+        let store = self.store.clone();
         let sent = clock::now();
-        let mut watch = watch.watch(ALL_KEYS, revision, wait);
+        let mut watch = store.watch(ALL_KEYS, revision, wait);
         let fleet = self.fleet.clone();
         let changes = loop {
             tokio::select! {
                 changes = &mut watch => break changes?,
                 () = tokio::time::sleep(TICK_INTERVAL), if self.engines.has_missing() => self.on_tick(),
-                // Others watch for it again, and know more by now.
+                // Other instances watch on behalf of this one again, and are ahead by now.
                 () = fleet.wait_for_update() => if !fleet.watch_rank().is_watcher() {
                     self.ask_peer().await;
                     return Ok(());
@@ -301,7 +310,7 @@
         is_complete.then_some(revision)
     }
 
-    /// Takes in what has changed, in the order in which it did.
+    /// Applies changes, in the order in which they occurred.
     fn on_changes(&mut self, changes: Vec<Change>) {
         let mut changed = Changed::default();
         for change in changes {
@@ -311,7 +320,7 @@
         self.publish(&changed);
     }
 
-    /// Lets time pass; engines whose entry is missing are looked through meanwhile.
+    /// Waits for `time`, and checks engines whose entry is missing meanwhile.
     async fn wait(&mut self, time: Duration) {
         let until = clock::now() + time;
         loop {
@@ -326,6 +335,7 @@
         }
     }
 
+    /// Applies the complete contents of the store as of `revision`.
     fn on_snapshot(&mut self, revision: u64, items: &[Item]) {
         let now = clock::now();
         self.known.on_all(self.shared.translate.keys(), revision, items);
@@ -348,9 +358,10 @@
         self.fleet.on_listed(register::listings(&self.shared, items));
     }
 
+    /// Applies a change, and notes in `changed` what is to be published.
     fn on_change(&mut self, change: Change, changed: &mut Changed) {
         let now = clock::now();
-        let news = match &change {
+        let update = match &change {
             Change::Put(item) => {
                 self.on_config(item);
                 let translate = self.shared.translate.as_ref();
@@ -375,16 +386,18 @@
                 id.map(|id| EngineUpdate::Removed(*revision, id.to_string()))
             }
         };
-        changed.engines |= news.is_some_and(|news| self.engines.on_update(now, news));
+        changed.engines |= update.is_some_and(|update| self.engines.on_update(now, update));
     }
 
+    /// Publishes the engines if any of them was removed because its entry did not come back in time.
     fn on_tick(&mut self) {
         if self.engines.on_tick(clock::now()) {
             self.publish_engines();
         }
     }
 
-    /// An entry that can't be read names no engine; it doesn't stop the others.
+    /// Decodes the entry of an engine, with its revision; `None` for other items. An entry that can't be decoded is
+    /// logged and skipped, so that it doesn't affect other engines.
     fn entry(&self, item: &Item) -> Option<(u64, Entry)> {
         self.shared.translate.engine_id(&item.key)?;
         match self.shared.translate.engine(item) {
@@ -396,6 +409,7 @@
         }
     }
 
+    /// Installs the configuration if the item is a newer one.
     fn on_config(&mut self, item: &Item) {
         if item.key != self.shared.translate.keys().config || item.revision <= self.config_revision {
             return;
@@ -408,7 +422,8 @@
         }
     }
 
-    /// Versions never go back, whoever offers them.
+    /// Puts a configuration into force, unless its version is lower than that of the current one: versions never go
+    /// backwards, wherever a configuration comes from.
     fn install(&mut self, revision: u64, table: RoutingTable) {
         let before = self.shared.view.load().table.version;
         if table.version < before {
@@ -428,6 +443,7 @@
         );
     }
 
+    /// Publishes the parts that have changed.
     fn publish(&self, changed: &Changed) {
         if changed.engines {
             self.publish_engines();
@@ -445,6 +461,7 @@
         }
     }
 
+    /// Publishes the engines that may get work, and drops the load of those that are no longer known.
     fn publish_engines(&self) {
         let engines = self.engines.available();
         let count = self.engines.len();
@@ -469,7 +486,7 @@
         self.on_tick();
     }
 
-    /// Shows how old what is known may be.
+    /// Publishes when the store last confirmed what is known of it.
     fn on_confirmed(&self) {
         let now = clock::now();
         if let Some(age) = self.known.age(now) {
@@ -477,6 +494,8 @@
         }
     }
 
+    /// Handles a failed call to the store: asks a peer instead, then waits, with exponential backoff and jitter. If the
+    /// store no longer has the history of a watch, everything is read again at once.
     async fn on_failure(&mut self, error: &StoreError) {
         if *error == StoreError::Compacted {
             log_event!(info, log_event::KV_RESOLVED, %error);
@@ -488,13 +507,11 @@
         let now = clock::now();
         self.engines.on_store_failure(now);
         self.last_failure = Some(now);
-        let longest = match self.fleet.watch_rank().is_watcher() {
+        let max = match self.fleet.watch_rank().is_watcher() {
             true => MAX_WATCHER_BACKOFF,
             false => MAX_LISTENER_BACKOFF,
         };
-        let pause = INITIAL_BACKOFF
-            .saturating_mul(1 << self.failures.min(8))
-            .min(longest);
+        let pause = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(8)).min(max);
         self.failures += 1;
         self.ask_peer().await;
         let pause = pause.mul_f64(0.5 + rand::rng().random::<f64>());
