--- a/src/ops/relay/follow/listen.rs
+++ b/src/ops/relay/follow/listen.rs
@@ -65,9 +65,9 @@
     fn on_state(&mut self, told: StorePage) {
         self.doubt();
         let word = SyncStatus::new(told.revision, told.age);
-        let items: Vec<Item> = told.items.into_iter().map(known::item).collect();
+        let items: Vec<Item> = told.items.into_iter().map(known::from_message).collect();
         self.on_all(word.revision, &items);
-        self.known.on_news(clock::now(), word);
+        self.known.on_peer_changes(clock::now(), word);
         self.complete = true;
         log_event!(
             info,
@@ -79,7 +79,7 @@
 
     /// Takes what happened in the store since, as a peer knows it; whether all of it could be had.
     async fn on_told(&mut self, peer: SocketAddr, told: StoreNews) -> bool {
-        let mut items: Vec<Item> = told.items.into_iter().map(known::item).collect();
+        let mut items: Vec<Item> = told.items.into_iter().map(known::from_message).collect();
         for (revision, key) in &told.large {
             match self.large(*revision, key).await {
                 Some(item) => items.push(item),
@@ -100,7 +100,7 @@
         changes.sort_by_key(revision);
         self.on_changes(changes);
         self.known
-            .on_news(clock::now(), SyncStatus::new(told.revision, told.age));
+            .on_peer_changes(clock::now(), SyncStatus::new(told.revision, told.age));
         self.complete = true;
         true
     }
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -37,7 +37,7 @@
 
 use crate::log_event;
 use crate::ops::relay::follow::join::Startup;
-use crate::ops::relay::known::Known;
+use crate::ops::relay::known::StoreReplica;
 use crate::ops::relay::lead;
 use crate::ops::relay::orders::Ordered;
 use crate::ops::relay::peers::Fleet;
@@ -101,7 +101,7 @@
     shared: Arc<Shared>,
     store: Rc<dyn Store>,
     fleet: Fleet,
-    known: Known,
+    known: StoreReplica,
     engines: Engines,
     ordered: Ordered,
     lead: Option<LeaseRecord>,
@@ -144,7 +144,7 @@
 }
 
 /// Follows until the process ends.
-pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>, fleet: Fleet, known: Known) {
+pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>, fleet: Fleet, known: StoreReplica) {
     let mut follower = Follower {
         shared,
         store,
@@ -174,11 +174,11 @@
             return self.join(now).await;
         }
         let tuning = self.shared.tuning();
-        let duty = self.known.duty(self.fleet.seat(), tuning.bound, now);
+        let duty = self.known.watch_action(self.fleet.seat(), tuning.bound, now);
         let prove = self
             .shared
             .proof_limit()
-            .map(|limit| self.known.prove_at(self.fleet.seat(), limit));
+            .map(|limit| self.known.store_proof_due(self.fleet.seat(), limit));
         let asked = match (duty, prove) {
             (WatchAction::Listen(_), Some(at)) if now >= at && self.complete => self.prove().await,
             (WatchAction::Listen(until), at) => {
@@ -207,7 +207,7 @@
         if self.fleet.seat().is_watcher() {
             return;
         }
-        let age = self.known.word(now).map(SyncStatus::age_millis);
+        let age = self.known.sync_status(now).map(SyncStatus::age_millis);
         log_event!(
             info,
             log_event::UNCONFIRMED,
@@ -236,7 +236,8 @@
             }
         }
         self.on_all(revision, &items);
-        self.known.on_answer(clock::now(), sent, Duration::ZERO, revision);
+        self.known
+            .on_store_answer(clock::now(), sent, Duration::ZERO, revision);
         self.known.on_proof(sent);
         Ok(())
     }
@@ -248,7 +249,7 @@
         let sent = clock::now();
         let changes = self.store.watch(ALL, revision, LOOK).await?;
         if let Some(revision) = self.on_watch_answer(changes, revision) {
-            self.known.on_answer(clock::now(), sent, LOOK, revision);
+            self.known.on_store_answer(clock::now(), sent, LOOK, revision);
             self.known.on_proof(sent);
         }
         Ok(())
@@ -282,7 +283,7 @@
         if !is_quiet {
             self.rest = watcher_rest(self.shared.tuning().bound);
         }
-        self.known.on_answer(now, sent, wait, revision);
+        self.known.on_store_answer(now, sent, wait, revision);
         self.known
             .on_proof(watchers::proven_until(now, sent, wait, is_quiet));
         Ok(())
@@ -296,7 +297,7 @@
         self.on_changes(changes.changes);
         if !is_complete {
             self.known
-                .on_news(clock::now(), SyncStatus::new(revision, u32::MAX));
+                .on_peer_changes(clock::now(), SyncStatus::new(revision, u32::MAX));
         }
         is_complete.then_some(revision)
     }
@@ -328,7 +329,8 @@
 
     fn on_all(&mut self, revision: u64, items: &[Item]) {
         let now = clock::now();
-        self.known.on_all(self.shared.translate.keys(), revision, items);
+        self.known
+            .on_snapshot(self.shared.translate.keys(), revision, items);
         let entries = items.iter().filter_map(|item| self.entry(item));
         let entries: Vec<(u64, Entry)> = entries.collect();
         let engines = self.engines.on_snapshot(now, revision, entries);
--- a/src/ops/relay/known.rs
+++ b/src/ops/relay/known.rs
@@ -33,70 +33,70 @@
 /// Largest value that is told with the news, in bytes. The link of a small instance takes a second for a configuration of
 /// a megabyte, and some of its neighbours ask for it at once; the store's is a hundred times as wide. A configuration with
 /// the keys of a hundred workspaces is told.
-const MAX_TOLD: usize = 48 * 1024;
+const MAX_INLINE_BYTES: usize = 48 * 1024;
 
 /// Maximum size of a page, in bytes of keys and values: a small instance sends it in a fifth of a second.
 const MAX_PAGE_BYTES: usize = 512 * 1024;
 
 #[derive(Debug, Default)]
 struct State {
-    reach: SyncState,
+    sync: SyncState,
     items: BTreeMap<String, Item>,
     /// Keys of `items`, by revision. Finds the changes after a revision without a full scan.
     revisions: BTreeSet<(u64, String)>,
     /// Removals, by revision.
     removed: BTreeSet<(u64, String)>,
     /// All removals after this revision are known.
-    horizon: u64,
+    compact_revision: u64,
 }
 
 /// What is known; cheap to clone, stays on one thread.
 #[derive(Debug, Clone, Default)]
-pub struct Known(Rc<RefCell<State>>);
+pub struct StoreReplica(Rc<RefCell<State>>);
 
-impl Known {
+impl StoreReplica {
     /// Nothing.
-    pub fn new() -> Known {
-        Known::default()
+    pub fn new() -> StoreReplica {
+        StoreReplica::default()
     }
 
     /// Up to which revision.
     pub fn revision(&self) -> u64 {
-        self.0.borrow().reach.revision()
+        self.0.borrow().sync.revision()
     }
 
     /// Whether to watch the store or to listen to the peers.
-    pub fn duty(&self, seat: FleetRank, bound: watchers::ApplyLimit, now: Time) -> WatchAction {
-        self.0.borrow().reach.watch_action(seat, bound, now)
+    pub fn watch_action(&self, seat: FleetRank, bound: watchers::ApplyLimit, now: Time) -> WatchAction {
+        self.0.borrow().sync.watch_action(seat, bound, now)
     }
 
     /// What the peers are told of it.
-    pub fn word(&self, now: Time) -> Option<SyncStatus> {
-        self.0.borrow().reach.sync_status(now)
+    pub fn sync_status(&self, now: Time) -> Option<SyncStatus> {
+        self.0.borrow().sync.sync_status(now)
     }
 
     /// When the store last confirmed it.
     pub fn age(&self, now: Time) -> Option<Duration> {
-        self.0.borrow().reach.age(now)
+        self.0.borrow().sync.age(now)
     }
 
     /// Takes the word of a peer; whether the peer knows more.
-    pub fn on_word(&self, now: Time, word: SyncStatus) -> bool {
-        self.0.borrow_mut().reach.on_peer_status(now, word)
+    pub fn on_peer_status(&self, now: Time, word: SyncStatus) -> bool {
+        self.0.borrow_mut().sync.on_peer_status(now, word)
     }
 
     /// Notes that this instance runs.
     pub fn on_tick(&self, now: Time) {
-        self.0.borrow_mut().reach.on_tick(now);
+        self.0.borrow_mut().sync.on_tick(now);
     }
 
     /// Takes all items as of `revision`, unless more is known already.
-    pub fn on_all(&self, keys: &Keys, revision: u64, items: &[Item]) {
+    pub fn on_snapshot(&self, keys: &Keys, revision: u64, items: &[Item]) {
         let mut state = self.0.borrow_mut();
-        if revision < state.reach.revision() {
+        if revision < state.sync.revision() {
             return;
         }
-        let kept = items.iter().filter(|item| is_shared(keys, &item.key));
+        let kept = items.iter().filter(|item| is_replicated(keys, &item.key));
         let kept = kept.map(|item| (item.key.clone(), item.clone())).collect();
         let before = std::mem::replace(&mut state.items, kept);
         state.revisions = state
@@ -104,8 +104,8 @@
             .values()
             .map(|item| (item.revision, item.key.clone()))
             .collect();
-        if state.reach.revision() == 0 {
-            state.horizon = revision;
+        if state.sync.revision() == 0 {
+            state.compact_revision = revision;
         }
         // What is no longer there went since the last answer: peers that lag are told just that.
         let gone: Vec<String> = before
@@ -119,56 +119,56 @@
     pub fn on_change(&self, keys: &Keys, change: &Change) {
         let mut state = self.0.borrow_mut();
         match change {
-            Change::Put(item) if is_shared(keys, &item.key) => {
+            Change::Put(item) if is_replicated(keys, &item.key) => {
                 state.insert(item.clone());
             }
             Change::Put(_) => {}
-            Change::Removed { key, revision } if is_shared(keys, key) => state.remove(key, *revision),
+            Change::Removed { key, revision } if is_replicated(keys, key) => state.remove(key, *revision),
             Change::Removed { .. } => {}
         }
     }
 
     /// Notes that the store's answer was taken in, see [`SyncState::on_store_answer`].
-    pub fn on_answer(&self, now: Time, sent: Time, wait: Duration, revision: u64) {
+    pub fn on_store_answer(&self, now: Time, sent: Time, wait: Duration, revision: u64) {
         self.0
             .borrow_mut()
-            .reach
+            .sync
             .on_store_answer(now, sent, wait, revision);
     }
 
     /// Notes what an answer of the store, or a watch that ended quietly, proves.
     pub fn on_proof(&self, until: Time) {
-        self.0.borrow_mut().reach.on_proof(until);
+        self.0.borrow_mut().sync.on_proof(until);
     }
 
     /// Takes what a peer answered to a question that left at `asked`; whether the peer knows more.
     pub fn on_peer_proof(&self, asked: Time, word: SyncStatus) -> bool {
-        self.0.borrow_mut().reach.on_peer_proof(asked, word)
+        self.0.borrow_mut().sync.on_peer_proof(asked, word)
     }
 
     /// How long ago everything is known up to, by proof.
     pub fn proof_age(&self, now: Time) -> Option<Duration> {
-        self.0.borrow().reach.proof_age(now)
+        self.0.borrow().sync.proof_age(now)
     }
 
     /// What a peer that asks for a proof is answered.
-    pub fn proof_word(&self, now: Time) -> Option<SyncStatus> {
-        self.0.borrow().reach.proof_status(now)
+    pub fn proof_status(&self, now: Time) -> Option<SyncStatus> {
+        self.0.borrow().sync.proof_status(now)
     }
 
     /// Whom to ask for a newer proof.
-    pub fn asks(&self, limit: Duration, now: Time) -> ProofPeers {
-        self.0.borrow().reach.proof_peers(limit, now)
+    pub fn proof_peers(&self, limit: Duration, now: Time) -> ProofPeers {
+        self.0.borrow().sync.proof_peers(limit, now)
     }
 
     /// When to ask the store itself for a proof.
-    pub fn prove_at(&self, seat: FleetRank, limit: Duration) -> Time {
-        self.0.borrow().reach.store_proof_due(seat, limit)
+    pub fn store_proof_due(&self, seat: FleetRank, limit: Duration) -> Time {
+        self.0.borrow().sync.store_proof_due(seat, limit)
     }
 
     /// Notes that what a peer had was taken in.
-    pub fn on_news(&self, now: Time, word: SyncStatus) {
-        self.0.borrow_mut().reach.on_peer_changes(now, word);
+    pub fn on_peer_changes(&self, now: Time, word: SyncStatus) {
+        self.0.borrow_mut().sync.on_peer_changes(now, word);
     }
 
     /// The item under a key, if it is known.
@@ -180,7 +180,7 @@
     ///
     /// Guards against an answer that exceeds the frame limit, as with ten thousand engines, so that a starting peer
     /// gets nothing.
-    pub fn tell_page(&self, now: Time, after: &str) -> StorePage {
+    pub fn page(&self, now: Time, after: &str) -> StorePage {
         let state = self.0.borrow();
         let mut remaining = MAX_PAGE_BYTES;
         let mut items = Vec::new();
@@ -195,10 +195,10 @@
                 break;
             }
             remaining = remaining.saturating_sub(size);
-            items.push(told(item));
+            items.push(to_message(item));
         }
         StorePage {
-            revision: state.reach.revision(),
+            revision: state.sync.revision(),
             age: state.age(now),
             items,
             more,
@@ -206,9 +206,9 @@
     }
 
     /// What happened after a revision, for a peer that knows the store up to there; `None` if that is no longer known.
-    pub fn tell_since(&self, now: Time, revision: u64) -> Option<StoreNews> {
+    pub fn changes_since(&self, now: Time, revision: u64) -> Option<StoreNews> {
         let state = self.0.borrow();
-        if revision < state.horizon {
+        if revision < state.compact_revision {
             return None;
         }
         let changed = state.revisions.range((revision + 1, String::new())..);
@@ -216,16 +216,17 @@
         // A truncated answer must not confirm that the peer is up to date.
         let (last, age) = match truncation_revision(&changed) {
             Some(last) => (last, u32::MAX),
-            None => (state.reach.revision(), state.age(now)),
+            None => (state.sync.revision(), state.age(now)),
         };
         let changed = changed.into_iter().filter(|item| item.revision <= last);
-        let (large, small): (Vec<&Item>, Vec<&Item>) = changed.partition(|item| item.value.len() > MAX_TOLD);
+        let (large, small): (Vec<&Item>, Vec<&Item>) =
+            changed.partition(|item| item.value.len() > MAX_INLINE_BYTES);
         let later = state.removed.range((revision + 1, String::new())..);
         let later = later.take_while(|(at, _)| *at <= last);
         Some(StoreNews {
             revision: last,
             age,
-            items: small.into_iter().map(told).collect(),
+            items: small.into_iter().map(to_message).collect(),
             removed: later.cloned().collect(),
             large: large
                 .into_iter()
@@ -239,7 +240,7 @@
 fn truncation_revision(changed: &[&Item]) -> Option<u64> {
     let mut remaining = MAX_PAGE_BYTES;
     for pair in changed.windows(2) {
-        remaining = remaining.saturating_sub(pair[0].key.len() + pair[0].value.len().min(MAX_TOLD));
+        remaining = remaining.saturating_sub(pair[0].key.len() + pair[0].value.len().min(MAX_INLINE_BYTES));
         if remaining == 0 && pair[0].revision < pair[1].revision {
             return Some(pair[0].revision);
         }
@@ -250,7 +251,7 @@
 impl State {
     /// The age as messages carry it; the longest if the store never confirmed anything.
     fn age(&self, now: Time) -> u32 {
-        self.reach
+        self.sync
             .sync_status(now)
             .map_or(u32::MAX, SyncStatus::age_millis)
     }
@@ -271,12 +272,12 @@
         while self.removed.len() > MAX_REMOVED
             && let Some((oldest, _)) = self.removed.pop_first()
         {
-            self.horizon = self.horizon.max(oldest);
+            self.compact_revision = self.compact_revision.max(oldest);
         }
     }
 }
 
-fn told(item: &Item) -> StoreItem {
+fn to_message(item: &Item) -> StoreItem {
     StoreItem {
         key: item.key.clone(),
         value: item.value.to_vec(),
@@ -286,7 +287,7 @@
 }
 
 /// The item that a peer told of.
-pub fn item(told: StoreItem) -> Item {
+pub fn from_message(told: StoreItem) -> Item {
     Item {
         key: told.key,
         value: Bytes::from(told.value),
@@ -295,7 +296,7 @@
     }
 }
 
-fn is_shared(keys: &Keys, key: &str) -> bool {
+fn is_replicated(keys: &Keys, key: &str) -> bool {
     let prefixes = [&keys.engines, &keys.orders, &keys.own];
     key == keys.config || key == keys.lead || prefixes.iter().any(|prefix| key.starts_with(prefix.as_str()))
 }
--- a/src/ops/relay/mod.rs
+++ b/src/ops/relay/mod.rs
@@ -48,7 +48,7 @@
 use crate::ops::relay::cloud::Cloud;
 use crate::ops::relay::counted::Counted;
 use crate::ops::relay::edge::Translate;
-use crate::ops::relay::known::Known;
+use crate::ops::relay::known::StoreReplica;
 use crate::ops::relay::options::Options;
 use crate::ops::relay::options::Reload;
 use crate::ops::relay::shared::KEEP_FACTOR;
@@ -83,7 +83,7 @@
     let sockets = peers::Sockets::bind(&shared)
         .await
         .wrap_err("could not open the peers' sockets")?;
-    let known = Known::new();
+    let known = StoreReplica::new();
     let fleet = peers::start(shared.clone(), sockets, known.clone());
     actix_rt::spawn(follow::run(shared.clone(), store.clone(), fleet.clone(), known));
     actix_rt::spawn(orders::run(shared.clone(), store.clone()));
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -48,7 +48,7 @@
 use uuid::Uuid;
 
 use crate::log_event;
-use crate::ops::relay::known::Known;
+use crate::ops::relay::known::StoreReplica;
 pub use crate::ops::relay::peers::ask::Told;
 use crate::ops::relay::peers::counts::Tallies;
 use crate::ops::relay::peers::prove::Proofs;
@@ -106,7 +106,7 @@
 /// Answers calls of peers.
 #[derive(Debug, Clone)]
 struct Answers {
-    known: Known,
+    known: StoreReplica,
     /// Capacity of this instance, in thousandths of a core.
     capacity: u32,
     /// Start times of the full transfers of the last second.
@@ -114,7 +114,7 @@
 }
 
 impl Answers {
-    fn new(known: Known, capacity: u32) -> Answers {
+    fn new(known: StoreReplica, capacity: u32) -> Answers {
         Answers {
             known,
             capacity,
@@ -141,7 +141,7 @@
     fn page(&self, after: &str) -> Response {
         let now = clock::now();
         match !after.is_empty() || self.begin_transfer(now) {
-            true => Response::Page(self.known.tell_page(now, after)),
+            true => Response::Page(self.known.page(now, after)),
             false => Response::Busy,
         }
     }
@@ -153,7 +153,7 @@
             Request::Ping => Response::Pong,
             Request::Page(after) => self.page(&after),
             Request::Since(revision) => {
-                let news = self.known.tell_since(clock::now(), revision);
+                let news = self.known.changes_since(clock::now(), revision);
                 news.map_or_else(|| self.page(""), Response::News)
             }
             _ => Response::Unserved,
@@ -169,7 +169,7 @@
     quiet: Cell<bool>,
     turn: Cell<u32>,
     calls: CallClient,
-    known: Known,
+    known: StoreReplica,
     /// Addresses of the peers that are heard, as of the last roster: those of this zone, then those of other zones.
     heard: RefCell<[Vec<SocketAddr>; 2]>,
     /// When each peer last reported work.
@@ -190,7 +190,7 @@
 pub struct Fleet(Rc<State>);
 
 /// Starts to speak with the peers.
-pub fn start(shared: Arc<Shared>, sockets: Sockets, known: Known) -> Fleet {
+pub fn start(shared: Arc<Shared>, sockets: Sockets, known: StoreReplica) -> Fleet {
     let options = &shared.options;
     let about = InstanceInfo::new(clock::wall().0, options.zone.clone(), options.front, options.peer);
     let myself = LocalInstance {
@@ -295,7 +295,7 @@
     }
 
     /// What this instance knows of the store.
-    pub fn known(&self) -> &Known {
+    pub fn known(&self) -> &StoreReplica {
         &self.0.known
     }
 
@@ -380,7 +380,7 @@
         self.0.ahead.borrow_mut().insert(name.clone(), digest.revision);
         self.0.proofs.on_told(now, name, digest.proof);
         self.on_clock(now, name, digest.wall);
-        if self.0.known.on_word(now, digest.sync_status()) {
+        if self.0.known.on_peer_status(now, digest.sync_status()) {
             self.0.news.notify_one();
         }
         if self.is_large()
@@ -468,8 +468,9 @@
         let work = all
             .into_iter()
             .filter_map(|(key, work)| Some((ids.get(&key)?.clone(), work)));
-        let digest = LoadMessage::new(work.collect(), notes, reads).with_sync_status(self.0.known.word(now));
-        let mut digest = digest.with_clock(clock::wall_micros(), self.0.known.proof_word(now));
+        let digest =
+            LoadMessage::new(work.collect(), notes, reads).with_sync_status(self.0.known.sync_status(now));
+        let mut digest = digest.with_clock(clock::wall_micros(), self.0.known.proof_status(now));
         for peer in peers {
             let mut sent = self.0.socket.send(peer, Datagram::Load(digest.clone())).await;
             if let Err(PeerError::TooLong(length)) = sent {
--- a/src/ops/relay/peers/prove.rs
+++ b/src/ops/relay/peers/prove.rs
@@ -108,7 +108,7 @@
         if proofs.is_early(now) {
             return;
         }
-        let peers: BTreeSet<SocketAddr> = match known.asks(limit, now) {
+        let peers: BTreeSet<SocketAddr> = match known.proof_peers(limit, now) {
             ProofPeers::Nobody => return,
             ProofPeers::Watchers => proofs.watchers.borrow().iter().copied().collect(),
             ProofPeers::All => proofs.all(),
@@ -137,7 +137,7 @@
         let Some(peer) = listed.get(name).map(|l| l.listing.peer_address) else {
             return;
         };
-        if let Some(word) = self.0.known.proof_word(clock::now()) {
+        if let Some(word) = self.0.known.proof_status(clock::now()) {
             let proof = StoreProof {
                 question,
                 revision: word.revision,
--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sequoiastream::ops::relay;
-use sequoiastream::ops::relay::known::Known;
+use sequoiastream::ops::relay::known::StoreReplica;
 use sequoiastream::ops::relay::options::Acts;
 use sequoiastream::ops::relay::peers;
 use sequoiastream::ops::relay::shared::Shared;
@@ -64,7 +64,7 @@
     let sockets = peers::Sockets::bind(&shared)
         .await
         .expect("an address of its own");
-    let fleet = peers::start(shared.clone(), sockets, Known::new());
+    let fleet = peers::start(shared.clone(), sockets, StoreReplica::new());
     let store: Rc<dyn Store> = Rc::new(store.clone());
     relay::act(&shared, &store, &fleet);
     shared
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sequoiastream::ops::relay::follow;
-use sequoiastream::ops::relay::known::Known;
+use sequoiastream::ops::relay::known::StoreReplica;
 use sequoiastream::ops::relay::options::Options;
 use sequoiastream::ops::relay::orders;
 use sequoiastream::ops::relay::peers;
@@ -31,7 +31,7 @@
     let sockets = peers::Sockets::bind(&shared)
         .await
         .expect("an address of its own");
-    let known = Known::new();
+    let known = StoreReplica::new();
     let fleet = peers::start(shared.clone(), sockets, known.clone());
     let store = Rc::new(store.clone());
     actix_web::rt::spawn(follow::run(shared.clone(), store, fleet.clone(), known));
--- a/tests/testsuite/relay/known.rs
+++ b/tests/testsuite/relay/known.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use sequoiastream::ops::relay::edge::Keys;
 use sequoiastream::ops::relay::edge::Translate;
-use sequoiastream::ops::relay::known::Known;
+use sequoiastream::ops::relay::known::StoreReplica;
 use sequoiastream_core::relay::watchers::SyncStatus;
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Change;
@@ -29,10 +29,10 @@
 }
 
 /// Knows two engines as of revision 10.
-fn known() -> Known {
-    let known = Known::new();
-    known.on_all(&keys(), 10, &[item("engines/a", 3, 1), item("engines/b", 7, 1)]);
-    known.on_answer(NOW, NOW, Duration::ZERO, 10);
+fn known() -> StoreReplica {
+    let known = StoreReplica::new();
+    known.on_snapshot(&keys(), 10, &[item("engines/a", 3, 1), item("engines/b", 7, 1)]);
+    known.on_store_answer(NOW, NOW, Duration::ZERO, 10);
     known
 }
 
@@ -42,8 +42,8 @@
 }
 
 /// What is told after a revision: revisions written, keys removed, large items.
-fn told(known: &Known, revision: u64) -> Option<(Vec<u64>, Vec<String>, Vec<u64>)> {
-    let news = known.tell_since(NOW, revision)?;
+fn told(known: &StoreReplica, revision: u64) -> Option<(Vec<u64>, Vec<String>, Vec<u64>)> {
+    let news = known.changes_since(NOW, revision)?;
     let items = news.items.iter().map(|item| item.revision).collect();
     let removed = news.removed.into_iter().map(|(_, key)| key).collect();
     let large = news.large.iter().map(|(revision, _)| *revision).collect();
@@ -57,7 +57,7 @@
     known.on_change(&keys(), &gone("engines/b", 12));
     known.on_change(&keys(), &Change::Put(item("config", 13, 60_000)));
     known.on_change(&keys(), &Change::Put(item("others/x", 14, 1)));
-    known.on_answer(NOW, NOW, Duration::ZERO, 14);
+    known.on_store_answer(NOW, NOW, Duration::ZERO, 14);
     let b = "engines/b".to_string();
     assert_eq!(told(&known, 10), Some((vec![11], vec![b.clone()], vec![13])));
     assert_eq!(told(&known, 11), Some((vec![], vec![b], vec![13])));
@@ -73,7 +73,7 @@
     for revision in 11..2_100 {
         known.on_change(&keys(), &gone(&format!("engines/{revision}"), revision));
     }
-    known.on_answer(NOW, NOW, Duration::ZERO, 2_100);
+    known.on_store_answer(NOW, NOW, Duration::ZERO, 2_100);
     assert_eq!(told(&known, 10), None);
     let (_, removed, _) = told(&known, 2_000).expect("a short while ago");
     assert_eq!(removed.len(), 99);
@@ -84,8 +84,8 @@
 #[test]
 fn tell_since_across_a_read() {
     let known = known();
-    known.on_all(&keys(), 20, &[item("engines/b", 7, 1), item("engines/c", 15, 1)]);
-    known.on_answer(NOW, NOW, Duration::ZERO, 20);
+    known.on_snapshot(&keys(), 20, &[item("engines/b", 7, 1), item("engines/c", 15, 1)]);
+    known.on_store_answer(NOW, NOW, Duration::ZERO, 20);
     let a = "engines/a".to_string();
     assert_eq!(told(&known, 10), Some((vec![15], vec![a], vec![])));
 }
@@ -94,27 +94,27 @@
 fn tell_ages() {
     let known = known();
     let later = NOW + Duration::from_millis(300);
-    let news = known.tell_since(later, 10).expect("all that happened");
-    assert_eq!((news.age, known.tell_page(later, "").age), (300, 300));
+    let news = known.changes_since(later, 10).expect("all that happened");
+    assert_eq!((news.age, known.page(later, "").age), (300, 300));
     let word = SyncStatus {
         revision: 10,
         age: Duration::from_millis(40),
     };
-    assert!(!known.on_word(later, word));
-    assert_eq!(known.tell_page(later, "").age, 40);
-    assert_eq!(Known::new().tell_page(later, "").age, u32::MAX);
+    assert!(!known.on_peer_status(later, word));
+    assert_eq!(known.page(later, "").age, 40);
+    assert_eq!(StoreReplica::new().page(later, "").age, u32::MAX);
 }
 
 /// Guards against an answer to a starting peer that exceeds the frame limit, as with ten thousand engines.
 #[test]
 fn tell_in_pages() {
-    let known = Known::new();
+    let known = StoreReplica::new();
     let items = ["a", "b", "c", "d"].map(|name| item(&format!("engines/{name}"), 3, 200 * 1024));
-    known.on_all(&keys(), 10, &items);
+    known.on_snapshot(&keys(), 10, &items);
     let mut after = String::new();
     let mut pages = Vec::new();
     loop {
-        let page = known.tell_page(NOW, &after);
+        let page = known.page(NOW, &after);
         pages.push(page.items.iter().map(|item| item.key.clone()).collect::<Vec<_>>());
         assert_eq!(page.revision, known.revision());
         match page.more {
@@ -137,11 +137,13 @@
         );
     }
     known.on_change(&keys(), &gone("engines/a", 62));
-    known.on_answer(NOW, NOW, Duration::ZERO, 62);
-    let first = known.tell_since(NOW, 10).expect("a short while ago");
+    known.on_store_answer(NOW, NOW, Duration::ZERO, 62);
+    let first = known.changes_since(NOW, 10).expect("a short while ago");
     assert_eq!((first.items.len(), first.revision, first.age), (27, 37, u32::MAX));
     assert_eq!(first.removed, []);
-    let second = known.tell_since(NOW, first.revision).expect("a short while ago");
+    let second = known
+        .changes_since(NOW, first.revision)
+        .expect("a short while ago");
     assert_eq!((second.items.len(), second.revision, second.age), (23, 62, 0));
     assert_eq!(second.removed, [(62, "engines/a".to_string())]);
 }
