--- a/src/ops/relay/follow/join.rs
+++ b/src/ops/relay/follow/join.rs
@@ -66,7 +66,7 @@
     pub(super) async fn join(&mut self, now: Time) {
         let seat = self.fleet.seat();
         let age = now.since(self.startup.started);
-        let patience = self.shared.tuning().bound.fallback_age(seat);
+        let patience = self.shared.reloadable().apply_limit.fallback_age(seat);
         let must_read = self.startup.stage == Stage::Listed && age >= DISCOVERY_TIME && seat.is_watcher();
         if must_read || age >= patience {
             self.startup.stage = Stage::Reading;
@@ -90,7 +90,11 @@
         if self.known.revision() > 0 {
             return true;
         }
-        let patience = self.shared.tuning().bound.fallback_age(self.fleet.seat());
+        let patience = self
+            .shared
+            .reloadable()
+            .apply_limit
+            .fallback_age(self.fleet.seat());
         !self.startup.is_joining() || now.since(self.startup.started) >= patience / 2
     }
 }
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -173,8 +173,10 @@
         if self.startup.is_joining() && self.known.revision() == 0 {
             return self.join(now).await;
         }
-        let tuning = self.shared.tuning();
-        let duty = self.known.watch_action(self.fleet.seat(), tuning.bound, now);
+        let tuning = self.shared.reloadable();
+        let duty = self
+            .known
+            .watch_action(self.fleet.seat(), tuning.apply_limit, now);
         let prove = self
             .shared
             .proof_limit()
@@ -259,7 +261,12 @@
         let pause = std::mem::take(&mut self.rest);
         self.pass(pause).await;
         // A watch that falls silent is found out as soon as without the rest.
-        let wait = self.shared.tuning().bound.watch_timeout().saturating_sub(pause);
+        let wait = self
+            .shared
+            .reloadable()
+            .apply_limit
+            .watch_timeout()
+            .saturating_sub(pause);
         let watch = self.store.clone();
         let sent = clock::now();
         let mut watch = watch.watch(ALL, revision, wait);
@@ -281,7 +288,7 @@
         };
         let now = clock::now();
         if !is_quiet {
-            self.rest = watcher_rest(self.shared.tuning().bound);
+            self.rest = watcher_rest(self.shared.reloadable().apply_limit);
         }
         self.known.on_store_answer(now, sent, wait, revision);
         self.known
--- a/src/ops/relay/mod.rs
+++ b/src/ops/relay/mod.rs
@@ -51,7 +51,7 @@
 use crate::ops::relay::known::StoreReplica;
 use crate::ops::relay::options::Options;
 use crate::ops::relay::options::Reload;
-use crate::ops::relay::shared::KEEP_FACTOR;
+use crate::ops::relay::shared::ADDRESS_TTL_FACTOR;
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 use crate::util::logging::SharedBudget;
@@ -109,7 +109,7 @@
 pub fn act(shared: &Arc<Shared>, store: &Rc<dyn Store>, fleet: &peers::Fleet) {
     let Some(acts) = shared
         .options
-        .acts
+        .leader
         .clone()
         .filter(|acts| acts.usage || acts.scale)
     else {
@@ -132,8 +132,8 @@
     while hangup.recv().await.is_some() {
         match reload() {
             Ok(options) => {
-                let changed = options.tuning != *shared.tuning();
-                shared.tune(options.tuning);
+                let changed = options.reloadable != *shared.reloadable();
+                shared.reload(options.reloadable);
                 log_event!(info, log_event::RELOADED, changed);
             }
             Err(error) => log_event!(error, log_event::RELOAD_REFUSED, error),
@@ -144,8 +144,8 @@
 /// Serves on for as long as callers may keep this address, then until the last answer is out or the grace ends.
 async fn drain(shared: &Shared) {
     let begun = clock::now();
-    let kept = shared.tuning().keep * KEEP_FACTOR;
-    let most = shared.tuning().grace.saturating_sub(EXIT);
+    let kept = shared.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
+    let most = shared.reloadable().grace_period.saturating_sub(EXIT);
     loop {
         let passed = clock::now().since(begun);
         let idle = shared.running() == 0;
--- a/src/ops/relay/orders.rs
+++ b/src/ops/relay/orders.rs
@@ -222,7 +222,8 @@
         .values()
         .filter(|engines| is_steady || is_split(engines));
     let orders = engines.flat_map(|engines| {
-        let readers = limit_prefill_fraction(engines, ordered, shared.tuning().readers, capacity);
+        let readers =
+            limit_prefill_fraction(engines, ordered, shared.reloadable().prefill_fraction, capacity);
         let orders = plan_orders(engines, ordered, readers);
         if orders.is_empty() {
             return Vec::new();
@@ -242,7 +243,7 @@
     let view = shared.view.load();
     let keys = view.keys();
     let recorded = view.ordered.engines().keys().map(String::as_str);
-    let forget = shared.tuning().forget;
+    let forget = shared.reloadable().retention;
     absences.due(clock::now(), forget, recorded, |id| keys.contains_key(id))
 }
 
--- a/src/ops/relay/peers/counts.rs
+++ b/src/ops/relay/peers/counts.rs
@@ -77,7 +77,7 @@
     /// Tells the instances that sum up what was counted here.
     pub(super) fn count(&self, now: Time) {
         let shared = &self.0.shared;
-        let Some(acts) = &shared.options.acts else {
+        let Some(acts) = &shared.options.leader else {
             return;
         };
         let tallies = &self.0.tallies;
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -96,7 +96,7 @@
     /// If the address can't be bound.
     pub async fn bind(shared: &Shared) -> std::io::Result<Sockets> {
         let options = &shared.options;
-        let key = ClusterKey::new(&options.cluster);
+        let key = ClusterKey::new(&options.cluster_key);
         let calls = TcpListener::bind(options.peer).await?;
         let datagrams = DatagramSocket::bind(options.peer, key, options.name.clone(), Uuid::now_v7()).await?;
         Ok(Sockets { datagrams, calls })
@@ -206,7 +206,7 @@
         partition_policy: PartitionPolicy::Serve,
         ..Limits::default()
     };
-    let key = ClusterKey::new(&shared.options.cluster);
+    let key = ClusterKey::new(&shared.options.cluster_key);
     actix_rt::spawn(call::serve(
         sockets.calls,
         key.clone(),
--- a/src/ops/relay/register.rs
+++ b/src/ops/relay/register.rs
@@ -190,7 +190,7 @@
         let heard = self.fleet.heard_names();
         let is_present = |name: &str| name == self.shared.options.name.as_str() || heard.contains(name);
         let names = listed.keys().map(Name::as_str);
-        let forget = self.shared.tuning().forget;
+        let forget = self.shared.reloadable().retention;
         let silent = self.absences.due(clock::now(), forget, names, is_present);
         if silent.is_empty() || heard.is_empty() {
             return Ok(());
--- a/src/ops/relay/server.rs
+++ b/src/ops/relay/server.rs
@@ -155,7 +155,9 @@
     let caller = request.peer_addr().map(|address| address.ip().to_string());
     let caller = caller.unwrap_or_default();
     let addresses = directory::choose(&view.entrances, zone.map(String::as_str), &caller, *most);
-    let body = shared.translate.addresses(&addresses, shared.tuning().keep);
+    let body = shared
+        .translate
+        .addresses(&addresses, shared.reloadable().address_ttl);
     HttpResponse::Ok().content_type("application/json").body(body)
 }
 
@@ -188,7 +190,10 @@
         return refuse(shared, Reply::NoRoute);
     };
     let key = head.key.as_ref().map(|key| key.as_bytes());
-    let workspace = match view.table.grant(&route, key, ages, shared.tuning().keys) {
+    let workspace = match view
+        .table
+        .grant(&route, key, ages, shared.reloadable().key_limits)
+    {
         KeyAccess::Open => None,
         KeyAccess::Granted(workspace) => Some(workspace),
         refused => return turn_away(shared, &route, key, ages, refused),
--- a/src/ops/relay/shared.rs
+++ b/src/ops/relay/shared.rs
@@ -26,14 +26,14 @@
 
 use crate::ops::relay::edge::Translate;
 use crate::ops::relay::options::Options;
-use crate::ops::relay::options::Tuning;
+use crate::ops::relay::options::ReloadableOptions;
 use crate::ops::relay::orders::Ordered;
 use crate::util::clock;
 use crate::util::logging::SharedBudget;
 use crate::util::metrics::RelayMetrics;
 
 /// Callers keep an address for up to so many times the time that the answer said.
-pub const KEEP_FACTOR: u32 = 3;
+pub const ADDRESS_TTL_FACTOR: u32 = 3;
 
 /// What requests are answered by: never changed, only replaced.
 #[derive(Debug, Clone, Default)]
@@ -118,7 +118,7 @@
     pub view: ArcSwap<View>,
     /// Metrics.
     pub metrics: RelayMetrics,
-    tuning: ArcSwap<Tuning>,
+    reloadable: ArcSwap<ReloadableOptions>,
     leaving: OnceLock<Time>,
     /// When the store last confirmed what is known of it.
     confirmed: AtomicU64,
@@ -145,12 +145,12 @@
     pub fn new(options: Options, translate: Arc<dyn Translate>, budget: SharedBudget) -> Shared {
         let ledger = Ledger {
             book: LoadTracker::new(),
-            budget: RetryBudget::new(options.tuning.rule),
+            budget: RetryBudget::new(options.reloadable.budget_limits),
             suspects: Suspects::new(),
             tally: Tally::default(),
         };
         Shared {
-            tuning: ArcSwap::from_pointee(options.tuning.clone()),
+            reloadable: ArcSwap::from_pointee(options.reloadable.clone()),
             options,
             translate,
             view: ArcSwap::default(),
@@ -165,14 +165,14 @@
     }
 
     /// Settings that may change.
-    pub fn tuning(&self) -> Arc<Tuning> {
-        self.tuning.load_full()
+    pub fn reloadable(&self) -> Arc<ReloadableOptions> {
+        self.reloadable.load_full()
     }
 
     /// Puts changed settings into force.
-    pub fn tune(&self, tuning: Tuning) {
-        self.ledger().budget.set_limits(tuning.rule);
-        self.tuning.store(Arc::new(tuning));
+    pub fn reload(&self, options: ReloadableOptions) {
+        self.ledger().budget.set_limits(options.budget_limits);
+        self.reloadable.store(Arc::new(options));
     }
 
     /// Load, health and budget.
@@ -236,7 +236,7 @@
 
     /// Counts a request of a workspace that an engine began at `at`.
     pub fn on_begun(&self, at: Time, workspace: &str) {
-        if let Some(acts) = &self.options.acts {
+        if let Some(acts) = &self.options.leader {
             let window = Window::at(self.true_micros(at), acts.window);
             self.ledger().tally.on_begun(window, workspace);
         }
@@ -245,7 +245,7 @@
     /// How old a proof of what is known of the store may be; `None` where callers have no keys.
     pub fn proof_limit(&self) -> Option<Duration> {
         self.view.load().table.workspaces.as_ref()?;
-        self.tuning().keys.max_proof_age()
+        self.reloadable().key_limits.max_proof_age()
     }
 
     /// Whether requests with keys may be let in.
@@ -273,7 +273,7 @@
     ///
     /// Failure guarded against: a stream that is accepted late in a shutdown is cut when the process ends.
     pub fn is_closed(&self, now: Time) -> bool {
-        let kept = self.tuning().keep * KEEP_FACTOR;
+        let kept = self.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
         self.leaving.get().is_some_and(|at| now.since(*at) >= kept)
     }
 
--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -7,7 +7,7 @@
 
 use sequoiastream::ops::relay;
 use sequoiastream::ops::relay::known::StoreReplica;
-use sequoiastream::ops::relay::options::Acts;
+use sequoiastream::ops::relay::options::LeaderOptions;
 use sequoiastream::ops::relay::peers;
 use sequoiastream::ops::relay::shared::Shared;
 use sequoiastream::util::clock;
@@ -30,7 +30,7 @@
 /// An instance that acts for all by itself, towards `api`. Its service `chat` may be bought, and has `engines` in the zone `a`.
 async fn start(api: &ScriptedEngine, store: &FakeStore, engines: u32) -> Arc<Shared> {
     let mut options = options();
-    options.acts = Some(Acts {
+    options.leader = Some(LeaderOptions {
         address: api.address(),
         usage: true,
         scale: true,
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -42,7 +42,7 @@
 async fn listener(served: &FakeStore, own: &FakeStore, bound: Duration) -> [(Arc<Shared>, Fleet); 3] {
     let named = |name: &str| {
         let mut options = options();
-        options.tuning.bound = ApplyLimit(bound);
+        options.reloadable.apply_limit = ApplyLimit(bound);
         options.name = name.parse().expect("a name");
         options
     };
@@ -121,7 +121,7 @@
     store.set_batch_size(250);
     store.put("config", "3 /a/");
     let mut options = options();
-    options.tuning.bound = ApplyLimit(Duration::from_secs(60));
+    options.reloadable.apply_limit = ApplyLimit(Duration::from_secs(60));
     let shared = start(options, &store).await;
     until(|| version(&shared) == 3).await;
     for number in 0..4_000 {
@@ -221,7 +221,7 @@
         store.put(&format!("orders/{id}"), r#"{"holder":"one/1","reader":true}"#);
     }
     let mut options = options();
-    options.tuning.forget = Duration::from_millis(100);
+    options.reloadable.retention = Duration::from_millis(100);
     let shared = start(options, &store).await;
     actix_web::rt::spawn(orders::run(shared.clone(), Rc::new(store.clone())));
     let recorded = || -> Vec<String> { shared.view.load().ordered.engines().keys().cloned().collect() };
@@ -350,7 +350,7 @@
     let named = |name: &str| {
         let mut options = options();
         options.name = name.parse().expect("a name");
-        options.tuning.forget = Duration::from_secs(3);
+        options.reloadable.retention = Duration::from_secs(3);
         options
     };
     let (first, second) = (named("one"), named("two"));
@@ -378,7 +378,7 @@
         store.put(&format!("own/a/{name}"), card);
     }
     let mut options = options();
-    options.tuning.bound = ApplyLimit(Duration::from_secs(60));
+    options.reloadable.apply_limit = ApplyLimit(Duration::from_secs(60));
     let (shared, fleet) = start_seated(options, &store).await;
     until(|| version(&shared) == 3 && !fleet.seat().is_watcher()).await;
     for number in 0..70 {
@@ -399,7 +399,7 @@
         r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#,
     );
     let mut options = options();
-    options.tuning.forget = Duration::from_millis(50);
+    options.reloadable.retention = Duration::from_millis(50);
     let (shared, fleet) = start_seated(options, &store).await;
     let _registration = register::start(shared.clone(), Rc::new(store.clone()), fleet.clone());
     until(|| store.has("own/a/one") && fleet.seat().rank == 0).await;
--- a/tests/testsuite/relay/instance.rs
+++ b/tests/testsuite/relay/instance.rs
@@ -17,7 +17,7 @@
 use sequoiastream::ops::relay::edge::Paths;
 use sequoiastream::ops::relay::edge::Translate;
 use sequoiastream::ops::relay::options::Options;
-use sequoiastream::ops::relay::options::Tuning;
+use sequoiastream::ops::relay::options::ReloadableOptions;
 use sequoiastream::ops::relay::server;
 use sequoiastream::ops::relay::shared::Shared;
 use sequoiastream::util::log_budget::LogBudget;
@@ -260,23 +260,23 @@
         metrics: Some(own_address(7_005)),
         peer: own_address(7_004),
         capacity: 250,
-        cluster: "a secret of the tests".to_string(),
-        acts: None,
-        tuning: Tuning {
-            keep: Duration::from_millis(50),
-            grace: Duration::from_secs(8),
-            rule: BudgetLimits {
+        cluster_key: "a secret of the tests".to_string(),
+        leader: None,
+        reloadable: ReloadableOptions {
+            address_ttl: Duration::from_millis(50),
+            grace_period: Duration::from_secs(8),
+            budget_limits: BudgetLimits {
                 ratio: 0.2,
                 window: Duration::from_secs(10),
                 slack: 56.0,
             },
-            readers: 0.5,
-            bound: ApplyLimit(Duration::from_millis(400)),
-            keys: KeyAgeLimits {
+            prefill_fraction: 0.5,
+            apply_limit: ApplyLimit(Duration::from_millis(400)),
+            key_limits: KeyAgeLimits {
                 change: Duration::from_millis(400),
                 revoke: None,
             },
-            forget: Duration::from_secs(600),
+            retention: Duration::from_secs(600),
         },
     }
 }
--- a/tests/testsuite/relay/keys.rs
+++ b/tests/testsuite/relay/keys.rs
@@ -33,12 +33,12 @@
         keys: vec![KeyDigest::of(b"k1")],
     };
     let workspaces = Workspaces::new(vec![workspace]).expect("clear");
-    let mut tuning = (*instance.shared.tuning()).clone();
-    tuning.keys = KeyAgeLimits {
+    let mut tuning = (*instance.shared.reloadable()).clone();
+    tuning.key_limits = KeyAgeLimits {
         change: Duration::from_secs(3),
         revoke: Some(Duration::from_secs(5)),
     };
-    instance.shared.tune(tuning);
+    instance.shared.reload(tuning);
     instance.shared.publish(|view| {
         let table = RoutingTable::clone(&view.table);
         view.table = Arc::new(table.with_workspaces(Some(workspaces)));
@@ -99,7 +99,7 @@
     let instance = Instance::start(RouteKind::Once, &[(&engine, Stage::Whole)], |_| {});
     let known = keyed(&engine, false);
     let table = known.shared.view.load().table.clone();
-    instance.shared.tune((*known.shared.tuning()).clone());
+    instance.shared.reload((*known.shared.reloadable()).clone());
     instance.shared.publish(|view| view.table = table);
     instance.shared.on_store(clock::now());
     for key in ["k1", "k9"] {
--- a/tests/testsuite/relay/orders.rs
+++ b/tests/testsuite/relay/orders.rs
@@ -134,9 +134,9 @@
     actix_web::rt::spawn(orders::run(state.clone(), Rc::new(store.clone())));
     engine.wait_for(|log| log.requests.len() == 1).await;
     // Three looks later there is still one: the plan is looked at again when the readers' part changes.
-    let mut tuning = (*state.tuning()).clone();
-    tuning.readers = 0.3;
-    state.tune(tuning);
+    let mut tuning = (*state.reloadable()).clone();
+    tuning.prefill_fraction = 0.3;
+    state.reload(tuning);
     let engines: Vec<Engine> = (10..14)
         .map(|index| {
             let entry = Entry {
