--- a/src/ops/relay/cloud.rs
+++ b/src/ops/relay/cloud.rs
@@ -18,20 +18,20 @@
 use crate::util::clock;
 
 /// How long a new connection is waited for.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long an answer is waited for: the API may be slow by much.
-const ANSWER: Duration = Duration::from_secs(4);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Longest answer, in bytes.
-const MAX_ANSWER: usize = 64 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Why a call brought nothing.
 #[derive(Debug, Error)]
 pub enum CloudError {
     /// This instance does not act for all, or not for long enough any more.
     #[error("another instance acts")]
-    NotHeld,
+    NotLeader,
     /// It may have arrived.
     #[error("no answer: {0}")]
     Unanswered(String),
@@ -42,16 +42,16 @@
 
 /// The platform's API.
 #[derive(Clone)]
-pub struct Cloud {
+pub struct CloudClient {
     shared: Arc<Shared>,
     address: SocketAddr,
     leadership: Leadership,
 }
 
-impl Cloud {
+impl CloudClient {
     /// The API at `address`.
-    pub fn new(shared: Arc<Shared>, address: SocketAddr, leadership: Leadership) -> Cloud {
-        Cloud {
+    pub fn new(shared: Arc<Shared>, address: SocketAddr, leadership: Leadership) -> CloudClient {
+        CloudClient {
             shared,
             address,
             leadership,
@@ -59,7 +59,7 @@
     }
 
     /// Whether this instance acts now.
-    pub fn is_held(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.leadership.fence(clock::now()).is_some()
     }
 
@@ -73,12 +73,12 @@
     /// [`CloudError`] says whether it may have arrived.
     pub async fn post(&self, path: &str, body: String) -> Result<(), CloudError> {
         let unanswered = |e: &dyn std::fmt::Display| CloudError::Unanswered(e.to_string());
-        if !self.is_held() {
-            return Err(CloudError::NotHeld);
+        if !self.is_leader() {
+            return Err(CloudError::NotLeader);
         }
-        let channel = Channel::connect(self.address, CONNECT).await;
+        let channel = Channel::connect(self.address, CONNECT_TIMEOUT).await;
         let channel = channel.map_err(|e| unanswered(&e))?;
-        let fence = self.leadership.fence(clock::now()).ok_or(CloudError::NotHeld)?;
+        let fence = self.leadership.fence(clock::now()).ok_or(CloudError::NotLeader)?;
         let names = self.shared.translate.names();
         let holder = HeaderValue::from_str(self.shared.options.name.as_str());
         let request = Request::builder()
@@ -90,10 +90,13 @@
             .header(&names.fence, HeaderValue::from(fence))
             .body(Full::new(Bytes::from(body)))
             .map_err(|e| unanswered(&e))?;
-        let mut answer = channel.send(request, ANSWER).await.map_err(|e| unanswered(&e))?;
+        let mut answer = channel
+            .send(request, ANSWER_TIMEOUT)
+            .await
+            .map_err(|e| unanswered(&e))?;
         let status = answer.head.status;
         answer
-            .read(MAX_ANSWER, ANSWER)
+            .read(MAX_ANSWER_BYTES, ANSWER_TIMEOUT)
             .await
             .map_err(|e| unanswered(&e))?;
         match status.is_success() {
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -39,7 +39,7 @@
 use crate::ops::relay::follow::join::Startup;
 use crate::ops::relay::known::StoreReplica;
 use crate::ops::relay::lead;
-use crate::ops::relay::orders::Ordered;
+use crate::ops::relay::orders::OrderRecords;
 use crate::ops::relay::peers::Fleet;
 use crate::ops::relay::register;
 use crate::ops::relay::shared::Shared;
@@ -103,7 +103,7 @@
     fleet: Fleet,
     known: StoreReplica,
     engines: Engines,
-    ordered: Ordered,
+    ordered: OrderRecords,
     lead: Option<LeaseRecord>,
     /// Revision of the configuration that is in force.
     config: u64,
@@ -151,7 +151,7 @@
         fleet,
         known,
         engines: Engines::new(),
-        ordered: Ordered::default(),
+        ordered: OrderRecords::default(),
         lead: None,
         config: 0,
         failures: 0,
@@ -179,7 +179,7 @@
             .watch_action(self.fleet.seat(), tuning.apply_limit, now);
         let prove = self
             .shared
-            .proof_limit()
+            .max_proof_age()
             .map(|limit| self.known.store_proof_due(self.fleet.seat(), limit));
         let asked = match (duty, prove) {
             (WatchAction::Listen(_), Some(at)) if now >= at && self.complete => self.prove().await,
@@ -342,7 +342,7 @@
         let entries: Vec<(u64, Entry)> = entries.collect();
         let engines = self.engines.on_snapshot(now, revision, entries);
         self.ordered
-            .on_all(now, self.shared.translate.as_ref(), revision, items);
+            .on_snapshot(now, self.shared.translate.as_ref(), revision, items);
         for item in items {
             self.on_config(item);
         }
@@ -443,11 +443,11 @@
         }
         if changed.orders {
             let ordered = Arc::new(self.ordered.clone());
-            self.shared.publish(|view| view.ordered = ordered);
+            self.shared.publish(|view| view.orders = ordered);
         }
         if changed.lead {
             let lead = self.lead.clone();
-            self.shared.publish(|view| view.lead = lead);
+            self.shared.publish(|view| view.leader = lead);
         }
         if changed.instances {
             self.fleet.relist();
@@ -460,7 +460,7 @@
         self.shared.publish(|view| view.set_engines(engines));
         let view = self.shared.view.load();
         let known: BTreeSet<EngineKey> = view.keys().values().copied().collect();
-        self.shared.ledger().book.retain(|key| known.contains(&key));
+        self.shared.traffic().load.retain(|key| known.contains(&key));
         log_event!(
             info,
             log_event::ENGINES_CHANGED,
@@ -482,7 +482,7 @@
     fn on_confirmed(&self) {
         let now = clock::now();
         if let Some(age) = self.known.age(now) {
-            self.shared.on_store(now - age);
+            self.shared.on_store_answer(now - age);
         }
     }
 
--- a/src/ops/relay/forward.rs
+++ b/src/ops/relay/forward.rs
@@ -119,12 +119,12 @@
     /// Makes the attempts and returns the final answer.
     pub async fn run(mut self) -> HttpResponse {
         if let Some(print) = self.ask.print
-            && self.shared.ledger().suspects.is_blocked(clock::now(), print)
+            && self.shared.traffic().suspects.is_blocked(clock::now(), print)
         {
             return self.finish(Reply::Convicted);
         }
         if let Some(service) = &self.service {
-            self.shared.ledger().budget.on_request(clock::now(), service);
+            self.shared.traffic().budget.on_request(clock::now(), service);
         }
         if self.route.kind.is_stream() {
             return self.stream().await;
@@ -318,7 +318,7 @@
         let now = clock::now();
         self.on_begun(now);
         let first = now.since(self.ask.arrived);
-        let requests = self.shared.ledger().book.work(now, engine.key).requests;
+        let requests = self.shared.traffic().load.work(now, engine.key).requests;
         self.shared.metrics.first(&self.path(), first);
         if let Some(predicted) = self.predicted.take() {
             self.shared.metrics.error(first, predicted);
@@ -327,8 +327,8 @@
             first = first.as_millis() as u64, handover = now.since(begun).as_millis() as u64, requests);
         if self.read.is_some() && requests < engine.entry.slots {
             self.shared
-                .ledger()
-                .book
+                .traffic()
+                .load
                 .on_handover(now, engine.key, now.since(begun));
         }
     }
@@ -337,8 +337,8 @@
     pub fn judge(&self, engine: EngineKey, end: End) {
         self.shared.metrics.attempt(end.label());
         self.shared
-            .ledger()
-            .book
+            .traffic()
+            .load
             .on_attempt_end(clock::now(), engine, end);
     }
 
@@ -365,7 +365,7 @@
             return;
         };
         let engine = engine.hash;
-        let mut ledger = self.shared.ledger();
+        let mut ledger = self.shared.traffic();
         ledger
             .suspects
             .on_engine_broke(clock::now(), CrashNote { request, engine });
@@ -396,7 +396,7 @@
         let instances = self.shared.view.load().instances;
         let allowed = self
             .shared
-            .ledger()
+            .traffic()
             .budget
             .try_take(clock::now(), service, instances);
         self.shared.metrics.extra(allowed);
--- a/src/ops/relay/gauges.rs
+++ b/src/ops/relay/gauges.rs
@@ -16,30 +16,30 @@
     metrics
         .engines
         .set(count(view.engines().values().map(Vec::len).sum()));
-    metrics.instances.set(count(view.entrances.len()));
+    metrics.instances.set(count(view.endpoints.len()));
     metrics
         .version
         .set(i64::try_from(view.table.version).unwrap_or(i64::MAX));
-    let mut ledger = shared.ledger();
+    let mut traffic = shared.traffic();
     metrics.store_age.set(shared.store_age(now).as_secs_f64());
     let proven = shared.ages(now).proven;
     let proven = (proven < Duration::MAX).then_some(proven.as_secs_f64());
     metrics.proof_age.set(proven.unwrap_or(-1.0));
     metrics
         .peers_age
-        .set(ledger.book.oldest_report_age(now).as_secs_f64());
+        .set(traffic.load.oldest_report_age(now).as_secs_f64());
     metrics.forget_services();
     for (service, engines) in view.engines() {
-        let own = sum(engines.iter().map(|e| ledger.book.own_work(e.key)));
-        let fleet = sum(engines.iter().map(|e| ledger.book.work(now, e.key)));
+        let own = sum(engines.iter().map(|e| traffic.load.own_work(e.key)));
+        let fleet = sum(engines.iter().map(|e| traffic.load.work(now, e.key)));
         let slots: u32 = engines.iter().map(|e| e.entry.slots).sum();
-        let left = ledger.budget.remaining(now, service, view.instances);
+        let remaining = traffic.budget.remaining(now, service, view.instances);
         metrics.work(service, "own", own.requests);
         metrics.work(service, "fleet", fleet.requests);
         metrics.work(service, "slots", slots);
-        metrics.budget(service, left);
+        metrics.budget(service, remaining);
     }
-    drop(ledger);
+    drop(traffic);
     metrics.page()
 }
 
--- a/src/ops/relay/known.rs
+++ b/src/ops/relay/known.rs
@@ -32,7 +32,7 @@
 
 /// Largest value that is told with the news, in bytes. The link of a small instance takes a second for a configuration of
 /// a megabyte, and some of its neighbours ask for it at once; the store's is a hundred times as wide. A configuration with
-/// the keys of a hundred workspaces is told.
+/// the keys of a hundred workspaces is message.
 const MAX_INLINE_BYTES: usize = 48 * 1024;
 
 /// Maximum size of a page, in bytes of keys and values: a small instance sends it in a fifth of a second.
@@ -66,8 +66,8 @@
     }
 
     /// Whether to watch the store or to listen to the peers.
-    pub fn watch_action(&self, seat: FleetRank, bound: watchers::ApplyLimit, now: Time) -> WatchAction {
-        self.0.borrow().sync.watch_action(seat, bound, now)
+    pub fn watch_action(&self, rank: FleetRank, limit: watchers::ApplyLimit, now: Time) -> WatchAction {
+        self.0.borrow().sync.watch_action(rank, limit, now)
     }
 
     /// What the peers are told of it.
@@ -81,8 +81,8 @@
     }
 
     /// Takes the word of a peer; whether the peer knows more.
-    pub fn on_peer_status(&self, now: Time, word: SyncStatus) -> bool {
-        self.0.borrow_mut().sync.on_peer_status(now, word)
+    pub fn on_peer_status(&self, now: Time, status: SyncStatus) -> bool {
+        self.0.borrow_mut().sync.on_peer_status(now, status)
     }
 
     /// Notes that this instance runs.
@@ -96,9 +96,9 @@
         if revision < state.sync.revision() {
             return;
         }
-        let kept = items.iter().filter(|item| is_replicated(keys, &item.key));
-        let kept = kept.map(|item| (item.key.clone(), item.clone())).collect();
-        let before = std::mem::replace(&mut state.items, kept);
+        let shared = items.iter().filter(|item| is_replicated(keys, &item.key));
+        let shared = shared.map(|item| (item.key.clone(), item.clone())).collect();
+        let before = std::mem::replace(&mut state.items, shared);
         state.revisions = state
             .items
             .values()
@@ -108,11 +108,11 @@
             state.compact_revision = revision;
         }
         // What is no longer there went since the last answer: peers that lag are told just that.
-        let gone: Vec<String> = before
+        let removed: Vec<String> = before
             .into_keys()
             .filter(|key| !state.items.contains_key(key))
             .collect();
-        gone.iter().for_each(|key| state.remove(key, revision));
+        removed.iter().for_each(|key| state.remove(key, revision));
     }
 
     /// Takes a change.
@@ -142,8 +142,8 @@
     }
 
     /// Takes what a peer answered to a question that left at `asked`; whether the peer knows more.
-    pub fn on_peer_proof(&self, asked: Time, word: SyncStatus) -> bool {
-        self.0.borrow_mut().sync.on_peer_proof(asked, word)
+    pub fn on_peer_proof(&self, asked: Time, status: SyncStatus) -> bool {
+        self.0.borrow_mut().sync.on_peer_proof(asked, status)
     }
 
     /// How long ago everything is known up to, by proof.
@@ -162,13 +162,13 @@
     }
 
     /// When to ask the store itself for a proof.
-    pub fn store_proof_due(&self, seat: FleetRank, limit: Duration) -> Time {
-        self.0.borrow().sync.store_proof_due(seat, limit)
+    pub fn store_proof_due(&self, rank: FleetRank, limit: Duration) -> Time {
+        self.0.borrow().sync.store_proof_due(rank, limit)
     }
 
     /// Notes that what a peer had was taken in.
-    pub fn on_peer_changes(&self, now: Time, word: SyncStatus) {
-        self.0.borrow_mut().sync.on_peer_changes(now, word);
+    pub fn on_peer_changes(&self, now: Time, status: SyncStatus) {
+        self.0.borrow_mut().sync.on_peer_changes(now, status);
     }
 
     /// The item under a key, if it is known.
@@ -221,13 +221,13 @@
         let changed = changed.into_iter().filter(|item| item.revision <= last);
         let (large, small): (Vec<&Item>, Vec<&Item>) =
             changed.partition(|item| item.value.len() > MAX_INLINE_BYTES);
-        let later = state.removed.range((revision + 1, String::new())..);
-        let later = later.take_while(|(at, _)| *at <= last);
+        let removed = state.removed.range((revision + 1, String::new())..);
+        let removed = removed.take_while(|(at, _)| *at <= last);
         Some(StoreNews {
             revision: last,
             age,
             items: small.into_iter().map(to_message).collect(),
-            removed: later.cloned().collect(),
+            removed: removed.cloned().collect(),
             large: large
                 .into_iter()
                 .map(|item| (item.revision, item.key.clone()))
@@ -287,12 +287,12 @@
 }
 
 /// The item that a peer told of.
-pub fn from_message(told: StoreItem) -> Item {
+pub fn from_message(message: StoreItem) -> Item {
     Item {
-        key: told.key,
-        value: Bytes::from(told.value),
-        revision: told.revision,
-        created: told.created,
+        key: message.key,
+        value: Bytes::from(message.value),
+        revision: message.revision,
+        created: message.created,
     }
 }
 
--- a/src/ops/relay/lead.rs
+++ b/src/ops/relay/lead.rs
@@ -27,11 +27,11 @@
 use crate::util::clock;
 
 /// Time between two looks.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the holder's record says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Card {
+struct HolderRecord {
     holder: String,
     process: String,
 }
@@ -42,24 +42,24 @@
         return None;
     }
     // One that can't be read is somebody's all the same.
-    let card = serde_json::from_slice::<Card>(&item.value).unwrap_or_else(|error| {
+    let record = serde_json::from_slice::<HolderRecord>(&item.value).unwrap_or_else(|error| {
         log_event!(warn, log_event::ENTRY_UNREADABLE, key = %item.key, revision = item.revision, %error);
-        Card {
+        HolderRecord {
             holder: String::new(),
             process: String::new(),
         }
     });
     Some(LeaseRecord {
-        holder: card.holder,
-        process: card.process,
+        holder: record.holder,
+        process: record.process,
         revision: item.created,
     })
 }
 
 #[derive(Debug)]
 struct State {
-    lead: RefCell<LeaderLease>,
-    lease: RefCell<Option<LeaseId>>,
+    lease: RefCell<LeaderLease>,
+    lease_id: RefCell<Option<LeaseId>>,
     process: String,
 }
 
@@ -70,15 +70,15 @@
 impl Leadership {
     /// The fencing token of a call that leaves now; `None` if none may leave.
     pub fn fence(&self, now: Time) -> Option<u64> {
-        self.0.lead.borrow().fence(now)
+        self.0.lease.borrow().fence(now)
     }
 }
 
 /// Competes for leases of the time `lease`, and keeps one that it got.
 pub fn start(shared: Arc<Shared>, store: Rc<dyn Store>, lease: Duration) -> Leadership {
     let leadership = Leadership(Rc::new(State {
-        lead: RefCell::new(LeaderLease::new(lease)),
-        lease: RefCell::default(),
+        lease: RefCell::new(LeaderLease::new(lease)),
+        lease_id: RefCell::default(),
         process: Uuid::new_v4().to_string(),
     }));
     actix_rt::spawn(run(leadership.clone(), shared, store));
@@ -87,41 +87,41 @@
 
 async fn run(leadership: Leadership, shared: Arc<Shared>, store: Rc<dyn Store>) {
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if shared.is_leaving() {
             return leadership.resign(store.as_ref()).await;
         }
         let (is_free, rank) = {
             let view = shared.view.load();
-            (view.is_configured() && view.lead.is_none(), view.rank)
+            (view.is_configured() && view.leader.is_none(), view.rank)
         };
         let now = clock::now();
         shared
             .metrics
             .leads
             .set(i64::from(leadership.fence(now).is_some()));
-        let step = leadership.0.lead.borrow_mut().next_action(now, is_free, rank);
-        match step {
+        let action = leadership.0.lease.borrow_mut().next_action(now, is_free, rank);
+        match action {
             LeaseAction::Wait => {}
             LeaseAction::Renew => leadership.renew(store.as_ref()).await,
-            LeaseAction::Acquire => leadership.take(&shared, store.as_ref()).await,
+            LeaseAction::Acquire => leadership.acquire(&shared, store.as_ref()).await,
         }
     }
 }
 
 impl Leadership {
-    async fn take(&self, shared: &Shared, store: &dyn Store) {
+    async fn acquire(&self, shared: &Shared, store: &dyn Store) {
         let sent = clock::now();
         match self.create(shared, store).await {
             Ok(Some((lease, fence))) => {
-                *self.0.lease.borrow_mut() = Some(lease);
-                self.0.lead.borrow_mut().on_acquired(clock::now(), sent, fence);
+                *self.0.lease_id.borrow_mut() = Some(lease);
+                self.0.lease.borrow_mut().on_acquired(clock::now(), sent, fence);
                 log_event!(info, log_event::LEAD_TAKEN, fence);
             }
-            Ok(None) => self.0.lead.borrow_mut().on_failure(clock::now()),
+            Ok(None) => self.0.lease.borrow_mut().on_failure(clock::now()),
             Err(error) => {
                 log_event!(info, log_event::KV_FAILED, %error, call = "lead");
-                self.0.lead.borrow_mut().on_failure(clock::now());
+                self.0.lease.borrow_mut().on_failure(clock::now());
             }
         }
     }
@@ -129,14 +129,14 @@
     /// Creates the record under a new lease; `None` if somebody else has. One whose answer was lost counts only if reading
     /// back shows it: it may still come, and ends with its lease.
     async fn create(&self, shared: &Shared, store: &dyn Store) -> Result<Option<(LeaseId, u64)>, StoreError> {
-        let time = self.0.lead.borrow().lease();
-        let lease = store.grant(time).await?;
+        let length = self.0.lease.borrow().lease();
+        let lease = store.grant(length).await?;
         let key = shared.translate.keys().lead.clone();
-        let card = Card {
+        let own_record = HolderRecord {
             holder: shared.options.name.to_string(),
             process: self.0.process.clone(),
         };
-        let value = serde_json::to_vec(&card).map_err(|e| StoreError::Unreadable(e.to_string()))?;
+        let value = serde_json::to_vec(&own_record).map_err(|e| StoreError::Unreadable(e.to_string()))?;
         let put = Put {
             key: key.clone(),
             value: Bytes::from(value),
@@ -164,32 +164,32 @@
     }
 
     async fn renew(&self, store: &dyn Store) {
-        let Some(lease) = *self.0.lease.borrow() else {
+        let Some(lease) = *self.0.lease_id.borrow() else {
             return;
         };
         let sent = clock::now();
         match store.renew(lease).await {
-            Ok(()) => self.0.lead.borrow_mut().on_renewed(sent),
-            Err(StoreError::LeaseEnded) => self.lose(),
+            Ok(()) => self.0.lease.borrow_mut().on_renewed(sent),
+            Err(StoreError::LeaseEnded) => self.on_lost(),
             Err(error) => {
                 log_event!(info, log_event::KV_FAILED, %error, call = "renew the lead");
-                self.0.lead.borrow_mut().on_failure(clock::now());
+                self.0.lease.borrow_mut().on_failure(clock::now());
             }
         }
     }
 
-    fn lose(&self) {
-        self.0.lease.borrow_mut().take();
-        self.0.lead.borrow_mut().on_lost(clock::now());
+    fn on_lost(&self) {
+        self.0.lease_id.borrow_mut().take();
+        self.0.lease.borrow_mut().on_lost(clock::now());
         log_event!(info, log_event::LEAD_LOST);
     }
 
     /// Gives the lease back; nothing is called under it any more.
     async fn resign(&self, store: &dyn Store) {
-        let Some(lease) = self.0.lease.borrow_mut().take() else {
+        let Some(lease) = self.0.lease_id.borrow_mut().take() else {
             return;
         };
-        self.0.lead.borrow_mut().on_lost(clock::now());
+        self.0.lease.borrow_mut().on_lost(clock::now());
         log_event!(info, log_event::LEAD_LOST);
         if let Err(error) = store.revoke(lease).await {
             log_event!(info, log_event::KV_FAILED, %error, call = "resign");
--- a/src/ops/relay/mod.rs
+++ b/src/ops/relay/mod.rs
@@ -45,7 +45,7 @@
 use tokio::signal::unix::signal;
 
 use crate::log_event;
-use crate::ops::relay::cloud::Cloud;
+use crate::ops::relay::cloud::CloudClient;
 use crate::ops::relay::counted::Counted;
 use crate::ops::relay::edge::Translate;
 use crate::ops::relay::known::StoreReplica;
@@ -57,10 +57,10 @@
 use crate::util::logging::SharedBudget;
 
 /// How often a shutdown looks whether the last request is answered.
-const STEP: Duration = Duration::from_millis(20);
+const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time at the end of the grace period that is left for the process itself to end.
-const EXIT: Duration = Duration::from_millis(500);
+const EXIT_TIME: Duration = Duration::from_millis(500);
 
 /// Runs an instance until SIGTERM or SIGINT, then shuts down gracefully.
 ///
@@ -87,9 +87,9 @@
     let fleet = peers::start(shared.clone(), sockets, known.clone());
     actix_rt::spawn(follow::run(shared.clone(), store.clone(), fleet.clone(), known));
     actix_rt::spawn(orders::run(shared.clone(), store.clone()));
-    act(&shared, &store, &fleet);
+    start_leader_tasks(&shared, &store, &fleet);
     let registration = register::start(shared.clone(), store, fleet.clone());
-    actix_rt::spawn(reload_on(hangup, shared.clone(), reload));
+    actix_rt::spawn(reload_on_hangup(hangup, shared.clone(), reload));
     log_event!(info, log_event::STARTED, address = %shared.options.front);
     tokio::select! {
         _ = terminate.recv() => {}
@@ -106,29 +106,29 @@
 }
 
 /// Starts what one instance does for all, as the settings say.
-pub fn act(shared: &Arc<Shared>, store: &Rc<dyn Store>, fleet: &peers::Fleet) {
-    let Some(acts) = shared
+pub fn start_leader_tasks(shared: &Arc<Shared>, store: &Rc<dyn Store>, fleet: &peers::Fleet) {
+    let Some(options) = shared
         .options
         .leader
         .clone()
-        .filter(|acts| acts.usage || acts.scale)
+        .filter(|options| options.usage || options.scale)
     else {
         return;
     };
-    let leadership = lead::start(shared.clone(), store.clone(), acts.lease);
-    let cloud = Cloud::new(shared.clone(), acts.address, leadership);
-    if acts.usage {
+    let leadership = lead::start(shared.clone(), store.clone(), options.lease);
+    let cloud = CloudClient::new(shared.clone(), options.address, leadership);
+    if options.usage {
         let (shared, store, fleet) = (shared.clone(), store.clone(), fleet.clone());
-        actix_rt::spawn(usage::run(shared, store, fleet, cloud.clone(), acts.window));
+        actix_rt::spawn(usage::run(shared, store, fleet, cloud.clone(), options.window));
     }
-    if acts.scale {
+    if options.scale {
         actix_rt::spawn(scaling::run(shared.clone(), cloud));
     }
 }
 
 /// Reads the settings anew at each SIGHUP. Without this the signal would end the process. Settings that can't be read
 /// change nothing; names and addresses change with the next start only.
-async fn reload_on(mut hangup: Signal, shared: Arc<Shared>, reload: Reload) {
+async fn reload_on_hangup(mut hangup: Signal, shared: Arc<Shared>, reload: Reload) {
     while hangup.recv().await.is_some() {
         match reload() {
             Ok(options) => {
@@ -143,15 +143,15 @@
 
 /// Serves on for as long as callers may keep this address, then until the last answer is out or the grace ends.
 async fn drain(shared: &Shared) {
-    let begun = clock::now();
-    let kept = shared.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
-    let most = shared.reloadable().grace_period.saturating_sub(EXIT);
+    let started = clock::now();
+    let min_time = shared.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
+    let max_time = shared.reloadable().grace_period.saturating_sub(EXIT_TIME);
     loop {
-        let passed = clock::now().since(begun);
-        let idle = shared.running() == 0;
-        if passed >= most || (passed >= kept && idle) {
+        let elapsed = clock::now().since(started);
+        let is_idle = shared.running() == 0;
+        if elapsed >= max_time || (elapsed >= min_time && is_idle) {
             return;
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(DRAIN_INTERVAL).await;
     }
 }
--- a/src/ops/relay/orders.rs
+++ b/src/ops/relay/orders.rs
@@ -37,30 +37,32 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two looks at the plan.
-const LOOK: Duration = Duration::from_millis(500);
+/// Time between two checks at the plan.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest time for which an engine is left alone after its order: the longest answers take some seconds, the change
 /// three. An order that is carried out later still shows by the engine's declining.
-const CHANGE: Duration = Duration::from_secs(8);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Looks for which the engines must have stayed the same before any gets an order.
-const STEADY: u32 = 3;
+const STABLE_CHECKS: u32 = 3;
 
 /// How long an engine's answer to an order is waited for.
-const ANSWER: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Records removed in one look: the store takes few writes a second.
-const MAX_FORGOTTEN: usize = 4;
+const MAX_REMOVED: usize = 4;
 
 /// Longest answer to an order, in bytes.
-const MAX_ANSWER: usize = 64 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Who gives an engine its order, and which.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Record {
+struct OrderRecord {
     holder: String,
-    reader: bool,
+    /// Whether the engine is ordered to compute prefills.
+    #[serde(rename = "reader")]
+    prefill: bool,
 }
 
 /// When the record of an order was first seen, and at which revision of the store.
@@ -72,22 +74,22 @@
 
 /// The records of orders, as the store shows them.
 #[derive(Debug, Clone, Default)]
-pub struct Ordered {
+pub struct OrderRecords {
     stages: BTreeMap<String, Stage>,
     seen: BTreeMap<String, Seen>,
     /// When the last order was first seen.
     latest: Option<Time>,
 }
 
-impl Ordered {
+impl OrderRecords {
     /// Takes an item of the store; whether it is the record of an order. One that can't be read counts as an order too,
     /// so that no second is given.
     pub fn on_item(&mut self, now: Time, translate: &dyn Translate, item: &Item) -> bool {
         let Some(id) = item.key.strip_prefix(translate.keys().orders.as_str()) else {
             return false;
         };
-        let stage = match serde_json::from_slice::<Record>(&item.value) {
-            Ok(record) if record.reader => Stage::Prefill,
+        let stage = match serde_json::from_slice::<OrderRecord>(&item.value) {
+            Ok(record) if record.prefill => Stage::Prefill,
             Ok(_) => Stage::Decode,
             Err(error) => {
                 log_event!(warn, log_event::ENTRY_UNREADABLE, key = %item.key, revision = item.revision, %error);
@@ -104,14 +106,14 @@
     }
 
     /// Takes all that the store held as of `revision`: records that it doesn't name are dropped, but later ones stay.
-    pub fn on_all(&mut self, now: Time, translate: &dyn Translate, revision: u64, items: &[Item]) {
+    pub fn on_snapshot(&mut self, now: Time, translate: &dyn Translate, revision: u64, items: &[Item]) {
         for item in items {
             self.on_item(now, translate, item);
         }
         let prefix = translate.keys().orders.as_str();
-        let named: BTreeSet<&str> = items.iter().filter_map(|i| i.key.strip_prefix(prefix)).collect();
+        let listed: BTreeSet<&str> = items.iter().filter_map(|i| i.key.strip_prefix(prefix)).collect();
         self.seen
-            .retain(|engine, seen| named.contains(engine.as_str()) || seen.revision > revision);
+            .retain(|engine, seen| listed.contains(engine.as_str()) || seen.revision > revision);
         let seen = &self.seen;
         self.stages.retain(|engine, _| seen.contains_key(engine));
     }
@@ -131,14 +133,14 @@
     }
 
     /// The engines that have had their order.
-    pub fn engines(&self) -> &BTreeMap<String, Stage> {
+    pub fn stages(&self) -> &BTreeMap<String, Stage> {
         &self.stages
     }
 
     /// Whether an order is so recent that an engine may be about to change its stage. Mostly none is, and requests need
     /// not look at each engine.
     pub fn may_change(&self, now: Time) -> bool {
-        self.latest.is_some_and(|at| now.since(at) < CHANGE)
+        self.latest.is_some_and(|at| now.since(at) < CHANGE_TIMEOUT)
     }
 
     /// Whether an engine is about to change its stage, and declines what is sent to it.
@@ -148,83 +150,83 @@
             .get(&entry.id)
             .is_some_and(|stage| *stage != entry.stage);
         let seen = self.seen.get(&entry.id);
-        differs && seen.is_some_and(|seen| now.since(seen.at) < CHANGE)
+        differs && seen.is_some_and(|seen| now.since(seen.at) < CHANGE_TIMEOUT)
     }
 }
 
 /// Looks at the plan again and again and gives the orders that it is this instance's turn to give.
 pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>) {
     let pool = Pool::new();
-    let mut tried: BTreeSet<String> = BTreeSet::new();
-    let mut due: BTreeMap<String, u32> = BTreeMap::new();
-    let mut steady = Steady::default();
+    let mut attempted: BTreeSet<String> = BTreeSet::new();
+    let mut due_checks: BTreeMap<String, u32> = BTreeMap::new();
+    let mut stability = StabilityCheck::default();
     let mut absences = AbsentEngines::new();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if shared.is_leaving() || !shared.view.load().is_configured() {
             continue;
         }
-        let is_steady = steady.is_steady(&shared);
-        let orders = planned(&shared, is_steady);
+        let is_stable = stability.is_stable(&shared);
+        let orders = planned_orders(&shared, is_stable);
         let planned: BTreeSet<&str> = orders.iter().map(|(_, o)| o.engine.as_str()).collect();
-        due.retain(|engine, _| planned.contains(engine.as_str()));
+        due_checks.retain(|engine, _| planned.contains(engine.as_str()));
         for (engine, order) in orders {
-            let looks = due.entry(order.engine.clone()).or_default();
-            *looks += 1;
+            let checks = due_checks.entry(order.engine.clone()).or_default();
+            *checks += 1;
             // The first of the live instances gives it, the next one a look later if it didn't.
-            if *looks <= shared.view.load().rank || tried.contains(&order.engine) {
+            if *checks <= shared.view.load().rank || attempted.contains(&order.engine) {
                 continue;
             }
-            tried.insert(order.engine.clone());
-            if !give(&shared, store.as_ref(), &pool, &engine, &order).await {
-                tried.remove(&order.engine);
+            attempted.insert(order.engine.clone());
+            if !issue(&shared, store.as_ref(), &pool, &engine, &order).await {
+                attempted.remove(&order.engine);
             }
         }
-        let gone = absent(&shared, &mut absences);
-        tried.retain(|engine| !gone.contains(engine));
+        let absent = absent_engines(&shared, &mut absences);
+        attempted.retain(|engine| !absent.contains(engine));
         if shared.view.load().rank == 0 {
-            forget(&shared, store.as_ref(), &gone).await;
+            remove_records(&shared, store.as_ref(), &absent).await;
         }
     }
 }
 
-/// Whether the engines have stayed the same for some looks.
+/// Whether the engines have stayed the same for some checks.
 ///
 /// Failure guarded against: a fleet starts, its engines register one by one, and the plan for the first few gives an
 /// engine the one order of its life that the whole fleet would not have given.
 #[derive(Debug, Default)]
-struct Steady {
-    known: Arc<BTreeMap<String, EngineKey>>,
-    looks: u32,
+struct StabilityCheck {
+    engines: Arc<BTreeMap<String, EngineKey>>,
+    checks: u32,
 }
 
-impl Steady {
-    fn is_steady(&mut self, shared: &Shared) -> bool {
+impl StabilityCheck {
+    fn is_stable(&mut self, shared: &Shared) -> bool {
         let view = shared.view.load();
-        if !view.keys().keys().eq(self.known.keys()) {
-            self.known = view.keys().clone();
-            self.looks = 0;
+        if !view.keys().keys().eq(self.engines.keys()) {
+            self.engines = view.keys().clone();
+            self.checks = 0;
         }
-        self.looks += 1;
-        self.looks > STEADY
+        self.checks += 1;
+        self.checks > STABLE_CHECKS
     }
 }
 
 /// The orders that are due. A service that was never split waits until its engines are steady; later an engine that
 /// comes is split at once.
-fn planned(shared: &Shared, is_steady: bool) -> Vec<(Engine, StageOrder)> {
+fn planned_orders(shared: &Shared, is_stable: bool) -> Vec<(Engine, StageOrder)> {
     let view = shared.view.load();
-    let ordered = view.ordered.engines();
-    let capacity = view.entrances.iter().map(|e| e.capacity).sum();
+    let ordered = view.orders.stages();
+    let capacity = view.endpoints.iter().map(|e| e.capacity).sum();
     let is_split = |engines: &[Engine]| engines.iter().any(|e| ordered.contains_key(&e.entry.id));
     let engines = view
         .engines()
         .values()
-        .filter(|engines| is_steady || is_split(engines));
+        .filter(|engines| is_stable || is_split(engines));
     let orders = engines.flat_map(|engines| {
-        let readers =
+        let fraction =
             limit_prefill_fraction(engines, ordered, shared.reloadable().prefill_fraction, capacity);
-        let orders = plan_orders(engines, ordered, readers);
+        let orders = plan_orders(engines, ordered, fraction);
         if orders.is_empty() {
             return Vec::new();
         }
@@ -239,19 +241,19 @@
 }
 
 /// Engines with a record that are gone for so long that nobody needs it.
-fn absent(shared: &Shared, absences: &mut AbsentEngines) -> Vec<String> {
+fn absent_engines(shared: &Shared, absences: &mut AbsentEngines) -> Vec<String> {
     let view = shared.view.load();
     let keys = view.keys();
-    let recorded = view.ordered.engines().keys().map(String::as_str);
-    let forget = shared.reloadable().retention;
-    absences.due(clock::now(), forget, recorded, |id| keys.contains_key(id))
+    let recorded = view.orders.stages().keys().map(String::as_str);
+    let retention = shared.reloadable().retention;
+    absences.due(clock::now(), retention, recorded, |id| keys.contains_key(id))
 }
 
 /// Removes the records of engines that are gone; the follower hears of it as of any change.
-async fn forget(shared: &Shared, store: &dyn Store, engines: &[String]) {
+async fn remove_records(shared: &Shared, store: &dyn Store, engines: &[String]) {
     let view = shared.view.load_full();
-    for engine in engines.iter().take(MAX_FORGOTTEN) {
-        let Some(revision) = view.ordered.revision(engine) else {
+    for engine in engines.iter().take(MAX_REMOVED) {
+        let Some(revision) = view.orders.revision(engine) else {
             continue;
         };
         let key = format!("{}{engine}", shared.translate.keys().orders);
@@ -274,13 +276,13 @@
 /// its way. The record is created once and never written again, and only its creator sends, once. If the answer of
 /// the store is lost, reading back tells whose record it is; if that is not known, nothing is sent.
 ///
-/// `false` if nothing was done and it may be tried again.
-async fn give(shared: &Shared, store: &dyn Store, pool: &Pool, engine: &Engine, order: &StageOrder) -> bool {
-    let record = Record {
+/// `false` if nothing was done and it may be attempted again.
+async fn issue(shared: &Shared, store: &dyn Store, pool: &Pool, engine: &Engine, order: &StageOrder) -> bool {
+    let record = OrderRecord {
         holder: format!("{}/{}", shared.options.name, uuid::Uuid::new_v4()),
-        reader: order.stage == Stage::Prefill,
+        prefill: order.stage == Stage::Prefill,
     };
-    let fence = match create(shared, store, &order.engine, &record).await {
+    let fence = match create_record(shared, store, &order.engine, &record).await {
         Ok(Some(fence)) => fence,
         Ok(None) => return true,
         Err(error) => {
@@ -290,7 +292,7 @@
     };
     log_event!(info, log_event::ORDER_SENT, engine = %order.engine, stage = ?order.stage, fence);
     let body = shared.translate.order(order.stage, &record.holder, fence);
-    match send(shared, pool, engine, body).await {
+    match post_order(shared, pool, engine, body).await {
         Ok(status) => log_event!(info, log_event::ORDER_CLOSED, engine = %order.engine, status),
         Err(error) => log_event!(warn, log_event::ORDER_UNANSWERED, engine = %order.engine, error),
     }
@@ -298,11 +300,11 @@
 }
 
 /// Creates the record; its revision is the fencing token. `None` if somebody else has created it.
-async fn create(
+async fn create_record(
     shared: &Shared,
     store: &dyn Store,
     engine: &str,
-    record: &Record,
+    record: &OrderRecord,
 ) -> Result<Option<u64>, StoreError> {
     let key = format!("{}{engine}", shared.translate.keys().orders);
     let value = serde_json::to_vec(record).map_err(|e| StoreError::Unreadable(e.to_string()))?;
@@ -322,15 +324,16 @@
         Err(StoreError::Unknown(_)) => {
             let page = store.range(&key, "").await?;
             let found = page.items.into_iter().find(|item| item.key == key);
-            let own = found
-                .filter(|item| serde_json::from_slice::<Record>(&item.value).ok().as_ref() == Some(record));
+            let own = found.filter(|item| {
+                serde_json::from_slice::<OrderRecord>(&item.value).ok().as_ref() == Some(record)
+            });
             Ok(own.map(|item| item.revision))
         }
         Err(error) => Err(error),
     }
 }
 
-async fn send(shared: &Shared, pool: &Pool, engine: &Engine, body: String) -> Result<u16, String> {
+async fn post_order(shared: &Shared, pool: &Pool, engine: &Engine, body: String) -> Result<u16, String> {
     let address = engine.entry.address;
     let request = Request::builder()
         .method(Method::POST)
@@ -343,6 +346,6 @@
         )
         .body(Full::new(Bytes::from(body)))
         .map_err(|e| e.to_string())?;
-    let answer = call(pool, address, request, MAX_ANSWER, ANSWER).await;
+    let answer = call(pool, address, request, MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
     answer.map(|a| a.status().as_u16()).map_err(|e| e.to_string())
 }
--- a/src/ops/relay/peers/counts.rs
+++ b/src/ops/relay/peers/counts.rs
@@ -87,11 +87,11 @@
         tallies.told.set(now);
         self.on_clock(now, &shared.options.name, clock::wall_micros());
         if let Some(lead) = tallies.truth.borrow_mut().offset(now) {
-            shared.on_truth(lead);
+            shared.on_true_offset(lead);
         }
         let current = Window::at(shared.true_micros(now), acts.window);
         let first = Window((current.0 + 1).saturating_sub(WINDOWS));
-        let tally = shared.ledger().tally.since(first);
+        let tally = shared.traffic().tally.since(first);
         if tally.is_empty() {
             return;
         }
@@ -112,7 +112,7 @@
     fn counters(&self) -> BTreeSet<SocketAddr> {
         let view = self.0.shared.view.load();
         let listed = self.0.listed.borrow();
-        let holder = view.lead.as_ref().and_then(|lead| Name::new(&lead.holder).ok());
+        let holder = view.leader.as_ref().and_then(|lead| Name::new(&lead.holder).ok());
         let holder = holder.and_then(|name| Some(listed.get(&name)?.listing.peer_address));
         let stand_by = self.0.tallies.stand_by.borrow();
         let all = holder.into_iter().chain(stand_by.iter().copied());
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -52,7 +52,7 @@
 pub use crate::ops::relay::peers::ask::Told;
 use crate::ops::relay::peers::counts::Tallies;
 use crate::ops::relay::peers::prove::Proofs;
-use crate::ops::relay::register::Listed;
+use crate::ops::relay::register::ListedInstance;
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
@@ -165,7 +165,7 @@
     shared: Arc<Shared>,
     socket: DatagramSocket,
     members: RefCell<MemberTable>,
-    listed: RefCell<BTreeMap<Name, Listed>>,
+    listed: RefCell<BTreeMap<Name, ListedInstance>>,
     quiet: Cell<bool>,
     turn: Cell<u32>,
     calls: CallClient,
@@ -270,7 +270,7 @@
 
 impl Fleet {
     /// Takes the list of instances in the store.
-    pub fn on_listed(&self, listings: Vec<Listed>) {
+    pub fn on_listed(&self, listings: Vec<ListedInstance>) {
         let listed = listings
             .into_iter()
             .map(|l| (l.listing.name.clone(), l))
@@ -280,7 +280,7 @@
     }
 
     /// Takes an instance that was added to the list, if it is one; [`Self::relist`] is to follow.
-    pub fn on_item(&self, listed: Option<Listed>) -> bool {
+    pub fn on_item(&self, listed: Option<ListedInstance>) -> bool {
         let Some(listed) = listed else {
             return false;
         };
@@ -406,8 +406,8 @@
                 ))
             })
             .collect();
-        let mut ledger = self.0.shared.ledger();
-        ledger.book.on_peer_report(now, name.as_str(), work);
+        let mut ledger = self.0.shared.traffic();
+        ledger.load.on_peer_report(now, name.as_str(), work);
         for note in digest.notes {
             ledger.suspects.on_note(now, note);
         }
@@ -415,7 +415,7 @@
         for read in digest.reads {
             // An engine that is not known here yet, or no more, gets no work from here.
             if let Some(engine) = view.hashes().get(&read.engine) {
-                ledger.book.cached_parts.on_prefill(now, *engine, read);
+                ledger.load.cached_parts.on_prefill(now, *engine, read);
             }
         }
     }
@@ -453,12 +453,12 @@
         self.0.turn.set(turn.wrapping_add(1));
         let (peers, turns) = self.load_recipients(now, turn);
         let (all, notes, reads) = {
-            let mut ledger = self.0.shared.ledger();
+            let mut ledger = self.0.shared.traffic();
             let reads = ledger
-                .book
+                .load
                 .cached_parts
                 .records_to_send(u32::try_from(turns).unwrap_or(u32::MAX));
-            (ledger.book.own_by_engine(), ledger.suspects.notes(now), reads)
+            (ledger.load.own_by_engine(), ledger.suspects.notes(now), reads)
         };
         let quiet = all.is_empty() && notes.is_empty() && reads.is_empty();
         if self.0.quiet.replace(quiet) && quiet && !load_message::is_quiet_turn(turn) {
--- a/src/ops/relay/peers/prove.rs
+++ b/src/ops/relay/peers/prove.rs
@@ -95,9 +95,9 @@
         let shared = &self.0.shared;
         let known = &self.0.known;
         if let Some(age) = known.age(now) {
-            shared.on_store(now - age);
+            shared.on_store_answer(now - age);
         }
-        let Some(limit) = shared.proof_limit() else {
+        let Some(limit) = shared.max_proof_age() else {
             return;
         };
         if let Some(age) = known.proof_age(now) {
--- a/src/ops/relay/peers/roster.rs
+++ b/src/ops/relay/peers/roster.rs
@@ -18,7 +18,7 @@
 use crate::log_event;
 use crate::ops::relay::peers::Fleet;
 use crate::ops::relay::peers::counts::STAND_BY;
-use crate::ops::relay::register::Listed;
+use crate::ops::relay::register::ListedInstance;
 use crate::util::clock;
 
 /// How long after its start an instance takes those that the store lists for present: by then it has heard of all that
@@ -44,9 +44,9 @@
             .map(|p| p.peer_address);
         self.note_stand_by(open.take(STAND_BY).collect());
         let view = self.0.shared.view.load();
-        if view.entrances != entrances || view.instances != instances || view.rank != rank {
+        if view.endpoints != entrances || view.instances != instances || view.rank != rank {
             self.0.shared.publish(|view| {
-                view.entrances = entrances;
+                view.endpoints = entrances;
                 view.instances = instances;
                 view.rank = rank;
             });
@@ -71,7 +71,7 @@
             capacity: options.capacity,
         });
         let now = clock::now();
-        let limit = self.0.shared.proof_limit();
+        let limit = self.0.shared.max_proof_age();
         let holds = |p: &&Peer| limit.is_none_or(|limit| self.0.proofs.holds(now, &p.name, limit));
         let open: Vec<&Peer> = roster.peers.iter().filter(|p| p.accepts_work()).collect();
         let proven: Vec<&Peer> = open.iter().copied().filter(holds).collect();
@@ -137,7 +137,7 @@
     }
 }
 
-fn candidate<'n>(listed: &BTreeMap<Name, Listed>, name: &'n Name, zone: &'n Name) -> Candidate<'n> {
+fn candidate<'n>(listed: &BTreeMap<Name, ListedInstance>, name: &'n Name, zone: &'n Name) -> Candidate<'n> {
     Candidate {
         zone: zone.as_str(),
         capacity: listed.get(name).map_or(0, |l| l.capacity),
--- a/src/ops/relay/pick.rs
+++ b/src/ops/relay/pick.rs
@@ -40,13 +40,13 @@
 impl Held {
     /// Notes that the prompt is read.
     pub fn read(&self) {
-        self.shared.ledger().book.finish_prefill(self.ticket);
+        self.shared.traffic().load.finish_prefill(self.ticket);
     }
 }
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.shared.ledger().book.finish(clock::now(), self.ticket);
+        self.shared.traffic().load.finish(clock::now(), self.ticket);
     }
 }
 
@@ -124,16 +124,16 @@
         let view = self.shared.view.load();
         let engines = view.engines().get(service)?;
         let now = clock::now();
-        let is_changing = |e: &Engine| view.ordered.is_changing(now, &e.entry);
+        let is_changing = |e: &Engine| view.orders.is_changing(now, &e.entry);
         // Seldom does any change its stage; only then is a copy made.
-        let any = view.ordered.may_change(now) && engines.iter().any(is_changing);
+        let any = view.orders.may_change(now) && engines.iter().any(is_changing);
         let staying: Cow<'_, [Engine]> = match any {
             true => engines.iter().filter(|e| !is_changing(e)).cloned().collect(),
             false => Cow::Borrowed(engines),
         };
-        let ledger = self.shared.ledger();
+        let ledger = self.shared.traffic();
         let chooser = EngineSelector {
-            loads: &ledger.book,
+            loads: &ledger.load,
             now,
             zone: zone.unwrap_or(self.shared.options.zone.as_str()),
             tried: &self.tried,
@@ -153,14 +153,18 @@
         let part = self.ask.prompt.as_ref().and_then(Prompt::shared);
         if let Some(part) = part {
             self.shared
-                .ledger()
-                .book
+                .traffic()
+                .load
                 .on_prefill_sent(clock::now(), reading, part.id);
         }
     }
 
     pub(super) fn hold(&self, engine: &Engine, reading: Duration) -> Held {
-        let ticket = self.shared.ledger().book.begin(clock::now(), engine.key, reading);
+        let ticket = self
+            .shared
+            .traffic()
+            .load
+            .begin(clock::now(), engine.key, reading);
         Held {
             shared: self.shared.clone(),
             ticket,
--- a/src/ops/relay/reading.rs
+++ b/src/ops/relay/reading.rs
@@ -138,9 +138,9 @@
         let begun = clock::now();
         let name = self.call_reader(reading, patience).await?;
         let now = clock::now();
-        let mut ledger = self.shared.ledger();
-        ledger.book.on_attempt_end(now, reading.engine.key, End::Answered);
-        ledger.book.on_prefill(now, reading, now.since(begun));
+        let mut ledger = self.shared.traffic();
+        ledger.load.on_attempt_end(now, reading.engine.key, End::Answered);
+        ledger.load.on_prefill(now, reading, now.since(begun));
         drop(ledger);
         self.read = Some(now);
         self.kept = Some(Kept {
--- a/src/ops/relay/register.rs
+++ b/src/ops/relay/register.rs
@@ -37,7 +37,7 @@
 const START_DELAY: Duration = Duration::from_millis(200);
 
 /// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(700);
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Maximum number of keys that are removed in one write.
 const MAX_REMOVED: usize = 16;
@@ -50,7 +50,7 @@
 
 /// What an instance says of itself in the store.
 #[derive(Debug, Serialize, Deserialize)]
-struct Card {
+struct InstanceRecord {
     zone: Name,
     front: SocketAddr,
     peer: SocketAddr,
@@ -61,7 +61,7 @@
 
 /// An instance that the store lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedInstance {
     /// Who and where it is.
     pub listing: Listing,
     /// What it can carry, in thousandths of a core.
@@ -81,7 +81,7 @@
         if self.stop.send(()).is_err() {
             return;
         }
-        let ended = tokio::time::timeout(PAUSE, self.ended).await;
+        let ended = tokio::time::timeout(RETRY_DELAY, self.ended).await;
         if ended.is_err() {
             log_event!(warn, log_event::KV_FAILED, call = "end registration");
         }
@@ -111,7 +111,7 @@
                 step = registrar.step() => step,
                 _ = &mut stopped => break,
             };
-            pause = if step.is_ok() { CHECK_INTERVAL } else { PAUSE };
+            pause = if step.is_ok() { CHECK_INTERVAL } else { RETRY_DELAY };
             if let Err(error) = step {
                 log_event!(debug, log_event::KV_FAILED, %error, call = "register");
             }
@@ -156,7 +156,7 @@
         let known = self.fleet.known();
         match (known.item(&self.key()), self.written_revision) {
             (Some(_), Some(_)) => false,
-            (Some(item), None) => item.value != self.card(),
+            (Some(item), None) => item.value != self.record(),
             // The known state may predate the write.
             (None, Some(written)) => known.revision() > written,
             (None, None) => true,
@@ -166,7 +166,7 @@
     async fn write(&mut self) -> Result<(), StoreError> {
         let put = Put {
             key: self.key(),
-            value: self.card(),
+            value: self.record(),
             lease: None,
         };
         let write = Write {
@@ -190,8 +190,8 @@
         let heard = self.fleet.heard_names();
         let is_present = |name: &str| name == self.shared.options.name.as_str() || heard.contains(name);
         let names = listed.keys().map(Name::as_str);
-        let forget = self.shared.reloadable().retention;
-        let silent = self.absences.due(clock::now(), forget, names, is_present);
+        let retention = self.shared.reloadable().retention;
+        let silent = self.absences.due(clock::now(), retention, names, is_present);
         if silent.is_empty() || heard.is_empty() {
             return Ok(());
         }
@@ -220,7 +220,7 @@
     async fn remove_own(self) -> Result<(), StoreError> {
         let item = self.fleet.known().item(&self.key());
         let known = item
-            .filter(|item| item.value == self.card())
+            .filter(|item| item.value == self.record())
             .map(|item| item.revision);
         let Some(revision) = known.max(self.written_revision) else {
             return Ok(());
@@ -238,16 +238,17 @@
         key(&self.shared, &options.zone, &options.name)
     }
 
-    fn card(&self) -> Bytes {
+    fn record(&self) -> Bytes {
         let options = &self.shared.options;
-        let card = Card {
+        let record = InstanceRecord {
             zone: options.zone.clone(),
             front: options.front,
             peer: options.peer,
             capacity: options.capacity,
         };
         Bytes::from(
-            serde_json::to_vec(&card).expect("a card of names, addresses and a number serializes to JSON"),
+            serde_json::to_vec(&record)
+                .expect("an instance record of names, addresses and a number serializes to JSON"),
         )
     }
 }
@@ -285,18 +286,18 @@
 }
 
 /// The instance that an item describes.
-pub fn listing(shared: &Shared, item: &Item) -> Option<Listed> {
+pub fn listing(shared: &Shared, item: &Item) -> Option<ListedInstance> {
     let name = name(shared, &item.key)?;
-    match serde_json::from_slice::<Card>(&item.value) {
-        Ok(card) => Some(Listed {
+    match serde_json::from_slice::<InstanceRecord>(&item.value) {
+        Ok(record) => Some(ListedInstance {
             listing: Listing {
                 name,
-                zone: card.zone,
-                address: card.front,
-                peer_address: card.peer,
+                zone: record.zone,
+                address: record.front,
+                peer_address: record.peer,
                 state: MemberState::Live,
             },
-            capacity: card.capacity,
+            capacity: record.capacity,
         }),
         Err(error) => {
             log_event!(warn, log_event::ENTRY_UNREADABLE, key = %item.key, revision = item.revision, %error);
@@ -306,6 +307,6 @@
 }
 
 /// The instances that items describe.
-pub fn listings(shared: &Shared, items: &[Item]) -> Vec<Listed> {
+pub fn listings(shared: &Shared, items: &[Item]) -> Vec<ListedInstance> {
     items.iter().filter_map(|item| listing(shared, item)).collect()
 }
--- a/src/ops/relay/scaling.rs
+++ b/src/ops/relay/scaling.rs
@@ -10,35 +10,35 @@
 use sequoiastream_core::relay::scale::target_counts;
 
 use crate::log_event;
-use crate::ops::relay::cloud::Cloud;
+use crate::ops::relay::cloud::CloudClient;
 use crate::ops::relay::cloud::CloudError;
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
 /// Time between two looks at the plan.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Orders engines while this instance acts for all.
-pub async fn run(shared: Arc<Shared>, cloud: Cloud) {
+pub async fn run(shared: Arc<Shared>, cloud: CloudClient) {
     let mut planner = Planner::default();
-    let mut noted = 0;
+    let mut logged_version = 0;
     loop {
-        tokio::time::sleep(LOOK).await;
-        if !cloud.is_held() {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if !cloud.is_leader() {
             planner = Planner::default();
             continue;
         }
-        note_held(&shared, &mut noted);
-        for order in due(&shared, &planner) {
-            give(&shared, &cloud, &mut planner, order).await;
+        log_held_services(&shared, &mut logged_version);
+        for order in due_orders(&shared, &planner) {
+            place_order(&shared, &cloud, &mut planner, order).await;
         }
     }
 }
 
 /// Says once for each version of the configuration of which services no engines are ordered though they may be.
-fn note_held(shared: &Shared, noted: &mut u64) {
+fn log_held_services(shared: &Shared, logged_version: &mut u64) {
     let table = shared.view.load().table.clone();
-    if std::mem::replace(noted, table.version) == table.version {
+    if std::mem::replace(logged_version, table.version) == table.version {
         return;
     }
     for service in table.services.values() {
@@ -52,7 +52,7 @@
     }
 }
 
-fn due(shared: &Shared, planner: &Planner) -> Vec<ScaleOrder> {
+fn due_orders(shared: &Shared, planner: &Planner) -> Vec<ScaleOrder> {
     let view = shared.view.load();
     let now = clock::now();
     let services = view.table.services.values();
@@ -66,7 +66,7 @@
     orders.flatten().collect()
 }
 
-async fn give(shared: &Shared, cloud: &Cloud, planner: &mut Planner, order: ScaleOrder) {
+async fn place_order(shared: &Shared, cloud: &CloudClient, planner: &mut Planner, order: ScaleOrder) {
     let body = shared.translate.scale(&order);
     let (zone, spot, count) = (order.group.zone.clone(), order.group.spot, order.count);
     match cloud.post(&shared.translate.paths().scale, body).await {
--- a/src/ops/relay/server.rs
+++ b/src/ops/relay/server.rs
@@ -145,7 +145,7 @@
 
 fn addresses(shared: &Shared, request: &HttpRequest) -> HttpResponse {
     let view = shared.view.load();
-    if view.entrances.is_empty() {
+    if view.endpoints.is_empty() {
         return HttpResponse::ServiceUnavailable().finish();
     }
     let Directory { zone, most } = &shared.translate.dialect().directory;
@@ -154,7 +154,7 @@
     let zone = query.as_ref().and_then(|query| query.get(zone));
     let caller = request.peer_addr().map(|address| address.ip().to_string());
     let caller = caller.unwrap_or_default();
-    let addresses = directory::choose(&view.entrances, zone.map(String::as_str), &caller, *most);
+    let addresses = directory::choose(&view.endpoints, zone.map(String::as_str), &caller, *most);
     let body = shared
         .translate
         .addresses(&addresses, shared.reloadable().address_ttl);
--- a/src/ops/relay/shared.rs
+++ b/src/ops/relay/shared.rs
@@ -27,7 +27,7 @@
 use crate::ops::relay::edge::Translate;
 use crate::ops::relay::options::Options;
 use crate::ops::relay::options::ReloadableOptions;
-use crate::ops::relay::orders::Ordered;
+use crate::ops::relay::orders::OrderRecords;
 use crate::util::clock;
 use crate::util::logging::SharedBudget;
 use crate::util::metrics::RelayMetrics;
@@ -46,15 +46,15 @@
     hashes: Arc<BTreeMap<u64, EngineKey>>,
     ids: Arc<BTreeMap<EngineKey, String>>,
     /// Where callers may go, this instance included.
-    pub entrances: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
     /// Engines that have had their order.
-    pub ordered: Arc<Ordered>,
+    pub orders: Arc<OrderRecords>,
     /// Place of this instance among the live ones, by name.
     pub rank: u32,
     /// Instances that share the budget of extra attempts.
     pub instances: usize,
     /// Who acts for all towards the platform's API.
-    pub lead: Option<LeaseRecord>,
+    pub leader: Option<LeaseRecord>,
 }
 
 impl View {
@@ -97,9 +97,9 @@
 
 /// Load, health and budget: changed by every request, under a lock that is never held across an await.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct TrafficState {
     /// Load and health of engines.
-    pub book: LoadTracker,
+    pub load: LoadTracker,
     /// Budget of extra attempts.
     pub budget: RetryBudget,
     /// Requests that crash engines.
@@ -125,8 +125,8 @@
     /// Up to when everything that happened in the store is known, by proof.
     proven: AtomicU64,
     /// How far true time is ahead of the monotonic clock, in microseconds; zero until it is known.
-    truth: AtomicU64,
-    ledger: Mutex<Ledger>,
+    true_offset: AtomicU64,
+    traffic: Mutex<TrafficState>,
     running: Arc<AtomicUsize>,
 }
 
@@ -143,8 +143,8 @@
 impl Shared {
     /// State before anything is known.
     pub fn new(options: Options, translate: Arc<dyn Translate>, budget: SharedBudget) -> Shared {
-        let ledger = Ledger {
-            book: LoadTracker::new(),
+        let traffic = TrafficState {
+            load: LoadTracker::new(),
             budget: RetryBudget::new(options.reloadable.budget_limits),
             suspects: Suspects::new(),
             tally: Tally::default(),
@@ -158,8 +158,8 @@
             leaving: OnceLock::new(),
             confirmed: AtomicU64::default(),
             proven: AtomicU64::default(),
-            truth: AtomicU64::default(),
-            ledger: Mutex::new(ledger),
+            true_offset: AtomicU64::default(),
+            traffic: Mutex::new(traffic),
             running: Arc::default(),
         }
     }
@@ -171,13 +171,13 @@
 
     /// Puts changed settings into force.
     pub fn reload(&self, options: ReloadableOptions) {
-        self.ledger().budget.set_limits(options.budget_limits);
+        self.traffic().budget.set_limits(options.budget_limits);
         self.reloadable.store(Arc::new(options));
     }
 
     /// Load, health and budget.
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        self.ledger
+    pub fn traffic(&self) -> MutexGuard<'_, TrafficState> {
+        self.traffic
             .lock()
             .expect("no thread panics while it holds the ledger")
     }
@@ -193,7 +193,7 @@
     }
 
     /// Notes that the store confirmed what is known of it.
-    pub fn on_store(&self, now: Time) {
+    pub fn on_store_answer(&self, now: Time) {
         self.confirmed.store(now.as_micros(), Ordering::Relaxed);
     }
 
@@ -214,43 +214,40 @@
             0 => Duration::MAX,
             micros => now.since(Time::from_micros(micros)),
         };
-        let heard = self.store_age(now);
-        StoreAges {
-            reported: heard,
-            proven,
-        }
+        let reported = self.store_age(now);
+        StoreAges { reported, proven }
     }
 
     /// Notes how far true time is ahead of the monotonic clock, in microseconds.
-    pub fn on_truth(&self, lead: u64) {
-        self.truth.store(lead, Ordering::Relaxed);
+    pub fn on_true_offset(&self, offset: u64) {
+        self.true_offset.store(offset, Ordering::Relaxed);
     }
 
     /// True time, in microseconds since the Unix epoch; the wall clock's until any peer was heard.
     pub fn true_micros(&self, now: Time) -> u64 {
-        match self.truth.load(Ordering::Relaxed) {
+        match self.true_offset.load(Ordering::Relaxed) {
             0 => clock::wall_micros(),
-            lead => now.as_micros().saturating_add(lead),
+            offset => now.as_micros().saturating_add(offset),
         }
     }
 
     /// Counts a request of a workspace that an engine began at `at`.
     pub fn on_begun(&self, at: Time, workspace: &str) {
-        if let Some(acts) = &self.options.leader {
-            let window = Window::at(self.true_micros(at), acts.window);
-            self.ledger().tally.on_begun(window, workspace);
+        if let Some(leader) = &self.options.leader {
+            let window = Window::at(self.true_micros(at), leader.window);
+            self.traffic().tally.on_begun(window, workspace);
         }
     }
 
     /// How old a proof of what is known of the store may be; `None` where callers have no keys.
-    pub fn proof_limit(&self) -> Option<Duration> {
+    pub fn max_proof_age(&self) -> Option<Duration> {
         self.view.load().table.workspaces.as_ref()?;
         self.reloadable().key_limits.max_proof_age()
     }
 
     /// Whether requests with keys may be let in.
     pub fn is_proven(&self, now: Time) -> bool {
-        self.proof_limit()
+        self.max_proof_age()
             .is_none_or(|limit| self.ages(now).proven <= limit)
     }
 
@@ -273,8 +270,8 @@
     ///
     /// Failure guarded against: a stream that is accepted late in a shutdown is cut when the process ends.
     pub fn is_closed(&self, now: Time) -> bool {
-        let kept = self.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
-        self.leaving.get().is_some_and(|at| now.since(*at) >= kept)
+        let max_kept = self.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
+        self.leaving.get().is_some_and(|at| now.since(*at) >= max_kept)
     }
 
     /// Counts a request as running.
--- a/src/ops/relay/usage.rs
+++ b/src/ops/relay/usage.rs
@@ -16,52 +16,58 @@
 use sequoiastream_kv::store::Write;
 
 use crate::log_event;
-use crate::ops::relay::cloud::Cloud;
+use crate::ops::relay::cloud::CloudClient;
 use crate::ops::relay::peers::Fleet;
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
 /// Time between two looks.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long after its end a window is decided on: all instances have told their counts by then, also if two messages of one
 /// were lost.
-const TOLD: Duration = Duration::from_millis(1_800);
+const DECISION_DELAY: Duration = Duration::from_millis(1_800);
 
 /// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(700);
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Reports that are kept for the platform while it does not take them.
-const MAX_OPEN: usize = 12;
+const MAX_OPEN_REPORTS: usize = 12;
 
 /// What is decided, and the revision of its record; zero if there is none.
 #[derive(Debug, Clone)]
-struct Known {
+struct ReportState {
     decided: DecidedReports,
     revision: u64,
     accepted: Vec<Window>,
 }
 
 /// Reports windows while this instance acts for all.
-pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>, fleet: Fleet, cloud: Cloud, length: Duration) {
+pub async fn run(
+    shared: Arc<Shared>,
+    store: Rc<dyn Store>,
+    fleet: Fleet,
+    cloud: CloudClient,
+    length: Duration,
+) {
     let mut reporter = Reporter {
         shared,
         store,
         fleet,
         cloud,
         length,
-        known: None,
+        state: None,
     };
     loop {
-        tokio::time::sleep(LOOK).await;
-        if !reporter.cloud.is_held() {
-            reporter.known = None;
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if !reporter.cloud.is_leader() {
+            reporter.state = None;
             continue;
         }
         if let Err(error) = reporter.step().await {
             log_event!(info, log_event::KV_FAILED, %error, call = "usage");
-            reporter.known = None;
-            tokio::time::sleep(PAUSE).await;
+            reporter.state = None;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
@@ -70,35 +76,35 @@
     shared: Arc<Shared>,
     store: Rc<dyn Store>,
     fleet: Fleet,
-    cloud: Cloud,
+    cloud: CloudClient,
     length: Duration,
-    known: Option<Known>,
+    state: Option<ReportState>,
 }
 
 impl Reporter {
     async fn step(&mut self) -> Result<(), StoreError> {
-        let mut known = match self.known.take() {
-            Some(known) => known,
+        let mut state = match self.state.take() {
+            Some(state) => state,
             None => self.read().await?,
         };
-        let (next, reports) = self.due(known.decided.next);
+        let (next, reports) = self.due(state.decided.next);
         match reports.is_empty() {
-            true => known.decided.next = next,
-            false => self.decide(&mut known, next, reports).await?,
+            true => state.decided.next = next,
+            false => self.decide(&mut state, next, reports).await?,
         }
-        self.send(&mut known).await;
-        self.known = Some(known);
+        self.send(&mut state).await;
+        self.state = Some(state);
         Ok(())
     }
 
     /// What earlier holders decided. Without any, the windows before the first count are nobody's.
-    async fn read(&self) -> Result<Known, StoreError> {
+    async fn read(&self) -> Result<ReportState, StoreError> {
         let key = &self.shared.translate.keys().usage;
         let page = self.store.range(key, "").await?;
         let item = page.items.into_iter().find(|item| item.key == *key);
         let Some(item) = item else {
             let decided = DecidedReports::starting_at(Window(0));
-            return Ok(Known {
+            return Ok(ReportState {
                 decided,
                 revision: 0,
                 accepted: Vec::new(),
@@ -106,7 +112,7 @@
         };
         let decided =
             serde_json::from_slice(&item.value).map_err(|e| StoreError::Unreadable(e.to_string()))?;
-        Ok(Known {
+        Ok(ReportState {
             decided,
             revision: item.revision,
             accepted: Vec::new(),
@@ -116,8 +122,8 @@
     /// The reports of the windows from `next` on that are over, and the first window that isn't.
     fn due(&self, next: Window) -> (Window, Vec<Report>) {
         let now = self.shared.true_micros(clock::now());
-        let told = u64::try_from(TOLD.as_micros()).unwrap_or(u64::MAX);
-        let current = Window::at(now.saturating_sub(told), self.length);
+        let delay = u64::try_from(DECISION_DELAY.as_micros()).unwrap_or(u64::MAX);
+        let current = Window::at(now.saturating_sub(delay), self.length);
         let Some(first) = self.fleet.first_counted() else {
             return (next, Vec::new());
         };
@@ -135,9 +141,16 @@
     }
 
     /// Writes what is to be reported, before any of it is sent.
-    async fn decide(&self, known: &mut Known, next: Window, reports: Vec<Report>) -> Result<(), StoreError> {
+    async fn decide(
+        &self,
+        state: &mut ReportState,
+        next: Window,
+        reports: Vec<Report>,
+    ) -> Result<(), StoreError> {
         let windows: Vec<u64> = reports.iter().map(|r| r.window.0).collect();
-        let decided = known.decided.advance(next, reports, &known.accepted, MAX_OPEN);
+        let decided = state
+            .decided
+            .advance(next, reports, &state.accepted, MAX_OPEN_REPORTS);
         let key = self.shared.translate.keys().usage.clone();
         let value = serde_json::to_vec(&decided).map_err(|e| StoreError::Unreadable(e.to_string()))?;
         let put = Put {
@@ -146,27 +159,27 @@
             lease: None,
         };
         let write = Write {
-            expect: vec![(key, known.revision)],
+            expect: vec![(key, state.revision)],
             puts: vec![put],
             removes: Vec::new(),
         };
         // After an answer that was lost all is read anew: what the store then holds is what was decided.
-        known.revision = self.store.write(write).await?;
-        known.decided = decided;
-        known.accepted.clear();
+        state.revision = self.store.write(write).await?;
+        state.decided = decided;
+        state.accepted.clear();
         log_event!(
             info,
             log_event::USAGE_DECIDED,
             ?windows,
-            revision = known.revision
+            revision = state.revision
         );
         Ok(())
     }
 
-    async fn send(&self, known: &mut Known) {
-        let open = known.decided.open.iter();
+    async fn send(&self, state: &mut ReportState) {
+        let open = state.decided.open.iter();
         let open: Vec<Report> = open
-            .filter(|r| !known.accepted.contains(&r.window))
+            .filter(|r| !state.accepted.contains(&r.window))
             .cloned()
             .collect();
         for report in open {
@@ -178,11 +191,11 @@
             {
                 Ok(()) => {
                     log_event!(info, log_event::USAGE_SENT, window);
-                    known.accepted.push(report.window);
+                    state.accepted.push(report.window);
                 }
                 Err(error) => {
                     log_event!(info, log_event::CLOUD_FAILED, %error, call = "usage", window);
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                     return;
                 }
             }
--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -66,7 +66,7 @@
         .expect("an address of its own");
     let fleet = peers::start(shared.clone(), sockets, StoreReplica::new());
     let store: Rc<dyn Store> = Rc::new(store.clone());
-    relay::act(&shared, &store, &fleet);
+    relay::start_leader_tasks(&shared, &store, &fleet);
     shared
 }
 
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -82,7 +82,7 @@
 
 fn addresses(shared: &Shared) -> Vec<SocketAddr> {
     let view = shared.view.load();
-    view.entrances.iter().map(|e| e.address).collect()
+    view.endpoints.iter().map(|e| e.address).collect()
 }
 
 fn version(shared: &Shared) -> u64 {
@@ -177,7 +177,7 @@
     until(|| engines(&shared) == ["e2", "e3"]).await;
     assert_eq!(version(&shared), 3);
     assert!(
-        shared.view.load().ordered.engines().contains_key("e2"),
+        shared.view.load().orders.stages().contains_key("e2"),
         "an order that can't be read was given"
     );
 }
@@ -224,7 +224,7 @@
     options.reloadable.retention = Duration::from_millis(100);
     let shared = start(options, &store).await;
     actix_web::rt::spawn(orders::run(shared.clone(), Rc::new(store.clone())));
-    let recorded = || -> Vec<String> { shared.view.load().ordered.engines().keys().cloned().collect() };
+    let recorded = || -> Vec<String> { shared.view.load().orders.stages().keys().cloned().collect() };
     until(|| recorded() == ["e1", "gone"]).await;
     until(|| recorded() == ["e1"]).await;
     assert!(store.has("orders/e1") && !store.has("orders/gone"));
@@ -475,8 +475,8 @@
     // With work they tell of it, and of what they know of the store, forty times a second.
     for watcher in [&first, &second] {
         watcher
-            .ledger()
-            .book
+            .traffic()
+            .load
             .begin(clock::now(), EngineKey(0), Duration::ZERO);
     }
     let begun = clock::now();
--- a/tests/testsuite/relay/keys.rs
+++ b/tests/testsuite/relay/keys.rs
@@ -43,7 +43,7 @@
         let table = RoutingTable::clone(&view.table);
         view.table = Arc::new(table.with_workspaces(Some(workspaces)));
     });
-    instance.shared.on_store(clock::now());
+    instance.shared.on_store_answer(clock::now());
     instance.shared.on_proof(clock::now());
     instance
 }
@@ -101,7 +101,7 @@
     let table = known.shared.view.load().table.clone();
     instance.shared.reload((*known.shared.reloadable()).clone());
     instance.shared.publish(|view| view.table = table);
-    instance.shared.on_store(clock::now());
+    instance.shared.on_store_answer(clock::now());
     for key in ["k1", "k9"] {
         let got = instance.get("/r/", "q", &format!("x-key: {key}\r\n")).await;
         assert_eq!(status(&got), "503", "{key}");
--- a/tests/testsuite/relay/orders.rs
+++ b/tests/testsuite/relay/orders.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use sequoiastream::ops::relay::orders;
-use sequoiastream::ops::relay::orders::Ordered;
+use sequoiastream::ops::relay::orders::OrderRecords;
 use sequoiastream::ops::relay::shared::Shared;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
@@ -173,16 +173,16 @@
 #[test]
 fn records_as_of_revision() {
     let translate = TestDialect::new();
-    let mut ordered = Ordered::default();
+    let mut ordered = OrderRecords::default();
     ordered.on_item(Time::ZERO, &translate, &record("e1", 7));
     ordered.on_item(Time::ZERO, &translate, &record("e2", 9));
-    ordered.on_all(Time::ZERO, &translate, 8, &[record("e1", 7)]);
+    ordered.on_snapshot(Time::ZERO, &translate, 8, &[record("e1", 7)]);
     assert_eq!(
         (ordered.revision("e1"), ordered.revision("e2")),
         (Some(7), Some(9))
     );
     ordered.on_item(Time::ZERO, &translate, &record("e1", 12));
-    ordered.on_all(Time::ZERO, &translate, 12, &[record("e1", 12)]);
+    ordered.on_snapshot(Time::ZERO, &translate, 12, &[record("e1", 12)]);
     assert_eq!((ordered.revision("e1"), ordered.revision("e2")), (Some(12), None));
-    assert_eq!(ordered.engines().len(), 1);
+    assert_eq!(ordered.stages().len(), 1);
 }
--- a/tests/testsuite/relay/requests.rs
+++ b/tests/testsuite/relay/requests.rs
@@ -176,7 +176,7 @@
     };
     instance
         .shared
-        .publish(|view| view.entrances = vec![entrance(front, "a")]);
+        .publish(|view| view.endpoints = vec![entrance(front, "a")]);
     let got = ask(&instance, "addresses").await;
     assert!(got.ends_with(&format!("[{front}] 50")), "{got}");
     // Of more than a caller takes, those of its zone.
@@ -185,7 +185,7 @@
         entrance(SocketAddr::from(([127, 0, 0, 1], port)), zone)
     });
     let many: Vec<Endpoint> = many.collect();
-    instance.shared.publish(|view| view.entrances = many);
+    instance.shared.publish(|view| view.endpoints = many);
     let got = ask(&instance, "addresses&zone=b").await;
     assert!(
         got.ends_with("[127.0.0.1:1, 127.0.0.1:3, 127.0.0.1:5, 127.0.0.1:7] 50"),
