--- a/src/ops/relay/cloud.rs
+++ b/src/ops/relay/cloud.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's API that one instance makes for all.
+//! Calls to the cloud API, which the leader makes for all instances.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,30 +17,30 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// How long a new connection is waited for.
+/// Timeout of a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an answer is waited for: the API may be slow by much.
+/// Timeout of an answer: the API may be very slow.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Longest answer, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Why a call brought nothing.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CloudError {
-    /// This instance does not act for all, or not for long enough any more.
-    #[error("another instance acts")]
+    /// This instance is not the leader, or its lease ends too soon for a call.
+    #[error("this instance does not hold the lease of the leader")]
     NotLeader,
-    /// It may have arrived.
+    /// The call may have arrived.
     #[error("no answer: {0}")]
     Unanswered(String),
-    /// It was refused.
-    #[error("refused with {0}")]
+    /// The API refused the call with this status.
+    #[error("refused with status {0}")]
     Refused(u16),
 }
 
-/// The platform's API.
+/// A client of the cloud API.
 #[derive(Clone)]
 pub struct CloudClient {
     shared: Arc<Shared>,
@@ -49,7 +49,7 @@
 }
 
 impl CloudClient {
-    /// The API at `address`.
+    /// Creates a client of the API at `address`.
     pub fn new(shared: Arc<Shared>, address: SocketAddr, leadership: Leadership) -> CloudClient {
         CloudClient {
             shared,
@@ -58,19 +58,20 @@
         }
     }
 
-    /// Whether this instance acts now.
+    /// Whether this instance is the leader now.
     pub fn is_leader(&self) -> bool {
         self.leadership.fence(clock::now()).is_some()
     }
 
     /// Makes a call, once.
     ///
-    /// Failure guarded against: a call waits for a connection, the lease ends meanwhile, and it arrives after the next
-    /// holder's. Whether it may leave is asked when the connection is there, and each call has a connection of its own.
+    /// Guards against a call that waits for a connection while the lease ends, and arrives after the calls of the next
+    /// leader. Whether the call may be sent is checked once the connection is open, and each call has a connection of
+    /// its own.
     ///
     /// # Errors
     ///
-    /// [`CloudError`] says whether it may have arrived.
+    /// [`CloudError`] tells whether the call may have arrived.
     pub async fn post(&self, path: &str, body: String) -> Result<(), CloudError> {
         let unanswered = |e: &dyn std::fmt::Display| CloudError::Unanswered(e.to_string());
         if !self.is_leader() {
--- a/src/ops/relay/gauges.rs
+++ b/src/ops/relay/gauges.rs
@@ -1,4 +1,4 @@
-//! What the page of metrics shows of the moment at which it is read.
+//! Sets the gauges on the page of metrics to their values at the time of the request.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// The page of metrics.
+/// Returns the page of metrics.
 pub fn page(shared: &Shared) -> String {
     let now = clock::now();
     let view = shared.view.load();
--- a/src/ops/relay/known.rs
+++ b/src/ops/relay/known.rs
@@ -1,8 +1,9 @@
-//! What this instance knows of the store, kept for peers that don't ask it themselves.
+//! A local replica of the store, from which this instance also answers peers that don't watch the store themselves.
 //!
-//! Failures guarded against: hundreds of instances ask the store for each change; the store turns some instances away and
-//! serves the others, and those that are turned away would send work to engines that have left, by routes that are no
-//! longer in force. They ask a peer that is further ahead instead; it answers with what they lack.
+//! Guards against the following failure: hundreds of instances query the store for each change; the store rejects some
+//! of them and serves the others, and those that are rejected would send requests to engines that are gone, by routes
+//! that are no longer in force. Instead, such instances ask a peer with a higher revision, which sends them the changes
+//! that they lack.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -27,12 +28,13 @@
 
 use crate::ops::relay::edge::Keys;
 
-/// Removals that are kept for peers that lag; beyond, they are told everything.
+/// Number of removals that are kept for peers that lag; peers that lag further read all items.
 const MAX_REMOVED: usize = 1_024;
 
-/// Largest value that is told with the news, in bytes. The link of a small instance takes a second for a configuration of
-/// a megabyte, and some of its neighbours ask for it at once; the store's is a hundred times as wide. A configuration with
-/// the keys of a hundred workspaces is message.
+/// Maximum size of a value that is sent with the changes, in bytes; of larger ones, peers are sent only the key and the
+/// revision. The link of a small instance takes a second for a configuration of one megabyte, and several of its
+/// neighbours ask for it at once; the link of the store is a hundred times as wide. A configuration with the keys of a
+/// hundred workspaces is small enough to be sent.
 const MAX_INLINE_BYTES: usize = 48 * 1024;
 
 /// Maximum size of a page, in bytes of keys and values: a small instance sends it in a fifth of a second.
@@ -46,51 +48,51 @@
     revisions: BTreeSet<(u64, String)>,
     /// Removals, by revision.
     removed: BTreeSet<(u64, String)>,
-    /// All removals after this revision are known.
+    /// All removals after this revision are kept.
     compact_revision: u64,
 }
 
-/// What is known; cheap to clone, stays on one thread.
+/// A replica of the items of the store that all instances share. Cheap to clone; stays on one thread.
 #[derive(Debug, Clone, Default)]
 pub struct StoreReplica(Rc<RefCell<State>>);
 
 impl StoreReplica {
-    /// Nothing.
+    /// An empty replica.
     pub fn new() -> StoreReplica {
         StoreReplica::default()
     }
 
-    /// Up to which revision.
+    /// The revision up to which all changes were read.
     pub fn revision(&self) -> u64 {
         self.0.borrow().sync.revision()
     }
 
-    /// Whether to watch the store or to listen to the peers.
+    /// Whether to watch the store or to rely on peers, see [`SyncState::watch_action`].
     pub fn watch_action(&self, rank: FleetRank, limit: watchers::ApplyLimit, now: Time) -> WatchAction {
         self.0.borrow().sync.watch_action(rank, limit, now)
     }
 
-    /// What the peers are told of it.
+    /// The status to send to peers, see [`SyncState::sync_status`].
     pub fn sync_status(&self, now: Time) -> Option<SyncStatus> {
         self.0.borrow().sync.sync_status(now)
     }
 
-    /// When the store last confirmed it.
+    /// Time since the last confirmation that the replica is up to date; `None` if the store never gave one.
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.0.borrow().sync.age(now)
     }
 
-    /// Takes the word of a peer; whether the peer knows more.
+    /// Handles a status sent by a peer. Returns whether the peer has a higher revision.
     pub fn on_peer_status(&self, now: Time, status: SyncStatus) -> bool {
         self.0.borrow_mut().sync.on_peer_status(now, status)
     }
 
-    /// Notes that this instance runs.
+    /// Notes that this instance runs, see [`SyncState::on_tick`].
     pub fn on_tick(&self, now: Time) {
         self.0.borrow_mut().sync.on_tick(now);
     }
 
-    /// Takes all items as of `revision`, unless more is known already.
+    /// Replaces the replica by all `items` of the store as of `revision`, unless it has a higher revision already.
     pub fn on_snapshot(&self, keys: &Keys, revision: u64, items: &[Item]) {
         let mut state = self.0.borrow_mut();
         if revision < state.sync.revision() {
@@ -107,7 +109,7 @@
         if state.sync.revision() == 0 {
             state.compact_revision = revision;
         }
-        // What is no longer there went since the last answer: peers that lag are told just that.
+        // Items that are missing were removed since the previous snapshot: peers that lag are sent just these removals.
         let removed: Vec<String> = before
             .into_keys()
             .filter(|key| !state.items.contains_key(key))
@@ -115,7 +117,7 @@
         removed.iter().for_each(|key| state.remove(key, revision));
     }
 
-    /// Takes a change.
+    /// Applies a change.
     pub fn on_change(&self, keys: &Keys, change: &Change) {
         let mut state = self.0.borrow_mut();
         match change {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Notes that the store's answer was taken in, see [`SyncState::on_store_answer`].
+    /// Notes that an answer of the store was applied, see [`SyncState::on_store_answer`].
     pub fn on_store_answer(&self, now: Time, sent: Time, wait: Duration, revision: u64) {
         self.0
             .borrow_mut()
@@ -136,47 +138,49 @@
             .on_store_answer(now, sent, wait, revision);
     }
 
-    /// Notes what an answer of the store, or a watch that ended quietly, proves.
+    /// Notes that an answer of the store, or a watch that ended without a change, proves that all changes up to `until`
+    /// are known.
     pub fn on_proof(&self, until: Time) {
         self.0.borrow_mut().sync.on_proof(until);
     }
 
-    /// Takes what a peer answered to a question that left at `asked`; whether the peer knows more.
+    /// Handles a peer's answer to a request for a proof sent at `asked`. Returns whether the peer has a higher
+    /// revision.
     pub fn on_peer_proof(&self, asked: Time, status: SyncStatus) -> bool {
         self.0.borrow_mut().sync.on_peer_proof(asked, status)
     }
 
-    /// How long ago everything is known up to, by proof.
+    /// Time since the last proof that all changes were read; `None` without one.
     pub fn proof_age(&self, now: Time) -> Option<Duration> {
         self.0.borrow().sync.proof_age(now)
     }
 
-    /// What a peer that asks for a proof is answered.
+    /// The answer to a peer that asks for a proof.
     pub fn proof_status(&self, now: Time) -> Option<SyncStatus> {
         self.0.borrow().sync.proof_status(now)
     }
 
-    /// Whom to ask for a newer proof.
+    /// Peers to ask for a newer proof, if a proof may be `limit` old.
     pub fn proof_peers(&self, limit: Duration, now: Time) -> ProofPeers {
         self.0.borrow().sync.proof_peers(limit, now)
     }
 
-    /// When to ask the store itself for a proof.
+    /// When to ask the store itself for a proof, if a proof may be `limit` old and peers have given none in time.
     pub fn store_proof_due(&self, rank: FleetRank, limit: Duration) -> Time {
         self.0.borrow().sync.store_proof_due(rank, limit)
     }
 
-    /// Notes that what a peer had was taken in.
+    /// Notes that the changes of a peer were applied: everything up to its status.
     pub fn on_peer_changes(&self, now: Time, status: SyncStatus) {
         self.0.borrow_mut().sync.on_peer_changes(now, status);
     }
 
-    /// The item under a key, if it is known.
+    /// The item with this key, if there is one.
     pub fn item(&self, key: &str) -> Option<Item> {
         self.0.borrow().items.get(key).cloned()
     }
 
-    /// The page of items that follow the key `after`, for a peer that asks.
+    /// Returns the page of items that follow the key `after`, for a peer that reads all items.
     ///
     /// Guards against an answer that exceeds the frame limit, as with ten thousand engines, so that a starting peer
     /// gets nothing.
@@ -205,7 +209,8 @@
         }
     }
 
-    /// What happened after a revision, for a peer that knows the store up to there; `None` if that is no longer known.
+    /// Returns the changes after `revision`, for a peer that has read the store up to there; `None` if older removals
+    /// than those kept are needed.
     pub fn changes_since(&self, now: Time, revision: u64) -> Option<StoreNews> {
         let state = self.0.borrow();
         if revision < state.compact_revision {
@@ -236,7 +241,8 @@
     }
 }
 
-/// The last revision that fits into one answer, or `None` if all of `changed` fits. `changed` must be sorted by revision.
+/// Returns the last revision whose changes fit into one answer, or `None` if all of `changed` fit. `changed` must be
+/// sorted by revision.
 fn truncation_revision(changed: &[&Item]) -> Option<u64> {
     let mut remaining = MAX_PAGE_BYTES;
     for pair in changed.windows(2) {
@@ -249,7 +255,8 @@
 }
 
 impl State {
-    /// The age as messages carry it; the longest if the store never confirmed anything.
+    /// Time since the last confirmation, as carried in messages: in milliseconds; `u32::MAX` if the store never gave
+    /// one.
     fn age(&self, now: Time) -> u32 {
         self.sync
             .sync_status(now)
@@ -286,7 +293,7 @@
     }
 }
 
-/// The item that a peer told of.
+/// Converts an item that a peer sent.
 pub fn from_message(message: StoreItem) -> Item {
     Item {
         key: message.key,
--- a/src/ops/relay/lead.rs
+++ b/src/ops/relay/lead.rs
@@ -1,4 +1,5 @@
-//! Holding the lease under which one instance acts for all, as [`sequoiastream_core::relay::leader_lease`] decides.
+//! Acquires and keeps the lease of the leader, the one instance that acts for all, as
+//! [`sequoiastream_core::relay::leader_lease`] decides.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,22 +27,22 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two looks.
+/// Time between two checks of the lease.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the holder's record says.
+/// A holder's record as stored, in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct HolderRecord {
     holder: String,
     process: String,
 }
 
-/// The record of a holder in the store, if the item is one.
+/// Parses the holder's record; `None` if the item has another key.
 pub fn record(translate: &dyn Translate, item: &Item) -> Option<LeaseRecord> {
     if item.key != translate.keys().lead {
         return None;
     }
-    // One that can't be read is somebody's all the same.
+    // A record that can't be read still means that some instance holds the lease.
     let record = serde_json::from_slice::<HolderRecord>(&item.value).unwrap_or_else(|error| {
         log_event!(warn, log_event::ENTRY_UNREADABLE, key = %item.key, revision = item.revision, %error);
         HolderRecord {
@@ -63,18 +64,18 @@
     process: String,
 }
 
-/// Whether this instance acts for all; cheap to clone, stays on one thread.
+/// Whether this instance is the leader. Cheap to clone; stays on one thread.
 #[derive(Debug, Clone)]
 pub struct Leadership(Rc<State>);
 
 impl Leadership {
-    /// The fencing token of a call that leaves now; `None` if none may leave.
+    /// The fencing token for a call that is sent now; `None` if none may be sent.
     pub fn fence(&self, now: Time) -> Option<u64> {
         self.0.lease.borrow().fence(now)
     }
 }
 
-/// Competes for leases of the time `lease`, and keeps one that it got.
+/// Starts to compete for the lease, with the length `lease`, and to renew it once it is acquired.
 pub fn start(shared: Arc<Shared>, store: Rc<dyn Store>, lease: Duration) -> Leadership {
     let leadership = Leadership(Rc::new(State {
         lease: RefCell::new(LeaderLease::new(lease)),
@@ -126,8 +127,9 @@
         }
     }
 
-    /// Creates the record under a new lease; `None` if somebody else has. One whose answer was lost counts only if reading
-    /// back shows it: it may still come, and ends with its lease.
+    /// Creates the record under a new lease. Returns the lease and the fencing token, or `None` if another instance has
+    /// a record. If the answer to the write is lost, the record counts only if reading it back shows it: otherwise the
+    /// write may still be applied later, and the record then expires with its lease.
     async fn create(&self, shared: &Shared, store: &dyn Store) -> Result<Option<(LeaseId, u64)>, StoreError> {
         let length = self.0.lease.borrow().lease();
         let lease = store.grant(length).await?;
@@ -172,7 +174,7 @@
             Ok(()) => self.0.lease.borrow_mut().on_renewed(sent),
             Err(StoreError::LeaseEnded) => self.on_lost(),
             Err(error) => {
-                log_event!(info, log_event::KV_FAILED, %error, call = "renew the lead");
+                log_event!(info, log_event::KV_FAILED, %error, call = "renew the lease of the leader");
                 self.0.lease.borrow_mut().on_failure(clock::now());
             }
         }
@@ -184,7 +186,7 @@
         log_event!(info, log_event::LEAD_LOST);
     }
 
-    /// Gives the lease back; nothing is called under it any more.
+    /// Revokes the lease; no call is made under it any more.
     async fn resign(&self, store: &dyn Store) {
         let Some(lease) = self.0.lease_id.borrow_mut().take() else {
             return;
--- a/src/ops/relay/mod.rs
+++ b/src/ops/relay/mod.rs
@@ -1,13 +1,14 @@
-//! Forwarding requests unchanged between callers and upstreams that both speak somebody else's protocol.
+//! Forwards requests unchanged between callers and upstreams that both speak a protocol defined elsewhere.
 //!
-//! [`edge`] is where that protocol comes in: names of headers, and the decoding of what the store and the engines
-//! hold. Control state lives on the thread that runs [`run`]: [`follow`] keeps up with the configuration and the
-//! engines, [`orders`] gives engines their stage, [`register`] makes this instance known, [`peers`] tells the others
-//! about load; `counted` counts what they ask of the store. [`lead`] holds the lease under which one instance acts for all
-//! through `cloud`: `usage` reports, `scaling` orders engines. They publish a view that the traffic thread reads:
-//! [`server`] takes requests, `head` reads what they ask, [`forward`] makes the attempts, `pick` chooses engines,
-//! `reading` has prompts read, [`stream`] passes events on, `idle` closes connections that nobody needs. `gauges` fills
-//! the page of metrics.
+//! [`edge`] is the interface to that protocol: the names of headers, and the decoding of what the store and the engines
+//! send. Control state lives on the thread that runs [`run`]: [`follow`] keeps up with the configuration and the
+//! engines, [`orders`] orders engines to a stage, [`register`] registers this instance in the store, [`peers`]
+//! exchanges load and status with the other instances; `counted` counts the calls to the store. [`lead`] holds the
+//! lease of the leader, the one instance that calls the cloud API for all through `cloud`: `usage` reports the usage,
+//! `scaling` orders engines. These tasks publish a view that the traffic thread reads: [`server`] accepts requests,
+//! `head` parses their heads, [`forward`] makes the attempts, `pick` chooses engines, `reading` has prefills computed,
+//! [`stream`] passes events on, `idle` closes connections that are no longer used. `gauges` sets the gauges on the page
+//! of metrics.
 
 mod cloud;
 mod counted;
@@ -56,10 +57,10 @@
 use crate::util::clock;
 use crate::util::logging::SharedBudget;
 
-/// How often a shutdown looks whether the last request is answered.
+/// Time between two checks during a shutdown of whether the last request is answered.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time at the end of the grace period that is left for the process itself to end.
+/// Time that is left at the end of the grace period for the process to exit.
 const EXIT_TIME: Duration = Duration::from_millis(500);
 
 /// Runs an instance until SIGTERM or SIGINT, then shuts down gracefully.
@@ -79,10 +80,10 @@
     let hangup = signal(SignalKind::hangup())?;
     let shared = Arc::new(Shared::new(options, translate, budget));
     let store: Rc<dyn Store> = Rc::new(Counted::new(store, shared.clone()));
-    let server = server::start(shared.clone()).wrap_err("could not serve")?;
+    let server = server::start(shared.clone()).wrap_err("could not start the server")?;
     let sockets = peers::Sockets::bind(&shared)
         .await
-        .wrap_err("could not open the peers' sockets")?;
+        .wrap_err("could not bind the sockets for peers")?;
     let known = StoreReplica::new();
     let fleet = peers::start(shared.clone(), sockets, known.clone());
     actix_rt::spawn(follow::run(shared.clone(), store.clone(), fleet.clone(), known));
@@ -105,7 +106,7 @@
     Ok(())
 }
 
-/// Starts what one instance does for all, as the settings say.
+/// Starts the tasks that the leader performs for all instances, as far as the settings enable any.
 pub fn start_leader_tasks(shared: &Arc<Shared>, store: &Rc<dyn Store>, fleet: &peers::Fleet) {
     let Some(options) = shared
         .options
@@ -126,8 +127,8 @@
     }
 }
 
-/// Reads the settings anew at each SIGHUP. Without this the signal would end the process. Settings that can't be read
-/// change nothing; names and addresses change with the next start only.
+/// Reads the settings again at each SIGHUP, which would end the process if it weren't handled. Settings that can't be
+/// read change nothing; names and addresses change only with the next start.
 async fn reload_on_hangup(mut hangup: Signal, shared: Arc<Shared>, reload: Reload) {
     while hangup.recv().await.is_some() {
         match reload() {
@@ -141,7 +142,8 @@
     }
 }
 
-/// Serves on for as long as callers may keep this address, then until the last answer is out or the grace ends.
+/// Continues to serve for as long as callers may use a cached address, then until the last request is answered or the
+/// grace period ends.
 async fn drain(shared: &Shared) {
     let started = clock::now();
     let min_time = shared.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
--- a/src/ops/relay/orders.rs
+++ b/src/ops/relay/orders.rs
@@ -1,4 +1,4 @@
-//! Giving engines their one order, as [`sequoiastream_core::relay::stages`] plans.
+//! Gives each engine its only order to change its stage, as [`sequoiastream_core::relay::stages`] plans.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -37,26 +37,26 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two checks at the plan.
+/// Time between two checks of the plan.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest time for which an engine is left alone after its order: the longest answers take some seconds, the change
-/// three. An order that is carried out later still shows by the engine's declining.
+/// Maximum time after its order for which an engine gets no requests: the longest answers take a few seconds, and the
+/// change takes three. If an order is carried out later than that, the engine still shows it by declining requests.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Looks for which the engines must have stayed the same before any gets an order.
+/// Number of checks for which the engines must have stayed the same before any of them gets an order.
 const STABLE_CHECKS: u32 = 3;
 
-/// How long an engine's answer to an order is waited for.
+/// Timeout of the answer of an engine to an order.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Records removed in one look: the store takes few writes a second.
+/// Maximum number of records that are removed in one check: the store takes few writes a second.
 const MAX_REMOVED: usize = 4;
 
-/// Longest answer to an order, in bytes.
+/// Maximum size of an answer to an order, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Who gives an engine its order, and which.
+/// The record of an order, as stored in JSON: which instance gives it, and which stage it names.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct OrderRecord {
     holder: String,
@@ -65,14 +65,14 @@
     prefill: bool,
 }
 
-/// When the record of an order was first seen, and at which revision of the store.
+/// When the record of an order was first seen, and its latest revision.
 #[derive(Debug, Clone, Copy)]
 struct Seen {
     at: Time,
     revision: u64,
 }
 
-/// The records of orders, as the store shows them.
+/// The records of orders, as read from the store.
 #[derive(Debug, Clone, Default)]
 pub struct OrderRecords {
     stages: BTreeMap<String, Stage>,
@@ -82,8 +82,8 @@
 }
 
 impl OrderRecords {
-    /// Takes an item of the store; whether it is the record of an order. One that can't be read counts as an order too,
-    /// so that no second is given.
+    /// Handles an item of the store. Returns whether it is the record of an order. A record that can't be read counts
+    /// as an order too, so that the engine doesn't get a second one.
     pub fn on_item(&mut self, now: Time, translate: &dyn Translate, item: &Item) -> bool {
         let Some(id) = item.key.strip_prefix(translate.keys().orders.as_str()) else {
             return false;
@@ -105,7 +105,8 @@
         true
     }
 
-    /// Takes all that the store held as of `revision`: records that it doesn't name are dropped, but later ones stay.
+    /// Handles all items of the store as of `revision`: records that are not among them are dropped, except those with
+    /// a later revision.
     pub fn on_snapshot(&mut self, now: Time, translate: &dyn Translate, revision: u64, items: &[Item]) {
         for item in items {
             self.on_item(now, translate, item);
@@ -123,7 +124,7 @@
         self.seen.get(engine).map(|seen| seen.revision)
     }
 
-    /// Takes the removal of a key; whether a record was dropped.
+    /// Handles the removal of a key. Returns whether a record was dropped.
     pub fn on_removed(&mut self, translate: &dyn Translate, key: &str) -> bool {
         let Some(engine) = key.strip_prefix(translate.keys().orders.as_str()) else {
             return false;
@@ -132,18 +133,18 @@
         self.stages.remove(engine).is_some()
     }
 
-    /// The engines that have had their order.
+    /// The stages that engines were ordered to change to, by the id of the engine.
     pub fn stages(&self) -> &BTreeMap<String, Stage> {
         &self.stages
     }
 
-    /// Whether an order is so recent that an engine may be about to change its stage. Mostly none is, and requests need
-    /// not look at each engine.
+    /// Whether an order is so recent that an engine may be about to change its stage. In most cases there is none, and
+    /// requests needn't check each engine.
     pub fn may_change(&self, now: Time) -> bool {
         self.latest.is_some_and(|at| now.since(at) < CHANGE_TIMEOUT)
     }
 
-    /// Whether an engine is about to change its stage, and declines what is sent to it.
+    /// Whether an engine is about to change its stage and therefore declines requests.
     pub fn is_changing(&self, now: Time, entry: &Entry) -> bool {
         let differs = self
             .stages
@@ -154,7 +155,7 @@
     }
 }
 
-/// Looks at the plan again and again and gives the orders that it is this instance's turn to give.
+/// Checks the plan periodically and gives the orders that are for this instance to give.
 pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>) {
     let pool = Pool::new();
     let mut attempted: BTreeSet<String> = BTreeSet::new();
@@ -173,7 +174,7 @@
         for (engine, order) in orders {
             let checks = due_checks.entry(order.engine.clone()).or_default();
             *checks += 1;
-            // The first of the live instances gives it, the next one a look later if it didn't.
+            // The live instance that ranks first gives the order; if it did not, the next one does so a check later.
             if *checks <= shared.view.load().rank || attempted.contains(&order.engine) {
                 continue;
             }
@@ -192,8 +193,8 @@
 
 /// Whether the engines have stayed the same for some checks.
 ///
-/// Failure guarded against: a fleet starts, its engines register one by one, and the plan for the first few gives an
-/// engine the one order of its life that the whole fleet would not have given.
+/// Guards against the following failure: a fleet starts, its engines register one by one, and the plan for the first
+/// few gives an engine, as its only order, one that it would not have got with the whole fleet.
 #[derive(Debug, Default)]
 struct StabilityCheck {
     engines: Arc<BTreeMap<String, EngineKey>>,
@@ -212,8 +213,8 @@
     }
 }
 
-/// The orders that are due. A service that was never split waits until its engines are steady; later an engine that
-/// comes is split at once.
+/// The orders that are due. A service that was never split waits until its engines are stable; if it has been split, an
+/// engine that comes later gets its order at once.
 fn planned_orders(shared: &Shared, is_stable: bool) -> Vec<(Engine, StageOrder)> {
     let view = shared.view.load();
     let ordered = view.orders.stages();
@@ -240,7 +241,7 @@
     orders.collect()
 }
 
-/// Engines with a record that are gone for so long that nobody needs it.
+/// Engines that have a record but have been absent for so long that it is no longer needed.
 fn absent_engines(shared: &Shared, absences: &mut AbsentEngines) -> Vec<String> {
     let view = shared.view.load();
     let keys = view.keys();
@@ -249,7 +250,7 @@
     absences.due(clock::now(), retention, recorded, |id| keys.contains_key(id))
 }
 
-/// Removes the records of engines that are gone; the follower hears of it as of any change.
+/// Removes the records of absent engines; the task that follows the store sees this like any other change.
 async fn remove_records(shared: &Shared, store: &dyn Store, engines: &[String]) {
     let view = shared.view.load_full();
     for engine in engines.iter().take(MAX_REMOVED) {
@@ -264,19 +265,20 @@
         };
         match store.write(write).await {
             Ok(_) => log_event!(info, log_event::ORDER_FORGOTTEN, %engine),
-            // Another instance has removed it, or will at its next look.
+            // Another instance has removed it, or will at its next check.
             Err(error) => log_event!(debug, log_event::KV_FAILED, %error, call = "forget"),
         }
     }
 }
 
-/// Gives an engine its order, if the record of it can be created.
+/// Gives an engine its order, if the record of the order can be created.
 ///
-/// Failures guarded against: two instances give an engine different orders; one repeats an order that may still be on
-/// its way. The record is created once and never written again, and only its creator sends, once. If the answer of
-/// the store is lost, reading back tells whose record it is; if that is not known, nothing is sent.
+/// Guards against two instances that give an engine different orders, and against an instance that repeats an order
+/// that may still be on its way. The record is created once and never written again, and only its creator sends the
+/// order, once. If the answer of the store is lost, reading back shows whose record it is; if that can't be found out,
+/// nothing is sent.
 ///
-/// `false` if nothing was done and it may be attempted again.
+/// Returns `false` if nothing was done and the order may be tried again.
 async fn issue(shared: &Shared, store: &dyn Store, pool: &Pool, engine: &Engine, order: &StageOrder) -> bool {
     let record = OrderRecord {
         holder: format!("{}/{}", shared.options.name, uuid::Uuid::new_v4()),
@@ -299,7 +301,7 @@
     true
 }
 
-/// Creates the record; its revision is the fencing token. `None` if somebody else has created it.
+/// Creates the record; its revision is the fencing token. Returns `None` if another instance has created it.
 async fn create_record(
     shared: &Shared,
     store: &dyn Store,
--- a/src/ops/relay/register.rs
+++ b/src/ops/relay/register.rs
@@ -1,9 +1,9 @@
-//! Making this instance known: a key in the store, so that the others find it.
+//! Registers this instance: writes a key to the store, so that the other instances find it.
 //!
 //! The key has no lease. Renewals would cost each instance a call every few seconds, and a store outage that outlasts
 //! the leases would make the whole fleet register again. Whether an instance serves is known from its heartbeats; the
-//! key only says where to send them. An instance removes its key when it stops; the first-ranked instance removes the
-//! keys of instances that were not heard for a long time.
+//! key only holds the address to send them to. An instance removes its key when it stops; the first-ranked instance
+//! removes the keys of instances that have sent no heartbeat for a long time.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,10 +30,10 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two checks of the known keys.
+/// Time between two checks of the replicated keys.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Delay of the first check, in which a starting instance may learn that its key still exists.
+/// Delay of the first check, in which a starting instance may read that its key still exists.
 const START_DELAY: Duration = Duration::from_millis(200);
 
 /// Pause after a failed call.
@@ -42,19 +42,20 @@
 /// Maximum number of keys that are removed in one write.
 const MAX_REMOVED: usize = 16;
 
-/// Largest number of revisions by which the known state may lag behind the registration without the zone being listed.
+/// Maximum number of revisions by which the replica of the store may lag behind the registration before the instances
+/// of the zone are listed.
 ///
 /// Guards against a slow start of a large fleet: when hundreds of instances register at the same time, each knows only
 /// those that registered earlier, all send their heartbeats to these few, and for seconds each acts as a watcher.
 const MAX_REVISION_LAG: u64 = 64;
 
-/// What an instance says of itself in the store.
+/// The record of an instance, as stored in JSON.
 #[derive(Debug, Serialize, Deserialize)]
 struct InstanceRecord {
     zone: Name,
     front: SocketAddr,
     peer: SocketAddr,
-    /// Thousandths of a core.
+    /// Capacity in thousandths of a core.
     #[serde(default)]
     capacity: u32,
 }
@@ -62,13 +63,13 @@
 /// An instance that the store lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedInstance {
-    /// Who and where it is.
+    /// Its name, zone and addresses.
     pub listing: Listing,
-    /// What it can carry, in thousandths of a core.
+    /// Its capacity in thousandths of a core; 0 if it isn't known.
     pub capacity: u32,
 }
 
-/// The running registration.
+/// A running registration.
 #[derive(Debug)]
 pub struct Registration {
     stop: oneshot::Sender<()>,
@@ -76,7 +77,7 @@
 }
 
 impl Registration {
-    /// Removes the key, as far as the store can be reached.
+    /// Removes the key, if the store can be reached in time.
     pub async fn end(self) {
         if self.stop.send(()).is_err() {
             return;
@@ -88,7 +89,7 @@
     }
 }
 
-/// Registers this instance and keeps it so.
+/// Registers this instance and keeps it registered.
 pub fn start(shared: Arc<Shared>, store: Rc<dyn Store>, fleet: Fleet) -> Registration {
     let (stop, mut stopped) = oneshot::channel();
     let (end, ended) = oneshot::channel();
@@ -101,17 +102,17 @@
             needs_listing: false,
             absences: AbsentEngines::new(),
         };
-        let mut pause = START_DELAY;
+        let mut delay = START_DELAY;
         loop {
             tokio::select! {
-                () = tokio::time::sleep(pause) => {}
+                () = tokio::time::sleep(delay) => {}
                 _ = &mut stopped => break,
             }
             let step = tokio::select! {
                 step = registrar.step() => step,
                 _ = &mut stopped => break,
             };
-            pause = if step.is_ok() { CHECK_INTERVAL } else { RETRY_DELAY };
+            delay = if step.is_ok() { CHECK_INTERVAL } else { RETRY_DELAY };
             if let Err(error) = step {
                 log_event!(debug, log_event::KV_FAILED, %error, call = "register");
             }
@@ -119,7 +120,7 @@
         if let Err(error) = registrar.remove_own().await {
             log_event!(warn, log_event::KV_FAILED, %error, call = "end registration");
         }
-        // The other end waits at most so long; if it is gone, nobody needs to know.
+        // The receiver waits only for a limited time; if it is gone, nothing depends on the result.
         let _ = end.send(());
     });
     Registration { stop, ended }
@@ -157,7 +158,7 @@
         match (known.item(&self.key()), self.written_revision) {
             (Some(_), Some(_)) => false,
             (Some(item), None) => item.value != self.record(),
-            // The known state may predate the write.
+            // The replica may predate the write.
             (None, Some(written)) => known.revision() > written,
             (None, None) => true,
         }
@@ -179,7 +180,7 @@
         Ok(())
     }
 
-    /// Removes the keys of instances that were not heard for a long time, if this instance ranks first.
+    /// Removes the keys of instances that have sent no heartbeat for a long time, if this instance ranks first.
     ///
     /// Guards against an isolated instance, which hears no peer, removing the keys of all others.
     async fn remove_silent(&mut self) -> Result<(), StoreError> {
@@ -285,7 +286,7 @@
     Name::new(name).ok()
 }
 
-/// The instance that an item describes.
+/// The instance that an item describes, if the item can be read.
 pub fn listing(shared: &Shared, item: &Item) -> Option<ListedInstance> {
     let name = name(shared, &item.key)?;
     match serde_json::from_slice::<InstanceRecord>(&item.value) {
--- a/src/ops/relay/scaling.rs
+++ b/src/ops/relay/scaling.rs
@@ -1,4 +1,4 @@
-//! Ordering engines, for all instances, as [`sequoiastream_core::relay::scale`] plans.
+//! Orders engines from the cloud API for all instances, as [`sequoiastream_core::relay::scale`] plans.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two looks at the plan.
+/// Time between two checks of the plan.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Orders engines while this instance acts for all.
+/// Orders engines while this instance is the leader.
 pub async fn run(shared: Arc<Shared>, cloud: CloudClient) {
     let mut planner = Planner::default();
     let mut logged_version = 0;
@@ -35,7 +35,8 @@
     }
 }
 
-/// Says once for each version of the configuration of which services no engines are ordered though they may be.
+/// Logs, once for each version of the configuration, the services that may be scaled but for which no engines are
+/// ordered.
 fn log_held_services(shared: &Shared, logged_version: &mut u64) {
     let table = shared.view.load().table.clone();
     if std::mem::replace(logged_version, table.version) == table.version {
@@ -58,7 +59,7 @@
     let services = view.table.services.values();
     let orders = services.filter_map(|service| {
         let scale = service.scale.as_ref()?;
-        // A service without any engine known is one of which too little is known.
+        // A service without a known engine is skipped: too little is known about it.
         let engines = view.engines().get(&service.name)?;
         let present = EngineCounts::by_zone(engines.iter().map(|e| &e.entry));
         Some(planner.due(now, &service.name, scale, &present))
--- a/src/ops/relay/shared.rs
+++ b/src/ops/relay/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic thread share.
+//! State that the control thread and the traffic thread share.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,28 +32,28 @@
 use crate::util::logging::SharedBudget;
 use crate::util::metrics::RelayMetrics;
 
-/// Callers keep an address for up to so many times the time that the answer said.
+/// Callers cache an address for up to this many times as long as the answer told them.
 pub const ADDRESS_TTL_FACTOR: u32 = 3;
 
-/// What requests are answered by: never changed, only replaced.
+/// The configuration and the engines by which requests are handled. A view is never changed, only replaced.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// Routes and services.
     pub table: Arc<RoutingTable>,
     engines: Arc<BTreeMap<String, Vec<Engine>>>,
-    /// Derived from them: each message about load needs it.
+    /// Derived from `engines`, as each load message needs it.
     keys: Arc<BTreeMap<String, EngineKey>>,
     hashes: Arc<BTreeMap<u64, EngineKey>>,
     ids: Arc<BTreeMap<EngineKey, String>>,
-    /// Where callers may go, this instance included.
+    /// Instances that callers may be sent to, including this one.
     pub endpoints: Vec<Endpoint>,
-    /// Engines that have had their order.
+    /// The orders that engines have been given.
     pub orders: Arc<OrderRecords>,
-    /// Place of this instance among the live ones, by name.
+    /// Rank of this instance among the live ones, by name.
     pub rank: u32,
-    /// Instances that share the budget of extra attempts.
+    /// Number of instances that share the retry budget.
     pub instances: usize,
-    /// Who acts for all towards the platform's API.
+    /// The holder of the lease of the leader, as the store shows it.
     pub leader: Option<LeaseRecord>,
 }
 
@@ -63,7 +63,7 @@
         self.table.version > 0
     }
 
-    /// Engines that may get work, by service.
+    /// Engines that may get requests, by service.
     pub fn engines(&self) -> &BTreeMap<String, Vec<Engine>> {
         &self.engines
     }
@@ -95,34 +95,34 @@
     }
 }
 
-/// Load, health and budget: changed by every request, under a lock that is never held across an await.
+/// State that every request changes, under a lock that is never held across an await.
 #[derive(Debug)]
 pub struct TrafficState {
     /// Load and health of engines.
     pub load: LoadTracker,
-    /// Budget of extra attempts.
+    /// Retry budget.
     pub budget: RetryBudget,
-    /// Requests that crash engines.
+    /// Requests suspected of crashing engines.
     pub suspects: Suspects,
     /// Requests that engines began, by window and workspace.
     pub tally: Tally,
 }
 
-/// What the threads of an instance share.
+/// The state that the threads of an instance share.
 pub struct Shared {
     /// Settings.
     pub options: Options,
-    /// The edge to the protocol spoken.
+    /// Translates to and from the protocol of callers and upstreams.
     pub translate: Arc<dyn Translate>,
-    /// What requests are answered by.
+    /// The current view.
     pub view: ArcSwap<View>,
     /// Metrics.
     pub metrics: RelayMetrics,
     reloadable: ArcSwap<ReloadableOptions>,
     leaving: OnceLock<Time>,
-    /// When the store last confirmed what is known of it.
+    /// Time at which the store last confirmed that this instance is up to date.
     confirmed: AtomicU64,
-    /// Up to when everything that happened in the store is known, by proof.
+    /// Time up to which all changes in the store are proven to be known.
     proven: AtomicU64,
     /// How far true time is ahead of the monotonic clock, in microseconds; zero until it is known.
     true_offset: AtomicU64,
@@ -141,7 +141,7 @@
 }
 
 impl Shared {
-    /// State before anything is known.
+    /// Creates the state of an instance that knows neither a configuration nor engines.
     pub fn new(options: Options, translate: Arc<dyn Translate>, budget: SharedBudget) -> Shared {
         let traffic = TrafficState {
             load: LoadTracker::new(),
@@ -164,22 +164,22 @@
         }
     }
 
-    /// Settings that may change.
+    /// The settings that may change while the instance runs.
     pub fn reloadable(&self) -> Arc<ReloadableOptions> {
         self.reloadable.load_full()
     }
 
-    /// Puts changed settings into force.
+    /// Applies changed settings.
     pub fn reload(&self, options: ReloadableOptions) {
         self.traffic().budget.set_limits(options.budget_limits);
         self.reloadable.store(Arc::new(options));
     }
 
-    /// Load, health and budget.
+    /// Locks the state that requests change.
     pub fn traffic(&self) -> MutexGuard<'_, TrafficState> {
         self.traffic
             .lock()
-            .expect("no thread panics while it holds the ledger")
+            .expect("no thread panics while it holds the lock")
     }
 
     /// Replaces the view by a changed copy.
@@ -192,23 +192,24 @@
         self.view.store(Arc::new(view));
     }
 
-    /// Notes that the store confirmed what is known of it.
+    /// Notes that the store confirmed at `now` that this instance is up to date.
     pub fn on_store_answer(&self, now: Time) {
         self.confirmed.store(now.as_micros(), Ordering::Relaxed);
     }
 
-    /// How old the configuration and the list of engines may be; since the start if the store never answered.
+    /// Time since the store last confirmed that the configuration and the engines are up to date; since the start if it
+    /// never did.
     pub fn store_age(&self, now: Time) -> Duration {
         now.since(Time::from_micros(self.confirmed.load(Ordering::Relaxed)))
     }
 
-    /// Notes up to when everything that happened in the store is known. What it changed must be in force by then: requests
-    /// read this first and look at the view after it.
+    /// Notes that all changes in the store up to `until` are known. They must be in the view already: requests load
+    /// this time first and the view after it.
     pub fn on_proof(&self, until: Time) {
         self.proven.fetch_max(until.as_micros(), Ordering::SeqCst);
     }
 
-    /// How old what is known of the store may be.
+    /// Age of what is known of the store.
     pub fn ages(&self, now: Time) -> StoreAges {
         let proven = match self.proven.load(Ordering::SeqCst) {
             0 => Duration::MAX,
@@ -223,7 +224,7 @@
         self.true_offset.store(offset, Ordering::Relaxed);
     }
 
-    /// True time, in microseconds since the Unix epoch; the wall clock's until any peer was heard.
+    /// True time, in microseconds since the Unix epoch; the local wall clock's time until the clock of a peer is known.
     pub fn true_micros(&self, now: Time) -> u64 {
         match self.true_offset.load(Ordering::Relaxed) {
             0 => clock::wall_micros(),
@@ -239,48 +240,49 @@
         }
     }
 
-    /// How old a proof of what is known of the store may be; `None` where callers have no keys.
+    /// Maximum age of the last proof that all changes in the store are known; `None` if callers need no keys.
     pub fn max_proof_age(&self) -> Option<Duration> {
         self.view.load().table.workspaces.as_ref()?;
         self.reloadable().key_limits.max_proof_age()
     }
 
-    /// Whether requests with keys may be let in.
+    /// Whether the last proof is recent enough for requests with keys to be accepted.
     pub fn is_proven(&self, now: Time) -> bool {
         self.max_proof_age()
             .is_none_or(|limit| self.ages(now).proven <= limit)
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers may be sent to this instance.
     pub fn is_ready(&self) -> bool {
         !self.is_leaving() && self.view.load().is_configured() && self.is_proven(clock::now())
     }
 
-    /// Whether the instance shuts down.
+    /// Whether the instance is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get().is_some()
     }
 
-    /// Begins to shut down.
+    /// Begins the shutdown.
     pub fn leave(&self, now: Time) {
         self.leaving.get_or_init(|| now);
     }
 
-    /// Whether new requests are refused: callers have had the time to learn that this address is no longer named.
+    /// Whether new requests are refused: callers have had the time to learn that the directory no longer lists this
+    /// address.
     ///
-    /// Failure guarded against: a stream that is accepted late in a shutdown is cut when the process ends.
+    /// Guards against streams that are accepted late in a shutdown and cut when the process ends.
     pub fn is_closed(&self, now: Time) -> bool {
         let max_kept = self.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
         self.leaving.get().is_some_and(|at| now.since(*at) >= max_kept)
     }
 
-    /// Counts a request as running.
+    /// Counts a request as running until the returned guard is dropped.
     pub fn begin(&self) -> Running {
         self.running.fetch_add(1, Ordering::SeqCst);
         Running(self.running.clone())
     }
 
-    /// Requests that are running.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running.load(Ordering::SeqCst)
     }
--- a/src/ops/relay/usage.rs
+++ b/src/ops/relay/usage.rs
@@ -1,5 +1,5 @@
-//! Reporting how many requests of each workspace engines began, for all instances, as [`sequoiastream_core::relay::usage`]
-//! counts them.
+//! Reports to the cloud API, for all instances, how many requests of each workspace engines began, as counted by
+//! [`sequoiastream_core::relay::usage`].
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,20 +21,21 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two looks.
+/// Time between two checks for windows to report.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long after its end a window is decided on: all instances have told their counts by then, also if two messages of one
-/// were lost.
+/// How long after its end a window is decided: by then all instances have sent their counts, even if two messages of an
+/// instance were lost.
 const DECISION_DELAY: Duration = Duration::from_millis(1_800);
 
 /// Pause after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Reports that are kept for the platform while it does not take them.
+/// Maximum number of reports that are kept while the platform does not accept them.
 const MAX_OPEN_REPORTS: usize = 12;
 
-/// What is decided, and the revision of its record; zero if there is none.
+/// The decided reports, the revision of their record in the store, zero if there is none, and the windows that were
+/// accepted since the record was written.
 #[derive(Debug, Clone)]
 struct ReportState {
     decided: DecidedReports,
@@ -42,7 +43,7 @@
     accepted: Vec<Window>,
 }
 
-/// Reports windows while this instance acts for all.
+/// Reports windows while this instance is the leader.
 pub async fn run(
     shared: Arc<Shared>,
     store: Rc<dyn Store>,
@@ -97,7 +98,7 @@
         Ok(())
     }
 
-    /// What earlier holders decided. Without any, the windows before the first count are nobody's.
+    /// Reads what earlier leaders decided. If there is no record, the windows before the first count are not reported.
     async fn read(&self) -> Result<ReportState, StoreError> {
         let key = &self.shared.translate.keys().usage;
         let page = self.store.range(key, "").await?;
@@ -140,7 +141,7 @@
         (next.max(window), reports)
     }
 
-    /// Writes what is to be reported, before any of it is sent.
+    /// Writes the reports to the store, before any of them is sent.
     async fn decide(
         &self,
         state: &mut ReportState,
@@ -163,7 +164,7 @@
             puts: vec![put],
             removes: Vec::new(),
         };
-        // After an answer that was lost all is read anew: what the store then holds is what was decided.
+        // If the answer is lost, everything is read again: the store then holds what was decided.
         state.revision = self.store.write(write).await?;
         state.decided = decided;
         state.accepted.clear();
