--- a/src/ops/relay/follow/join.rs
+++ b/src/ops/relay/follow/join.rs
@@ -67,7 +67,7 @@
     pub(super) async fn join(&mut self, now: Time) {
         let rank = self.fleet.watch_rank();
         let age = now.since(self.startup.started);
-        let fallback_age = self.shared.tuning().bound.fallback_age(rank);
+        let fallback_age = self.shared.reloadable().apply_limit.fallback_age(rank);
         let must_read = self.startup.stage == Stage::Listed && age >= DISCOVERY_TIME && rank.is_watcher();
         if must_read || age >= fallback_age {
             self.startup.stage = Stage::Reading;
@@ -91,7 +91,11 @@
         if self.known.revision() > 0 {
             return true;
         }
-        let fallback_age = self.shared.tuning().bound.fallback_age(self.fleet.watch_rank());
+        let fallback_age = self
+            .shared
+            .reloadable()
+            .apply_limit
+            .fallback_age(self.fleet.watch_rank());
         !self.startup.is_joining() || now.since(self.startup.started) >= fallback_age / 2
     }
 }
--- a/src/ops/relay/follow/listen.rs
+++ b/src/ops/relay/follow/listen.rs
@@ -67,9 +67,9 @@
     fn on_peer_snapshot(&mut self, page: StorePage) {
         self.distrust_removals();
         let status = SyncStatus::new(page.revision, page.age);
-        let items: Vec<Item> = page.items.into_iter().map(known::item).collect();
+        let items: Vec<Item> = page.items.into_iter().map(known::from_message).collect();
         self.on_snapshot(status.revision, &items);
-        self.known.on_news(clock::now(), status);
+        self.known.on_peer_changes(clock::now(), status);
         self.complete = true;
         log_event!(
             info,
@@ -81,7 +81,7 @@
 
     /// Applies the changes since the known revision as sent by a peer. Returns whether all of them could be fetched.
     async fn on_peer_changes(&mut self, peer: SocketAddr, news: StoreNews) -> bool {
-        let mut items: Vec<Item> = news.items.into_iter().map(known::item).collect();
+        let mut items: Vec<Item> = news.items.into_iter().map(known::from_message).collect();
         for (revision, key) in &news.large {
             match self.fetch_large(*revision, key).await {
                 Some(item) => items.push(item),
@@ -102,7 +102,7 @@
         changes.sort_by_key(change_revision);
         self.on_changes(changes);
         self.known
-            .on_news(clock::now(), SyncStatus::new(news.revision, news.age));
+            .on_peer_changes(clock::now(), SyncStatus::new(news.revision, news.age));
         self.complete = true;
         true
     }
--- a/src/ops/relay/follow/mod.rs
+++ b/src/ops/relay/follow/mod.rs
@@ -38,9 +38,9 @@
 
 use crate::log_event;
 use crate::ops::relay::follow::join::Startup;
-use crate::ops::relay::known::Known;
+use crate::ops::relay::known::StoreReplica;
 use crate::ops::relay::lead;
-use crate::ops::relay::orders::Ordered;
+use crate::ops::relay::orders::OrderRecords;
 use crate::ops::relay::peers::Fleet;
 use crate::ops::relay::register;
 use crate::ops::relay::shared::Shared;
@@ -104,9 +104,9 @@
     shared: Arc<Shared>,
     store: Rc<dyn Store>,
     fleet: Fleet,
-    known: Known,
+    known: StoreReplica,
     engines: Engines,
-    ordered: Ordered,
+    ordered: OrderRecords,
     /// Lease of the instance that acts for the fleet.
     lead: Option<LeaseRecord>,
     /// Revision of the configuration that is in force.
@@ -152,14 +152,14 @@
 }
 
 /// Follows the store until the process ends.
-pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>, fleet: Fleet, known: Known) {
+pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>, fleet: Fleet, known: StoreReplica) {
     let mut follower = Follower {
         shared,
         store,
         fleet,
         known,
         engines: Engines::new(),
-        ordered: Ordered::default(),
+        ordered: OrderRecords::default(),
         lead: None,
         config_revision: 0,
         failures: 0,
@@ -181,12 +181,14 @@
         if self.startup.is_joining() && self.known.revision() == 0 {
             return self.join(now).await;
         }
-        let tuning = self.shared.tuning();
-        let action = self.known.duty(self.fleet.watch_rank(), tuning.bound, now);
+        let tuning = self.shared.reloadable();
+        let action = self
+            .known
+            .watch_action(self.fleet.watch_rank(), tuning.apply_limit, now);
         let poll_at = self
             .shared
-            .proof_limit()
-            .map(|limit| self.known.prove_at(self.fleet.watch_rank(), limit));
+            .max_proof_age()
+            .map(|limit| self.known.store_proof_due(self.fleet.watch_rank(), limit));
         let result = match (action, poll_at) {
             (WatchAction::Listen(_), Some(at)) if now >= at && self.complete => self.poll().await,
             (WatchAction::Listen(until), at) => {
@@ -215,7 +217,7 @@
         if self.fleet.watch_rank().is_watcher() {
             return;
         }
-        let age = self.known.word(now).map(SyncStatus::age_millis);
+        let age = self.known.sync_status(now).map(SyncStatus::age_millis);
         log_event!(
             info,
             log_event::UNCONFIRMED,
@@ -244,7 +246,8 @@
             }
         }
         self.on_snapshot(revision, &items);
-        self.known.on_answer(clock::now(), sent, Duration::ZERO, revision);
+        self.known
+            .on_store_answer(clock::now(), sent, Duration::ZERO, revision);
         self.known.on_proof(sent);
         Ok(())
     }
@@ -256,7 +259,8 @@
         let sent = clock::now();
         let changes = self.store.watch(ALL_KEYS, revision, POLL_WAIT).await?;
         if let Some(revision) = self.on_watch_answer(changes, revision) {
-            self.known.on_answer(clock::now(), sent, POLL_WAIT, revision);
+            self.known
+                .on_store_answer(clock::now(), sent, POLL_WAIT, revision);
             self.known.on_proof(sent);
         }
         Ok(())
@@ -267,7 +271,12 @@
         let delay = std::mem::take(&mut self.watch_delay);
         self.wait(delay).await;
         // The timeout is shorter by the delay, so that a silent watch is detected as early as without it.
-        let wait = self.shared.tuning().bound.watch_timeout().saturating_sub(delay);
+        let wait = self
+            .shared
+            .reloadable()
+            .apply_limit
+            .watch_timeout()
+            .saturating_sub(delay);
         let store = self.store.clone();
         let sent = clock::now();
         let mut watch = store.watch(ALL_KEYS, revision, wait);
@@ -289,9 +298,9 @@
         };
         let now = clock::now();
         if !is_quiet {
-            self.watch_delay = watcher_batch_delay(self.shared.tuning().bound);
+            self.watch_delay = watcher_batch_delay(self.shared.reloadable().apply_limit);
         }
-        self.known.on_answer(now, sent, wait, revision);
+        self.known.on_store_answer(now, sent, wait, revision);
         self.known
             .on_proof(watchers::proven_until(now, sent, wait, is_quiet));
         Ok(())
@@ -305,7 +314,7 @@
         self.on_changes(changes.changes);
         if !is_complete {
             self.known
-                .on_news(clock::now(), SyncStatus::new(revision, u32::MAX));
+                .on_peer_changes(clock::now(), SyncStatus::new(revision, u32::MAX));
         }
         is_complete.then_some(revision)
     }
@@ -338,12 +347,13 @@
     /// Applies the complete contents of the store as of `revision`.
     fn on_snapshot(&mut self, revision: u64, items: &[Item]) {
         let now = clock::now();
-        self.known.on_all(self.shared.translate.keys(), revision, items);
+        self.known
+            .on_snapshot(self.shared.translate.keys(), revision, items);
         let entries = items.iter().filter_map(|item| self.entry(item));
         let entries: Vec<(u64, Entry)> = entries.collect();
         let engines = self.engines.on_snapshot(now, revision, entries);
         self.ordered
-            .on_all(now, self.shared.translate.as_ref(), revision, items);
+            .on_snapshot(now, self.shared.translate.as_ref(), revision, items);
         for item in items {
             self.on_config(item);
         }
@@ -450,11 +460,11 @@
         }
         if changed.orders {
             let ordered = Arc::new(self.ordered.clone());
-            self.shared.publish(|view| view.ordered = ordered);
+            self.shared.publish(|view| view.orders = ordered);
         }
         if changed.lead {
             let lead = self.lead.clone();
-            self.shared.publish(|view| view.lead = lead);
+            self.shared.publish(|view| view.leader = lead);
         }
         if changed.instances {
             self.fleet.apply_list();
@@ -468,7 +478,7 @@
         self.shared.publish(|view| view.set_engines(engines));
         let view = self.shared.view.load();
         let known: BTreeSet<EngineKey> = view.keys().values().copied().collect();
-        self.shared.ledger().book.retain(|key| known.contains(&key));
+        self.shared.traffic().load.retain(|key| known.contains(&key));
         log_event!(
             info,
             log_event::ENGINES_CHANGED,
@@ -490,7 +500,7 @@
     fn on_confirmed(&self) {
         let now = clock::now();
         if let Some(age) = self.known.age(now) {
-            self.shared.on_store(now - age);
+            self.shared.on_store_answer(now - age);
         }
     }
 
--- a/src/ops/relay/lead.rs
+++ b/src/ops/relay/lead.rs
@@ -1,4 +1,5 @@
-//! Holding the lease under which one instance acts for all, as [`sequoiastream_core::relay::leader_lease`] decides.
+//! Acquires and keeps the lease of the leader, the one instance that acts for all, as
+//! [`sequoiastream_core::relay::leader_lease`] decides.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,59 +27,59 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two checks of the lease.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the holder's record says.
+/// A holder's record as stored, in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Card {
+struct HolderRecord {
     holder: String,
     process: String,
 }
 
-/// The record of a holder in the store, if the item is one.
+/// Parses the holder's record; `None` if the item has another key.
 pub fn record(translate: &dyn Translate, item: &Item) -> Option<LeaseRecord> {
     if item.key != translate.keys().lead {
         return None;
     }
-    // One that can't be read is somebody's all the same.
-    let card = serde_json::from_slice::<Card>(&item.value).unwrap_or_else(|error| {
+    // A record that can't be read still means that some instance holds the lease.
+    let record = serde_json::from_slice::<HolderRecord>(&item.value).unwrap_or_else(|error| {
         log_event!(warn, log_event::ENTRY_UNREADABLE, key = %item.key, revision = item.revision, %error);
-        Card {
+        HolderRecord {
             holder: String::new(),
             process: String::new(),
         }
     });
     Some(LeaseRecord {
-        holder: card.holder,
-        process: card.process,
+        holder: record.holder,
+        process: record.process,
         revision: item.created,
     })
 }
 
 #[derive(Debug)]
 struct State {
-    lead: RefCell<LeaderLease>,
-    lease: RefCell<Option<LeaseId>>,
+    lease: RefCell<LeaderLease>,
+    lease_id: RefCell<Option<LeaseId>>,
     process: String,
 }
 
-/// Whether this instance acts for all; cheap to clone, stays on one thread.
+/// Whether this instance is the leader. Cheap to clone; stays on one thread.
 #[derive(Debug, Clone)]
 pub struct Leadership(Rc<State>);
 
 impl Leadership {
-    /// The fencing token of a call that leaves now; `None` if none may leave.
+    /// The fencing token for a call that is sent now; `None` if none may be sent.
     pub fn fence(&self, now: Time) -> Option<u64> {
-        self.0.lead.borrow().fence(now)
+        self.0.lease.borrow().fence(now)
     }
 }
 
-/// Competes for leases of the time `lease`, and keeps one that it got.
+/// Starts to compete for the lease, with the length `lease`, and to renew it once it is acquired.
 pub fn start(shared: Arc<Shared>, store: Rc<dyn Store>, lease: Duration) -> Leadership {
     let leadership = Leadership(Rc::new(State {
-        lead: RefCell::new(LeaderLease::new(lease)),
-        lease: RefCell::default(),
+        lease: RefCell::new(LeaderLease::new(lease)),
+        lease_id: RefCell::default(),
         process: Uuid::new_v4().to_string(),
     }));
     actix_rt::spawn(run(leadership.clone(), shared, store));
@@ -87,56 +88,57 @@
 
 async fn run(leadership: Leadership, shared: Arc<Shared>, store: Rc<dyn Store>) {
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if shared.is_leaving() {
             return leadership.resign(store.as_ref()).await;
         }
         let (is_free, rank) = {
             let view = shared.view.load();
-            (view.is_configured() && view.lead.is_none(), view.rank)
+            (view.is_configured() && view.leader.is_none(), view.rank)
         };
         let now = clock::now();
         shared
             .metrics
             .leads
             .set(i64::from(leadership.fence(now).is_some()));
-        let step = leadership.0.lead.borrow_mut().next_action(now, is_free, rank);
-        match step {
+        let action = leadership.0.lease.borrow_mut().next_action(now, is_free, rank);
+        match action {
             LeaseAction::Wait => {}
             LeaseAction::Renew => leadership.renew(store.as_ref()).await,
-            LeaseAction::Acquire => leadership.take(&shared, store.as_ref()).await,
+            LeaseAction::Acquire => leadership.acquire(&shared, store.as_ref()).await,
         }
     }
 }
 
 impl Leadership {
-    async fn take(&self, shared: &Shared, store: &dyn Store) {
+    async fn acquire(&self, shared: &Shared, store: &dyn Store) {
         let sent = clock::now();
         match self.create(shared, store).await {
             Ok(Some((lease, fence))) => {
-                *self.0.lease.borrow_mut() = Some(lease);
-                self.0.lead.borrow_mut().on_acquired(clock::now(), sent, fence);
+                *self.0.lease_id.borrow_mut() = Some(lease);
+                self.0.lease.borrow_mut().on_acquired(clock::now(), sent, fence);
                 log_event!(info, log_event::LEAD_TAKEN, fence);
             }
-            Ok(None) => self.0.lead.borrow_mut().on_failure(clock::now()),
+            Ok(None) => self.0.lease.borrow_mut().on_failure(clock::now()),
             Err(error) => {
                 log_event!(info, log_event::KV_FAILED, %error, call = "lead");
-                self.0.lead.borrow_mut().on_failure(clock::now());
+                self.0.lease.borrow_mut().on_failure(clock::now());
             }
         }
     }
 
-    /// Creates the record under a new lease; `None` if somebody else has. One whose answer was lost counts only if reading
-    /// back shows it: it may still come, and ends with its lease.
+    /// Creates the record under a new lease. Returns the lease and the fencing token, or `None` if another instance has
+    /// a record. If the answer to the write is lost, the record counts only if reading it back shows it: otherwise the
+    /// write may still be applied later, and the record then expires with its lease.
     async fn create(&self, shared: &Shared, store: &dyn Store) -> Result<Option<(LeaseId, u64)>, StoreError> {
-        let time = self.0.lead.borrow().lease();
-        let lease = store.grant(time).await?;
+        let length = self.0.lease.borrow().lease();
+        let lease = store.grant(length).await?;
         let key = shared.translate.keys().lead.clone();
-        let card = Card {
+        let own_record = HolderRecord {
             holder: shared.options.name.to_string(),
             process: self.0.process.clone(),
         };
-        let value = serde_json::to_vec(&card).map_err(|e| StoreError::Unreadable(e.to_string()))?;
+        let value = serde_json::to_vec(&own_record).map_err(|e| StoreError::Unreadable(e.to_string()))?;
         let put = Put {
             key: key.clone(),
             value: Bytes::from(value),
@@ -164,32 +166,32 @@
     }
 
     async fn renew(&self, store: &dyn Store) {
-        let Some(lease) = *self.0.lease.borrow() else {
+        let Some(lease) = *self.0.lease_id.borrow() else {
             return;
         };
         let sent = clock::now();
         match store.renew(lease).await {
-            Ok(()) => self.0.lead.borrow_mut().on_renewed(sent),
-            Err(StoreError::LeaseEnded) => self.lose(),
+            Ok(()) => self.0.lease.borrow_mut().on_renewed(sent),
+            Err(StoreError::LeaseEnded) => self.on_lost(),
             Err(error) => {
-                log_event!(info, log_event::KV_FAILED, %error, call = "renew the lead");
-                self.0.lead.borrow_mut().on_failure(clock::now());
+                log_event!(info, log_event::KV_FAILED, %error, call = "renew the lease of the leader");
+                self.0.lease.borrow_mut().on_failure(clock::now());
             }
         }
     }
 
-    fn lose(&self) {
-        self.0.lease.borrow_mut().take();
-        self.0.lead.borrow_mut().on_lost(clock::now());
+    fn on_lost(&self) {
+        self.0.lease_id.borrow_mut().take();
+        self.0.lease.borrow_mut().on_lost(clock::now());
         log_event!(info, log_event::LEAD_LOST);
     }
 
-    /// Gives the lease back; nothing is called under it any more.
+    /// Revokes the lease; no call is made under it any more.
     async fn resign(&self, store: &dyn Store) {
-        let Some(lease) = self.0.lease.borrow_mut().take() else {
+        let Some(lease) = self.0.lease_id.borrow_mut().take() else {
             return;
         };
-        self.0.lead.borrow_mut().on_lost(clock::now());
+        self.0.lease.borrow_mut().on_lost(clock::now());
         log_event!(info, log_event::LEAD_LOST);
         if let Err(error) = store.revoke(lease).await {
             log_event!(info, log_event::KV_FAILED, %error, call = "resign");
--- a/src/ops/relay/mod.rs
+++ b/src/ops/relay/mod.rs
@@ -1,13 +1,14 @@
-//! Forwarding requests unchanged between callers and upstreams that both speak somebody else's protocol.
+//! Forwards requests unchanged between callers and upstreams that both speak a protocol defined elsewhere.
 //!
-//! [`edge`] is where that protocol comes in: names of headers, and the decoding of what the store and the engines
-//! hold. Control state lives on the thread that runs [`run`]: [`follow`] keeps up with the configuration and the
-//! engines, [`orders`] gives engines their stage, [`register`] makes this instance known, [`peers`] tells the others
-//! about load; `counted` counts what they ask of the store. [`lead`] holds the lease under which one instance acts for all
-//! through `cloud`: `usage` reports, `scaling` orders engines. They publish a view that the traffic thread reads:
-//! [`server`] takes requests, `head` reads what they ask, [`forward`] makes the attempts, `pick` chooses engines,
-//! `reading` has prompts read, [`stream`] passes events on, `idle` closes connections that nobody needs. `gauges` fills
-//! the page of metrics.
+//! [`edge`] is the interface to that protocol: the names of headers, and the decoding of what the store and the engines
+//! send. Control state lives on the thread that runs [`run`]: [`follow`] keeps up with the configuration and the
+//! engines, [`orders`] orders engines to a stage, [`register`] registers this instance in the store, [`peers`]
+//! exchanges load and status with the other instances; `counted` counts the calls to the store. [`lead`] holds the
+//! lease of the leader, the one instance that calls the cloud API for all through `cloud`: `usage` reports the usage,
+//! `scaling` orders engines. These tasks publish a view that the traffic thread reads: [`server`] accepts requests,
+//! `head` parses their heads, [`forward`] makes the attempts, `pick` chooses engines, `reading` has prefills computed,
+//! [`stream`] passes events on, `idle` closes connections that are no longer used. `gauges` sets the gauges on the page
+//! of metrics.
 
 mod cloud;
 mod counted;
@@ -45,22 +46,22 @@
 use tokio::signal::unix::signal;
 
 use crate::log_event;
-use crate::ops::relay::cloud::Cloud;
+use crate::ops::relay::cloud::CloudClient;
 use crate::ops::relay::counted::Counted;
 use crate::ops::relay::edge::Translate;
-use crate::ops::relay::known::Known;
+use crate::ops::relay::known::StoreReplica;
 use crate::ops::relay::options::Options;
 use crate::ops::relay::options::Reload;
-use crate::ops::relay::shared::KEEP_FACTOR;
+use crate::ops::relay::shared::ADDRESS_TTL_FACTOR;
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 use crate::util::logging::SharedBudget;
 
-/// How often a shutdown looks whether the last request is answered.
-const STEP: Duration = Duration::from_millis(20);
+/// Time between two checks during a shutdown of whether the last request is answered.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time at the end of the grace period that is left for the process itself to end.
-const EXIT: Duration = Duration::from_millis(500);
+/// Time that is left at the end of the grace period for the process to exit.
+const EXIT_TIME: Duration = Duration::from_millis(500);
 
 /// Runs an instance until SIGTERM or SIGINT, then shuts down gracefully.
 ///
@@ -79,17 +80,17 @@
     let hangup = signal(SignalKind::hangup())?;
     let shared = Arc::new(Shared::new(options, translate, budget));
     let store: Rc<dyn Store> = Rc::new(Counted::new(store, shared.clone()));
-    let server = server::start(shared.clone()).wrap_err("could not serve")?;
+    let server = server::start(shared.clone()).wrap_err("could not start the server")?;
     let sockets = peers::Sockets::bind(&shared)
         .await
-        .wrap_err("could not open the peers' sockets")?;
-    let known = Known::new();
+        .wrap_err("could not bind the sockets for peers")?;
+    let known = StoreReplica::new();
     let fleet = peers::start(shared.clone(), sockets, known.clone());
     actix_rt::spawn(follow::run(shared.clone(), store.clone(), fleet.clone(), known));
     actix_rt::spawn(orders::run(shared.clone(), store.clone()));
-    act(&shared, &store, &fleet);
+    start_leader_tasks(&shared, &store, &fleet);
     let registration = register::start(shared.clone(), store, fleet.clone());
-    actix_rt::spawn(reload_on(hangup, shared.clone(), reload));
+    actix_rt::spawn(reload_on_hangup(hangup, shared.clone(), reload));
     log_event!(info, log_event::STARTED, address = %shared.options.front);
     tokio::select! {
         _ = terminate.recv() => {}
@@ -105,35 +106,35 @@
     Ok(())
 }
 
-/// Starts what one instance does for all, as the settings say.
-pub fn act(shared: &Arc<Shared>, store: &Rc<dyn Store>, fleet: &peers::Fleet) {
-    let Some(acts) = shared
+/// Starts the tasks that the leader performs for all instances, as far as the settings enable any.
+pub fn start_leader_tasks(shared: &Arc<Shared>, store: &Rc<dyn Store>, fleet: &peers::Fleet) {
+    let Some(options) = shared
         .options
-        .acts
+        .leader
         .clone()
-        .filter(|acts| acts.usage || acts.scale)
+        .filter(|options| options.usage || options.scale)
     else {
         return;
     };
-    let leadership = lead::start(shared.clone(), store.clone(), acts.lease);
-    let cloud = Cloud::new(shared.clone(), acts.address, leadership);
-    if acts.usage {
+    let leadership = lead::start(shared.clone(), store.clone(), options.lease);
+    let cloud = CloudClient::new(shared.clone(), options.address, leadership);
+    if options.usage {
         let (shared, store, fleet) = (shared.clone(), store.clone(), fleet.clone());
-        actix_rt::spawn(usage::run(shared, store, fleet, cloud.clone(), acts.window));
+        actix_rt::spawn(usage::run(shared, store, fleet, cloud.clone(), options.window));
     }
-    if acts.scale {
+    if options.scale {
         actix_rt::spawn(scaling::run(shared.clone(), cloud));
     }
 }
 
-/// Reads the settings anew at each SIGHUP. Without this the signal would end the process. Settings that can't be read
-/// change nothing; names and addresses change with the next start only.
-async fn reload_on(mut hangup: Signal, shared: Arc<Shared>, reload: Reload) {
+/// Reads the settings again at each SIGHUP, which would end the process if it weren't handled. Settings that can't be
+/// read change nothing; names and addresses change only with the next start.
+async fn reload_on_hangup(mut hangup: Signal, shared: Arc<Shared>, reload: Reload) {
     while hangup.recv().await.is_some() {
         match reload() {
             Ok(options) => {
-                let changed = options.tuning != *shared.tuning();
-                shared.tune(options.tuning);
+                let changed = options.reloadable != *shared.reloadable();
+                shared.reload(options.reloadable);
                 log_event!(info, log_event::RELOADED, changed);
             }
             Err(error) => log_event!(error, log_event::RELOAD_REFUSED, error),
@@ -141,17 +142,18 @@
     }
 }
 
-/// Serves on for as long as callers may keep this address, then until the last answer is out or the grace ends.
+/// Continues to serve for as long as callers may use a cached address, then until the last request is answered or the
+/// grace period ends.
 async fn drain(shared: &Shared) {
-    let begun = clock::now();
-    let kept = shared.tuning().keep * KEEP_FACTOR;
-    let most = shared.tuning().grace.saturating_sub(EXIT);
+    let started = clock::now();
+    let min_time = shared.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
+    let max_time = shared.reloadable().grace_period.saturating_sub(EXIT_TIME);
     loop {
-        let passed = clock::now().since(begun);
-        let idle = shared.running() == 0;
-        if passed >= most || (passed >= kept && idle) {
+        let elapsed = clock::now().since(started);
+        let is_idle = shared.running() == 0;
+        if elapsed >= max_time || (elapsed >= min_time && is_idle) {
             return;
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(DRAIN_INTERVAL).await;
     }
 }
--- a/src/ops/relay/orders.rs
+++ b/src/ops/relay/orders.rs
@@ -1,4 +1,4 @@
-//! Giving engines their one order, as [`sequoiastream_core::relay::stages`] plans.
+//! Gives each engine its only order to change its stage, as [`sequoiastream_core::relay::stages`] plans.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -37,57 +37,59 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two looks at the plan.
-const LOOK: Duration = Duration::from_millis(500);
+/// Time between two checks of the plan.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest time for which an engine is left alone after its order: the longest answers take some seconds, the change
-/// three. An order that is carried out later still shows by the engine's declining.
-const CHANGE: Duration = Duration::from_secs(8);
+/// Maximum time after its order for which an engine gets no requests: the longest answers take a few seconds, and the
+/// change takes three. If an order is carried out later than that, the engine still shows it by declining requests.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Looks for which the engines must have stayed the same before any gets an order.
-const STEADY: u32 = 3;
+/// Number of checks for which the engines must have stayed the same before any of them gets an order.
+const STABLE_CHECKS: u32 = 3;
 
-/// How long an engine's answer to an order is waited for.
-const ANSWER: Duration = Duration::from_secs(2);
+/// Timeout of the answer of an engine to an order.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Records removed in one look: the store takes few writes a second.
-const MAX_FORGOTTEN: usize = 4;
+/// Maximum number of records that are removed in one check: the store takes few writes a second.
+const MAX_REMOVED: usize = 4;
 
-/// Longest answer to an order, in bytes.
-const MAX_ANSWER: usize = 64 * 1024;
+/// Maximum size of an answer to an order, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Who gives an engine its order, and which.
+/// The record of an order, as stored in JSON: which instance gives it, and which stage it names.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Record {
+struct OrderRecord {
     holder: String,
-    reader: bool,
+    /// Whether the engine is ordered to compute prefills.
+    #[serde(rename = "reader")]
+    prefill: bool,
 }
 
-/// When the record of an order was first seen, and at which revision of the store.
+/// When the record of an order was first seen, and its latest revision.
 #[derive(Debug, Clone, Copy)]
 struct Seen {
     at: Time,
     revision: u64,
 }
 
-/// The records of orders, as the store shows them.
+/// The records of orders, as read from the store.
 #[derive(Debug, Clone, Default)]
-pub struct Ordered {
+pub struct OrderRecords {
     stages: BTreeMap<String, Stage>,
     seen: BTreeMap<String, Seen>,
     /// When the last order was first seen.
     latest: Option<Time>,
 }
 
-impl Ordered {
-    /// Takes an item of the store; whether it is the record of an order. One that can't be read counts as an order too,
-    /// so that no second is given.
+impl OrderRecords {
+    /// Handles an item of the store. Returns whether it is the record of an order. A record that can't be read counts
+    /// as an order too, so that the engine doesn't get a second one.
     pub fn on_item(&mut self, now: Time, translate: &dyn Translate, item: &Item) -> bool {
         let Some(id) = item.key.strip_prefix(translate.keys().orders.as_str()) else {
             return false;
         };
-        let stage = match serde_json::from_slice::<Record>(&item.value) {
-            Ok(record) if record.reader => Stage::Prefill,
+        let stage = match serde_json::from_slice::<OrderRecord>(&item.value) {
+            Ok(record) if record.prefill => Stage::Prefill,
             Ok(_) => Stage::Decode,
             Err(error) => {
                 log_event!(warn, log_event::ENTRY_UNREADABLE, key = %item.key, revision = item.revision, %error);
@@ -103,15 +105,16 @@
         true
     }
 
-    /// Takes all that the store held as of `revision`: records that it doesn't name are dropped, but later ones stay.
-    pub fn on_all(&mut self, now: Time, translate: &dyn Translate, revision: u64, items: &[Item]) {
+    /// Handles all items of the store as of `revision`: records that are not among them are dropped, except those with
+    /// a later revision.
+    pub fn on_snapshot(&mut self, now: Time, translate: &dyn Translate, revision: u64, items: &[Item]) {
         for item in items {
             self.on_item(now, translate, item);
         }
         let prefix = translate.keys().orders.as_str();
-        let named: BTreeSet<&str> = items.iter().filter_map(|i| i.key.strip_prefix(prefix)).collect();
+        let listed: BTreeSet<&str> = items.iter().filter_map(|i| i.key.strip_prefix(prefix)).collect();
         self.seen
-            .retain(|engine, seen| named.contains(engine.as_str()) || seen.revision > revision);
+            .retain(|engine, seen| listed.contains(engine.as_str()) || seen.revision > revision);
         let seen = &self.seen;
         self.stages.retain(|engine, _| seen.contains_key(engine));
     }
@@ -121,7 +124,7 @@
         self.seen.get(engine).map(|seen| seen.revision)
     }
 
-    /// Takes the removal of a key; whether a record was dropped.
+    /// Handles the removal of a key. Returns whether a record was dropped.
     pub fn on_removed(&mut self, translate: &dyn Translate, key: &str) -> bool {
         let Some(engine) = key.strip_prefix(translate.keys().orders.as_str()) else {
             return false;
@@ -130,100 +133,101 @@
         self.stages.remove(engine).is_some()
     }
 
-    /// The engines that have had their order.
-    pub fn engines(&self) -> &BTreeMap<String, Stage> {
+    /// The stages that engines were ordered to change to, by the id of the engine.
+    pub fn stages(&self) -> &BTreeMap<String, Stage> {
         &self.stages
     }
 
-    /// Whether an order is so recent that an engine may be about to change its stage. Mostly none is, and requests need
-    /// not look at each engine.
+    /// Whether an order is so recent that an engine may be about to change its stage. In most cases there is none, and
+    /// requests needn't check each engine.
     pub fn may_change(&self, now: Time) -> bool {
-        self.latest.is_some_and(|at| now.since(at) < CHANGE)
+        self.latest.is_some_and(|at| now.since(at) < CHANGE_TIMEOUT)
     }
 
-    /// Whether an engine is about to change its stage, and declines what is sent to it.
+    /// Whether an engine is about to change its stage and therefore declines requests.
     pub fn is_changing(&self, now: Time, entry: &Entry) -> bool {
         let differs = self
             .stages
             .get(&entry.id)
             .is_some_and(|stage| *stage != entry.stage);
         let seen = self.seen.get(&entry.id);
-        differs && seen.is_some_and(|seen| now.since(seen.at) < CHANGE)
+        differs && seen.is_some_and(|seen| now.since(seen.at) < CHANGE_TIMEOUT)
     }
 }
 
-/// Looks at the plan again and again and gives the orders that it is this instance's turn to give.
+/// Checks the plan periodically and gives the orders that are for this instance to give.
 pub async fn run(shared: Arc<Shared>, store: Rc<dyn Store>) {
     let pool = Pool::new();
-    let mut tried: BTreeSet<String> = BTreeSet::new();
-    let mut due: BTreeMap<String, u32> = BTreeMap::new();
-    let mut steady = Steady::default();
+    let mut attempted: BTreeSet<String> = BTreeSet::new();
+    let mut due_checks: BTreeMap<String, u32> = BTreeMap::new();
+    let mut stability = StabilityCheck::default();
     let mut absences = AbsentEngines::new();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if shared.is_leaving() || !shared.view.load().is_configured() {
             continue;
         }
-        let is_steady = steady.is_steady(&shared);
-        let orders = planned(&shared, is_steady);
+        let is_stable = stability.is_stable(&shared);
+        let orders = planned_orders(&shared, is_stable);
         let planned: BTreeSet<&str> = orders.iter().map(|(_, o)| o.engine.as_str()).collect();
-        due.retain(|engine, _| planned.contains(engine.as_str()));
+        due_checks.retain(|engine, _| planned.contains(engine.as_str()));
         for (engine, order) in orders {
-            let looks = due.entry(order.engine.clone()).or_default();
-            *looks += 1;
-            // The first of the live instances gives it, the next one a look later if it didn't.
-            if *looks <= shared.view.load().rank || tried.contains(&order.engine) {
+            let checks = due_checks.entry(order.engine.clone()).or_default();
+            *checks += 1;
+            // The live instance that ranks first gives the order; if it did not, the next one does so a check later.
+            if *checks <= shared.view.load().rank || attempted.contains(&order.engine) {
                 continue;
             }
-            tried.insert(order.engine.clone());
-            if !give(&shared, store.as_ref(), &pool, &engine, &order).await {
-                tried.remove(&order.engine);
+            attempted.insert(order.engine.clone());
+            if !issue(&shared, store.as_ref(), &pool, &engine, &order).await {
+                attempted.remove(&order.engine);
             }
         }
-        let gone = absent(&shared, &mut absences);
-        tried.retain(|engine| !gone.contains(engine));
+        let absent = absent_engines(&shared, &mut absences);
+        attempted.retain(|engine| !absent.contains(engine));
         if shared.view.load().rank == 0 {
-            forget(&shared, store.as_ref(), &gone).await;
+            remove_records(&shared, store.as_ref(), &absent).await;
         }
     }
 }
 
-/// Whether the engines have stayed the same for some looks.
+/// Whether the engines have stayed the same for some checks.
 ///
-/// Failure guarded against: a fleet starts, its engines register one by one, and the plan for the first few gives an
-/// engine the one order of its life that the whole fleet would not have given.
+/// Guards against the following failure: a fleet starts, its engines register one by one, and the plan for the first
+/// few gives an engine, as its only order, one that it would not have got with the whole fleet.
 #[derive(Debug, Default)]
-struct Steady {
-    known: Arc<BTreeMap<String, EngineKey>>,
-    looks: u32,
+struct StabilityCheck {
+    engines: Arc<BTreeMap<String, EngineKey>>,
+    checks: u32,
 }
 
-impl Steady {
-    fn is_steady(&mut self, shared: &Shared) -> bool {
+impl StabilityCheck {
+    fn is_stable(&mut self, shared: &Shared) -> bool {
         let view = shared.view.load();
-        if !view.keys().keys().eq(self.known.keys()) {
-            self.known = view.keys().clone();
-            self.looks = 0;
+        if !view.keys().keys().eq(self.engines.keys()) {
+            self.engines = view.keys().clone();
+            self.checks = 0;
         }
-        self.looks += 1;
-        self.looks > STEADY
+        self.checks += 1;
+        self.checks > STABLE_CHECKS
     }
 }
 
-/// The orders that are due. A service that was never split waits until its engines are steady; later an engine that
-/// comes is split at once.
-fn planned(shared: &Shared, is_steady: bool) -> Vec<(Engine, StageOrder)> {
+/// The orders that are due. A service that was never split waits until its engines are stable; if it has been split, an
+/// engine that comes later gets its order at once.
+fn planned_orders(shared: &Shared, is_stable: bool) -> Vec<(Engine, StageOrder)> {
     let view = shared.view.load();
-    let ordered = view.ordered.engines();
-    let capacity = view.entrances.iter().map(|e| e.capacity).sum();
+    let ordered = view.orders.stages();
+    let capacity = view.endpoints.iter().map(|e| e.capacity).sum();
     let is_split = |engines: &[Engine]| engines.iter().any(|e| ordered.contains_key(&e.entry.id));
     let engines = view
         .engines()
         .values()
-        .filter(|engines| is_steady || is_split(engines));
+        .filter(|engines| is_stable || is_split(engines));
     let orders = engines.flat_map(|engines| {
-        let readers = limit_prefill_fraction(engines, ordered, shared.tuning().readers, capacity);
-        let orders = plan_orders(engines, ordered, readers);
+        let fraction =
+            limit_prefill_fraction(engines, ordered, shared.reloadable().prefill_fraction, capacity);
+        let orders = plan_orders(engines, ordered, fraction);
         if orders.is_empty() {
             return Vec::new();
         }
@@ -237,20 +241,20 @@
     orders.collect()
 }
 
-/// Engines with a record that are gone for so long that nobody needs it.
-fn absent(shared: &Shared, absences: &mut AbsentEngines) -> Vec<String> {
+/// Engines that have a record but have been absent for so long that it is no longer needed.
+fn absent_engines(shared: &Shared, absences: &mut AbsentEngines) -> Vec<String> {
     let view = shared.view.load();
     let keys = view.keys();
-    let recorded = view.ordered.engines().keys().map(String::as_str);
-    let forget = shared.tuning().forget;
-    absences.due(clock::now(), forget, recorded, |id| keys.contains_key(id))
+    let recorded = view.orders.stages().keys().map(String::as_str);
+    let retention = shared.reloadable().retention;
+    absences.due(clock::now(), retention, recorded, |id| keys.contains_key(id))
 }
 
-/// Removes the records of engines that are gone; the follower hears of it as of any change.
-async fn forget(shared: &Shared, store: &dyn Store, engines: &[String]) {
+/// Removes the records of absent engines; the task that follows the store sees this like any other change.
+async fn remove_records(shared: &Shared, store: &dyn Store, engines: &[String]) {
     let view = shared.view.load_full();
-    for engine in engines.iter().take(MAX_FORGOTTEN) {
-        let Some(revision) = view.ordered.revision(engine) else {
+    for engine in engines.iter().take(MAX_REMOVED) {
+        let Some(revision) = view.orders.revision(engine) else {
             continue;
         };
         let key = format!("{}{engine}", shared.translate.keys().orders);
@@ -261,25 +265,26 @@
         };
         match store.write(write).await {
             Ok(_) => log_event!(info, log_event::ORDER_FORGOTTEN, %engine),
-            // Another instance has removed it, or will at its next look.
+            // Another instance has removed it, or will at its next check.
             Err(error) => log_event!(debug, log_event::KV_FAILED, %error, call = "forget"),
         }
     }
 }
 
-/// Gives an engine its order, if the record of it can be created.
+/// Gives an engine its order, if the record of the order can be created.
 ///
-/// Failures guarded against: two instances give an engine different orders; one repeats an order that may still be on
-/// its way. The record is created once and never written again, and only its creator sends, once. If the answer of
-/// the store is lost, reading back tells whose record it is; if that is not known, nothing is sent.
+/// Guards against two instances that give an engine different orders, and against an instance that repeats an order
+/// that may still be on its way. The record is created once and never written again, and only its creator sends the
+/// order, once. If the answer of the store is lost, reading back shows whose record it is; if that can't be found out,
+/// nothing is sent.
 ///
-/// `false` if nothing was done and it may be tried again.
-async fn give(shared: &Shared, store: &dyn Store, pool: &Pool, engine: &Engine, order: &StageOrder) -> bool {
-    let record = Record {
+/// Returns `false` if nothing was done and the order may be tried again.
+async fn issue(shared: &Shared, store: &dyn Store, pool: &Pool, engine: &Engine, order: &StageOrder) -> bool {
+    let record = OrderRecord {
         holder: format!("{}/{}", shared.options.name, uuid::Uuid::new_v4()),
-        reader: order.stage == Stage::Prefill,
+        prefill: order.stage == Stage::Prefill,
     };
-    let fence = match create(shared, store, &order.engine, &record).await {
+    let fence = match create_record(shared, store, &order.engine, &record).await {
         Ok(Some(fence)) => fence,
         Ok(None) => return true,
         Err(error) => {
@@ -289,19 +294,19 @@
     };
     log_event!(info, log_event::ORDER_SENT, engine = %order.engine, stage = ?order.stage, fence);
     let body = shared.translate.order(order.stage, &record.holder, fence);
-    match send(shared, pool, engine, body).await {
+    match post_order(shared, pool, engine, body).await {
         Ok(status) => log_event!(info, log_event::ORDER_CLOSED, engine = %order.engine, status),
         Err(error) => log_event!(warn, log_event::ORDER_UNANSWERED, engine = %order.engine, error),
     }
     true
 }
 
-/// Creates the record; its revision is the fencing token. `None` if somebody else has created it.
-async fn create(
+/// Creates the record; its revision is the fencing token. Returns `None` if another instance has created it.
+async fn create_record(
     shared: &Shared,
     store: &dyn Store,
     engine: &str,
-    record: &Record,
+    record: &OrderRecord,
 ) -> Result<Option<u64>, StoreError> {
     let key = format!("{}{engine}", shared.translate.keys().orders);
     let value = serde_json::to_vec(record).map_err(|e| StoreError::Unreadable(e.to_string()))?;
@@ -321,15 +326,16 @@
         Err(StoreError::Unknown(_)) => {
             let page = store.range(&key, "").await?;
             let found = page.items.into_iter().find(|item| item.key == key);
-            let own = found
-                .filter(|item| serde_json::from_slice::<Record>(&item.value).ok().as_ref() == Some(record));
+            let own = found.filter(|item| {
+                serde_json::from_slice::<OrderRecord>(&item.value).ok().as_ref() == Some(record)
+            });
             Ok(own.map(|item| item.revision))
         }
         Err(error) => Err(error),
     }
 }
 
-async fn send(shared: &Shared, pool: &Pool, engine: &Engine, body: String) -> Result<u16, String> {
+async fn post_order(shared: &Shared, pool: &Pool, engine: &Engine, body: String) -> Result<u16, String> {
     let address = engine.entry.address;
     let request = Request::builder()
         .method(Method::POST)
@@ -342,6 +348,6 @@
         )
         .body(Full::new(Bytes::from(body)))
         .map_err(|e| e.to_string())?;
-    let answer = call(pool, address, request, MAX_ANSWER, ANSWER).await;
+    let answer = call(pool, address, request, MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
     answer.map(|a| a.status().as_u16()).map_err(|e| e.to_string())
 }
--- a/src/ops/relay/peers/counts.rs
+++ b/src/ops/relay/peers/counts.rs
@@ -83,7 +83,7 @@
     /// of true time.
     pub(super) fn send_counts(&self, now: Time) {
         let shared = &self.0.shared;
-        let Some(acts) = &shared.options.acts else {
+        let Some(acts) = &shared.options.leader else {
             return;
         };
         let usage = &self.0.usage;
@@ -93,11 +93,11 @@
         usage.last_sent.set(now);
         self.on_clock(now, &shared.options.name, clock::wall_micros());
         if let Some(offset) = usage.true_time.borrow_mut().offset(now) {
-            shared.on_truth(offset);
+            shared.on_true_offset(offset);
         }
         let current = Window::at(shared.true_micros(now), acts.window);
         let first = Window((current.0 + 1).saturating_sub(REPORTED_WINDOWS));
-        let tally = shared.ledger().tally.since(first);
+        let tally = shared.traffic().tally.since(first);
         if tally.is_empty() {
             return;
         }
@@ -121,7 +121,7 @@
     fn aggregators(&self) -> BTreeSet<SocketAddr> {
         let view = self.0.shared.view.load();
         let listed = self.0.listed.borrow();
-        let holder = view.lead.as_ref().and_then(|lead| Name::new(&lead.holder).ok());
+        let holder = view.leader.as_ref().and_then(|lead| Name::new(&lead.holder).ok());
         let holder = holder.and_then(|name| Some(listed.get(&name)?.listing.peer_address));
         let standbys = self.0.usage.standbys.borrow();
         let all = holder.into_iter().chain(standbys.iter().copied());
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -49,11 +49,11 @@
 use uuid::Uuid;
 
 use crate::log_event;
-use crate::ops::relay::known::Known;
+use crate::ops::relay::known::StoreReplica;
 pub use crate::ops::relay::peers::ask::PeerAnswer;
 use crate::ops::relay::peers::counts::UsageState;
 use crate::ops::relay::peers::prove::ProofState;
-use crate::ops::relay::register::Listed;
+use crate::ops::relay::register::ListedInstance;
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
@@ -99,7 +99,7 @@
     /// If the address can't be bound.
     pub async fn bind(shared: &Shared) -> std::io::Result<Sockets> {
         let options = &shared.options;
-        let key = ClusterKey::new(&options.cluster);
+        let key = ClusterKey::new(&options.cluster_key);
         let calls = TcpListener::bind(options.peer).await?;
         let datagrams = DatagramSocket::bind(options.peer, key, options.name.clone(), Uuid::now_v7()).await?;
         Ok(Sockets { datagrams, calls })
@@ -109,7 +109,7 @@
 /// Answers the calls of peers for changes and pages of the store.
 #[derive(Debug, Clone)]
 struct StoreResponder {
-    known: Known,
+    known: StoreReplica,
     /// Capacity of this instance, in thousandths of a core.
     capacity: u32,
     /// Start times of the full transfers of the last second.
@@ -118,7 +118,7 @@
 
 impl StoreResponder {
     /// Creates a responder without any transfers yet.
-    fn new(known: Known, capacity: u32) -> StoreResponder {
+    fn new(known: StoreReplica, capacity: u32) -> StoreResponder {
         StoreResponder {
             known,
             capacity,
@@ -145,7 +145,7 @@
     fn page(&self, after: &str) -> Response {
         let now = clock::now();
         match !after.is_empty() || self.begin_transfer(now) {
-            true => Response::Page(self.known.tell_page(now, after)),
+            true => Response::Page(self.known.page(now, after)),
             false => Response::Busy,
         }
     }
@@ -157,7 +157,7 @@
             Request::Ping => Response::Pong,
             Request::Page(after) => self.page(&after),
             Request::Since(revision) => {
-                let changes = self.known.tell_since(clock::now(), revision);
+                let changes = self.known.changes_since(clock::now(), revision);
                 changes.map_or_else(|| self.page(""), Response::News)
             }
             _ => Response::Unserved,
@@ -171,13 +171,13 @@
     socket: DatagramSocket,
     members: RefCell<MemberTable>,
     /// Instances that the store lists.
-    listed: RefCell<BTreeMap<Name, Listed>>,
+    listed: RefCell<BTreeMap<Name, ListedInstance>>,
     /// Whether there was nothing to report in the last turn.
     quiet: Cell<bool>,
     /// Number of the next turn of messages about load.
     turn: Cell<u32>,
     calls: CallClient,
-    known: Known,
+    known: StoreReplica,
     /// Addresses of the peers that are currently heard, as of the last roster: those of this zone, then those of other
     /// zones.
     heard: RefCell<[Vec<SocketAddr>; 2]>,
@@ -200,7 +200,7 @@
 pub struct Fleet(Rc<State>);
 
 /// Starts the tasks that exchange messages with the peers.
-pub fn start(shared: Arc<Shared>, sockets: Sockets, known: Known) -> Fleet {
+pub fn start(shared: Arc<Shared>, sockets: Sockets, known: StoreReplica) -> Fleet {
     let options = &shared.options;
     let info = InstanceInfo::new(clock::wall().0, options.zone.clone(), options.front, options.peer);
     let local = LocalInstance {
@@ -216,7 +216,7 @@
         partition_policy: PartitionPolicy::Serve,
         ..Limits::default()
     };
-    let key = ClusterKey::new(&shared.options.cluster);
+    let key = ClusterKey::new(&shared.options.cluster_key);
     actix_rt::spawn(call::serve(
         sockets.calls,
         key.clone(),
@@ -283,7 +283,7 @@
 
 impl Fleet {
     /// Replaces the list of instances by the one that was read from the store.
-    pub fn on_listed(&self, listings: Vec<Listed>) {
+    pub fn on_listed(&self, listings: Vec<ListedInstance>) {
         let listed = listings
             .into_iter()
             .map(|l| (l.listing.name.clone(), l))
@@ -294,7 +294,7 @@
 
     /// Adds an instance to the list or updates it; `None` changes nothing. Returns whether there was one to add; if so,
     /// [`Self::apply_list`] must be called.
-    pub fn on_item(&self, listed: Option<Listed>) -> bool {
+    pub fn on_item(&self, listed: Option<ListedInstance>) -> bool {
         let Some(listed) = listed else {
             return false;
         };
@@ -310,7 +310,7 @@
     }
 
     /// The contents of the store as known to this instance.
-    pub fn known(&self) -> &Known {
+    pub fn known(&self) -> &StoreReplica {
         &self.0.known
     }
 
@@ -402,7 +402,7 @@
             .insert(name.clone(), message.revision);
         self.0.proofs.on_proof_age(now, name, message.proof);
         self.on_clock(now, name, message.wall);
-        if self.0.known.on_word(now, message.sync_status()) {
+        if self.0.known.on_peer_status(now, message.sync_status()) {
             self.0.updates.notify_one();
         }
         if self.is_large()
@@ -422,8 +422,8 @@
                 Some((*key, Work { requests, prefill }))
             })
             .collect();
-        let mut ledger = self.0.shared.ledger();
-        ledger.book.on_peer_report(now, name.as_str(), work);
+        let mut ledger = self.0.shared.traffic();
+        ledger.load.on_peer_report(now, name.as_str(), work);
         for note in message.notes {
             ledger.suspects.on_note(now, note);
         }
@@ -431,7 +431,7 @@
         for read in message.reads {
             // An engine that is not yet or no longer known here gets no work from this instance.
             if let Some(engine) = view.hashes().get(&read.engine) {
-                ledger.book.cached_parts.on_prefill(now, *engine, read);
+                ledger.load.cached_parts.on_prefill(now, *engine, read);
             }
         }
     }
@@ -470,12 +470,12 @@
         self.0.turn.set(turn.wrapping_add(1));
         let (peers, turns) = self.load_recipients(now, turn);
         let (load, notes, reads) = {
-            let mut ledger = self.0.shared.ledger();
+            let mut ledger = self.0.shared.traffic();
             let reads = ledger
-                .book
+                .load
                 .cached_parts
                 .records_to_send(u32::try_from(turns).unwrap_or(u32::MAX));
-            (ledger.book.own_by_engine(), ledger.suspects.notes(now), reads)
+            (ledger.load.own_by_engine(), ledger.suspects.notes(now), reads)
         };
         let quiet = load.is_empty() && notes.is_empty() && reads.is_empty();
         if self.0.quiet.replace(quiet) && quiet && !load_message::is_quiet_turn(turn) {
@@ -485,8 +485,9 @@
         let work = load
             .into_iter()
             .filter_map(|(key, work)| Some((ids.get(&key)?.clone(), work)));
-        let message = LoadMessage::new(work.collect(), notes, reads).with_sync_status(self.0.known.word(now));
-        let mut message = message.with_clock(clock::wall_micros(), self.0.known.proof_word(now));
+        let message =
+            LoadMessage::new(work.collect(), notes, reads).with_sync_status(self.0.known.sync_status(now));
+        let mut message = message.with_clock(clock::wall_micros(), self.0.known.proof_status(now));
         for peer in peers {
             let mut result = self.0.socket.send(peer, Datagram::Load(message.clone())).await;
             if let Err(PeerError::TooLong(length)) = result {
--- a/src/ops/relay/peers/prove.rs
+++ b/src/ops/relay/peers/prove.rs
@@ -100,9 +100,9 @@
         let shared = &self.0.shared;
         let known = &self.0.known;
         if let Some(age) = known.age(now) {
-            shared.on_store(now - age);
+            shared.on_store_answer(now - age);
         }
-        let Some(limit) = shared.proof_limit() else {
+        let Some(limit) = shared.max_proof_age() else {
             return;
         };
         if let Some(age) = known.proof_age(now) {
@@ -113,7 +113,7 @@
         if proofs.requested_recently(now) {
             return;
         }
-        let peers: BTreeSet<SocketAddr> = match known.asks(limit, now) {
+        let peers: BTreeSet<SocketAddr> = match known.proof_peers(limit, now) {
             ProofPeers::Nobody => return,
             ProofPeers::Watchers => proofs.watchers.borrow().iter().copied().collect(),
             ProofPeers::All => proofs.all_peers(),
@@ -143,7 +143,7 @@
         let Some(peer) = listed.get(name).map(|l| l.listing.peer_address) else {
             return;
         };
-        if let Some(status) = self.0.known.proof_word(clock::now()) {
+        if let Some(status) = self.0.known.proof_status(clock::now()) {
             let proof = StoreProof {
                 question: number,
                 revision: status.revision,
--- a/src/ops/relay/peers/roster.rs
+++ b/src/ops/relay/peers/roster.rs
@@ -19,7 +19,7 @@
 use crate::log_event;
 use crate::ops::relay::peers::Fleet;
 use crate::ops::relay::peers::counts::STANDBY_COUNT;
-use crate::ops::relay::register::Listed;
+use crate::ops::relay::register::ListedInstance;
 use crate::util::clock;
 
 /// Time after its start during which an instance counts all instances that the store lists as present. By the end of
@@ -46,9 +46,9 @@
             .map(|p| p.peer_address);
         self.set_standbys(open.take(STANDBY_COUNT).collect());
         let view = self.0.shared.view.load();
-        if view.entrances != endpoints || view.instances != instances || view.rank != rank {
+        if view.endpoints != endpoints || view.instances != instances || view.rank != rank {
             self.0.shared.publish(|view| {
-                view.entrances = endpoints;
+                view.endpoints = endpoints;
                 view.instances = instances;
                 view.rank = rank;
             });
@@ -73,7 +73,7 @@
             capacity: options.capacity,
         });
         let now = clock::now();
-        let limit = self.0.shared.proof_limit();
+        let limit = self.0.shared.max_proof_age();
         let is_proven =
             |p: &&Peer| limit.is_none_or(|limit| self.0.proofs.is_peer_proven(now, &p.name, limit));
         let open: Vec<&Peer> = roster.peers.iter().filter(|p| p.accepts_work()).collect();
@@ -143,7 +143,7 @@
     }
 }
 
-fn candidate<'n>(listed: &BTreeMap<Name, Listed>, name: &'n Name, zone: &'n Name) -> Candidate<'n> {
+fn candidate<'n>(listed: &BTreeMap<Name, ListedInstance>, name: &'n Name, zone: &'n Name) -> Candidate<'n> {
     Candidate {
         zone: zone.as_str(),
         capacity: listed.get(name).map_or(0, |l| l.capacity),
--- a/src/ops/relay/register.rs
+++ b/src/ops/relay/register.rs
@@ -1,9 +1,9 @@
-//! Making this instance known: a key in the store, so that the others find it.
+//! Registers this instance: writes a key to the store, so that the other instances find it.
 //!
 //! The key has no lease. Renewals would cost each instance a call every few seconds, and a store outage that outlasts
 //! the leases would make the whole fleet register again. Whether an instance serves is known from its heartbeats; the
-//! key only says where to send them. An instance removes its key when it stops; the first-ranked instance removes the
-//! keys of instances that were not heard for a long time.
+//! key only holds the address to send them to. An instance removes its key when it stops; the first-ranked instance
+//! removes the keys of instances that have sent no heartbeat for a long time.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,45 +30,46 @@
 use crate::ops::relay::shared::Shared;
 use crate::util::clock;
 
-/// Time between two checks of the known keys.
+/// Time between two checks of the replicated keys.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Delay of the first check, in which a starting instance may learn that its key still exists.
+/// Delay of the first check, in which a starting instance may read that its key still exists.
 const START_DELAY: Duration = Duration::from_millis(200);
 
 /// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(700);
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Maximum number of keys that are removed in one write.
 const MAX_REMOVED: usize = 16;
 
-/// Largest number of revisions by which the known state may lag behind the registration without the zone being listed.
+/// Maximum number of revisions by which the replica of the store may lag behind the registration before the instances
+/// of the zone are listed.
 ///
 /// Guards against a slow start of a large fleet: when hundreds of instances register at the same time, each knows only
 /// those that registered earlier, all send their heartbeats to these few, and for seconds each acts as a watcher.
 const MAX_REVISION_LAG: u64 = 64;
 
-/// What an instance says of itself in the store.
+/// The record of an instance, as stored in JSON.
 #[derive(Debug, Serialize, Deserialize)]
-struct Card {
+struct InstanceRecord {
     zone: Name,
     front: SocketAddr,
     peer: SocketAddr,
-    /// Thousandths of a core.
+    /// Capacity in thousandths of a core.
     #[serde(default)]
     capacity: u32,
 }
 
 /// An instance that the store lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
-    /// Who and where it is.
+pub struct ListedInstance {
+    /// Its name, zone and addresses.
     pub listing: Listing,
-    /// What it can carry, in thousandths of a core.
+    /// Its capacity in thousandths of a core; 0 if it isn't known.
     pub capacity: u32,
 }
 
-/// The running registration.
+/// A running registration.
 #[derive(Debug)]
 pub struct Registration {
     stop: oneshot::Sender<()>,
@@ -76,19 +77,19 @@
 }
 
 impl Registration {
-    /// Removes the key, as far as the store can be reached.
+    /// Removes the key, if the store can be reached in time.
     pub async fn end(self) {
         if self.stop.send(()).is_err() {
             return;
         }
-        let ended = tokio::time::timeout(PAUSE, self.ended).await;
+        let ended = tokio::time::timeout(RETRY_DELAY, self.ended).await;
         if ended.is_err() {
             log_event!(warn, log_event::KV_FAILED, call = "end registration");
         }
     }
 }
 
-/// Registers this instance and keeps it so.
+/// Registers this instance and keeps it registered.
 pub fn start(shared: Arc<Shared>, store: Rc<dyn Store>, fleet: Fleet) -> Registration {
     let (stop, mut stopped) = oneshot::channel();
     let (end, ended) = oneshot::channel();
@@ -101,17 +102,17 @@
             needs_listing: false,
             absences: AbsentEngines::new(),
         };
-        let mut pause = START_DELAY;
+        let mut delay = START_DELAY;
         loop {
             tokio::select! {
-                () = tokio::time::sleep(pause) => {}
+                () = tokio::time::sleep(delay) => {}
                 _ = &mut stopped => break,
             }
             let step = tokio::select! {
                 step = registrar.step() => step,
                 _ = &mut stopped => break,
             };
-            pause = if step.is_ok() { CHECK_INTERVAL } else { PAUSE };
+            delay = if step.is_ok() { CHECK_INTERVAL } else { RETRY_DELAY };
             if let Err(error) = step {
                 log_event!(debug, log_event::KV_FAILED, %error, call = "register");
             }
@@ -119,7 +120,7 @@
         if let Err(error) = registrar.remove_own().await {
             log_event!(warn, log_event::KV_FAILED, %error, call = "end registration");
         }
-        // The other end waits at most so long; if it is gone, nobody needs to know.
+        // The receiver waits only for a limited time; if it is gone, nothing depends on the result.
         let _ = end.send(());
     });
     Registration { stop, ended }
@@ -156,8 +157,8 @@
         let known = self.fleet.known();
         match (known.item(&self.key()), self.written_revision) {
             (Some(_), Some(_)) => false,
-            (Some(item), None) => item.value != self.card(),
-            // The known state may predate the write.
+            (Some(item), None) => item.value != self.record(),
+            // The replica may predate the write.
             (None, Some(written)) => known.revision() > written,
             (None, None) => true,
         }
@@ -166,7 +167,7 @@
     async fn write(&mut self) -> Result<(), StoreError> {
         let put = Put {
             key: self.key(),
-            value: self.card(),
+            value: self.record(),
             lease: None,
         };
         let write = Write {
@@ -179,7 +180,7 @@
         Ok(())
     }
 
-    /// Removes the keys of instances that were not heard for a long time, if this instance ranks first.
+    /// Removes the keys of instances that have sent no heartbeat for a long time, if this instance ranks first.
     ///
     /// Guards against an isolated instance, which hears no peer, removing the keys of all others.
     async fn remove_silent(&mut self) -> Result<(), StoreError> {
@@ -190,8 +191,8 @@
         let heard = self.fleet.heard_names();
         let is_present = |name: &str| name == self.shared.options.name.as_str() || heard.contains(name);
         let names = listed.keys().map(Name::as_str);
-        let forget = self.shared.tuning().forget;
-        let silent = self.absences.due(clock::now(), forget, names, is_present);
+        let retention = self.shared.reloadable().retention;
+        let silent = self.absences.due(clock::now(), retention, names, is_present);
         if silent.is_empty() || heard.is_empty() {
             return Ok(());
         }
@@ -220,7 +221,7 @@
     async fn remove_own(self) -> Result<(), StoreError> {
         let item = self.fleet.known().item(&self.key());
         let known = item
-            .filter(|item| item.value == self.card())
+            .filter(|item| item.value == self.record())
             .map(|item| item.revision);
         let Some(revision) = known.max(self.written_revision) else {
             return Ok(());
@@ -238,16 +239,17 @@
         key(&self.shared, &options.zone, &options.name)
     }
 
-    fn card(&self) -> Bytes {
+    fn record(&self) -> Bytes {
         let options = &self.shared.options;
-        let card = Card {
+        let record = InstanceRecord {
             zone: options.zone.clone(),
             front: options.front,
             peer: options.peer,
             capacity: options.capacity,
         };
         Bytes::from(
-            serde_json::to_vec(&card).expect("a card of names, addresses and a number serializes to JSON"),
+            serde_json::to_vec(&record)
+                .expect("an instance record of names, addresses and a number serializes to JSON"),
         )
     }
 }
@@ -284,19 +286,19 @@
     Name::new(name).ok()
 }
 
-/// The instance that an item describes.
-pub fn listing(shared: &Shared, item: &Item) -> Option<Listed> {
+/// The instance that an item describes, if the item can be read.
+pub fn listing(shared: &Shared, item: &Item) -> Option<ListedInstance> {
     let name = name(shared, &item.key)?;
-    match serde_json::from_slice::<Card>(&item.value) {
-        Ok(card) => Some(Listed {
+    match serde_json::from_slice::<InstanceRecord>(&item.value) {
+        Ok(record) => Some(ListedInstance {
             listing: Listing {
                 name,
-                zone: card.zone,
-                address: card.front,
-                peer_address: card.peer,
+                zone: record.zone,
+                address: record.front,
+                peer_address: record.peer,
                 state: MemberState::Live,
             },
-            capacity: card.capacity,
+            capacity: record.capacity,
         }),
         Err(error) => {
             log_event!(warn, log_event::ENTRY_UNREADABLE, key = %item.key, revision = item.revision, %error);
@@ -306,6 +308,6 @@
 }
 
 /// The instances that items describe.
-pub fn listings(shared: &Shared, items: &[Item]) -> Vec<Listed> {
+pub fn listings(shared: &Shared, items: &[Item]) -> Vec<ListedInstance> {
     items.iter().filter_map(|item| listing(shared, item)).collect()
 }
--- a/src/ops/relay/shared.rs
+++ b/src/ops/relay/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic thread share.
+//! State that the control thread and the traffic thread share.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,35 +26,35 @@
 
 use crate::ops::relay::edge::Translate;
 use crate::ops::relay::options::Options;
-use crate::ops::relay::options::Tuning;
-use crate::ops::relay::orders::Ordered;
+use crate::ops::relay::options::ReloadableOptions;
+use crate::ops::relay::orders::OrderRecords;
 use crate::util::clock;
 use crate::util::logging::SharedBudget;
 use crate::util::metrics::RelayMetrics;
 
-/// Callers keep an address for up to so many times the time that the answer said.
-pub const KEEP_FACTOR: u32 = 3;
+/// Callers cache an address for up to this many times as long as the answer told them.
+pub const ADDRESS_TTL_FACTOR: u32 = 3;
 
-/// What requests are answered by: never changed, only replaced.
+/// The configuration and the engines by which requests are handled. A view is never changed, only replaced.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// Routes and services.
     pub table: Arc<RoutingTable>,
     engines: Arc<BTreeMap<String, Vec<Engine>>>,
-    /// Derived from them: each message about load needs it.
+    /// Derived from `engines`, as each load message needs it.
     keys: Arc<BTreeMap<String, EngineKey>>,
     hashes: Arc<BTreeMap<u64, EngineKey>>,
     ids: Arc<BTreeMap<EngineKey, String>>,
-    /// Where callers may go, this instance included.
-    pub entrances: Vec<Endpoint>,
-    /// Engines that have had their order.
-    pub ordered: Arc<Ordered>,
-    /// Place of this instance among the live ones, by name.
+    /// Instances that callers may be sent to, including this one.
+    pub endpoints: Vec<Endpoint>,
+    /// The orders that engines have been given.
+    pub orders: Arc<OrderRecords>,
+    /// Rank of this instance among the live ones, by name.
     pub rank: u32,
-    /// Instances that share the budget of extra attempts.
+    /// Number of instances that share the retry budget.
     pub instances: usize,
-    /// Who acts for all towards the platform's API.
-    pub lead: Option<LeaseRecord>,
+    /// The holder of the lease of the leader, as the store shows it.
+    pub leader: Option<LeaseRecord>,
 }
 
 impl View {
@@ -63,7 +63,7 @@
         self.table.version > 0
     }
 
-    /// Engines that may get work, by service.
+    /// Engines that may get requests, by service.
     pub fn engines(&self) -> &BTreeMap<String, Vec<Engine>> {
         &self.engines
     }
@@ -95,38 +95,38 @@
     }
 }
 
-/// Load, health and budget: changed by every request, under a lock that is never held across an await.
+/// State that every request changes, under a lock that is never held across an await.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct TrafficState {
     /// Load and health of engines.
-    pub book: LoadTracker,
-    /// Budget of extra attempts.
+    pub load: LoadTracker,
+    /// Retry budget.
     pub budget: RetryBudget,
-    /// Requests that crash engines.
+    /// Requests suspected of crashing engines.
     pub suspects: Suspects,
     /// Requests that engines began, by window and workspace.
     pub tally: Tally,
 }
 
-/// What the threads of an instance share.
+/// The state that the threads of an instance share.
 pub struct Shared {
     /// Settings.
     pub options: Options,
-    /// The edge to the protocol spoken.
+    /// Translates to and from the protocol of callers and upstreams.
     pub translate: Arc<dyn Translate>,
-    /// What requests are answered by.
+    /// The current view.
     pub view: ArcSwap<View>,
     /// Metrics.
     pub metrics: RelayMetrics,
-    tuning: ArcSwap<Tuning>,
+    reloadable: ArcSwap<ReloadableOptions>,
     leaving: OnceLock<Time>,
-    /// When the store last confirmed what is known of it.
+    /// Time at which the store last confirmed that this instance is up to date.
     confirmed: AtomicU64,
-    /// Up to when everything that happened in the store is known, by proof.
+    /// Time up to which all changes in the store are proven to be known.
     proven: AtomicU64,
     /// How far true time is ahead of the monotonic clock, in microseconds; zero until it is known.
-    truth: AtomicU64,
-    ledger: Mutex<Ledger>,
+    true_offset: AtomicU64,
+    traffic: Mutex<TrafficState>,
     running: Arc<AtomicUsize>,
 }
 
@@ -141,16 +141,16 @@
 }
 
 impl Shared {
-    /// State before anything is known.
+    /// Creates the state of an instance that knows neither a configuration nor engines.
     pub fn new(options: Options, translate: Arc<dyn Translate>, budget: SharedBudget) -> Shared {
-        let ledger = Ledger {
-            book: LoadTracker::new(),
-            budget: RetryBudget::new(options.tuning.rule),
+        let traffic = TrafficState {
+            load: LoadTracker::new(),
+            budget: RetryBudget::new(options.reloadable.budget_limits),
             suspects: Suspects::new(),
             tally: Tally::default(),
         };
         Shared {
-            tuning: ArcSwap::from_pointee(options.tuning.clone()),
+            reloadable: ArcSwap::from_pointee(options.reloadable.clone()),
             options,
             translate,
             view: ArcSwap::default(),
@@ -158,28 +158,28 @@
             leaving: OnceLock::new(),
             confirmed: AtomicU64::default(),
             proven: AtomicU64::default(),
-            truth: AtomicU64::default(),
-            ledger: Mutex::new(ledger),
+            true_offset: AtomicU64::default(),
+            traffic: Mutex::new(traffic),
             running: Arc::default(),
         }
     }
 
-    /// Settings that may change.
-    pub fn tuning(&self) -> Arc<Tuning> {
-        self.tuning.load_full()
+    /// The settings that may change while the instance runs.
+    pub fn reloadable(&self) -> Arc<ReloadableOptions> {
+        self.reloadable.load_full()
     }
 
-    /// Puts changed settings into force.
-    pub fn tune(&self, tuning: Tuning) {
-        self.ledger().budget.set_limits(tuning.rule);
-        self.tuning.store(Arc::new(tuning));
+    /// Applies changed settings.
+    pub fn reload(&self, options: ReloadableOptions) {
+        self.traffic().budget.set_limits(options.budget_limits);
+        self.reloadable.store(Arc::new(options));
     }
 
-    /// Load, health and budget.
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        self.ledger
+    /// Locks the state that requests change.
+    pub fn traffic(&self) -> MutexGuard<'_, TrafficState> {
+        self.traffic
             .lock()
-            .expect("no thread panics while it holds the ledger")
+            .expect("no thread panics while it holds the lock")
     }
 
     /// Replaces the view by a changed copy.
@@ -192,98 +192,97 @@
         self.view.store(Arc::new(view));
     }
 
-    /// Notes that the store confirmed what is known of it.
-    pub fn on_store(&self, now: Time) {
+    /// Notes that the store confirmed at `now` that this instance is up to date.
+    pub fn on_store_answer(&self, now: Time) {
         self.confirmed.store(now.as_micros(), Ordering::Relaxed);
     }
 
-    /// How old the configuration and the list of engines may be; since the start if the store never answered.
+    /// Time since the store last confirmed that the configuration and the engines are up to date; since the start if it
+    /// never did.
     pub fn store_age(&self, now: Time) -> Duration {
         now.since(Time::from_micros(self.confirmed.load(Ordering::Relaxed)))
     }
 
-    /// Notes up to when everything that happened in the store is known. What it changed must be in force by then: requests
-    /// read this first and look at the view after it.
+    /// Notes that all changes in the store up to `until` are known. They must be in the view already: requests load
+    /// this time first and the view after it.
     pub fn on_proof(&self, until: Time) {
         self.proven.fetch_max(until.as_micros(), Ordering::SeqCst);
     }
 
-    /// How old what is known of the store may be.
+    /// Age of what is known of the store.
     pub fn ages(&self, now: Time) -> StoreAges {
         let proven = match self.proven.load(Ordering::SeqCst) {
             0 => Duration::MAX,
             micros => now.since(Time::from_micros(micros)),
         };
-        let heard = self.store_age(now);
-        StoreAges {
-            reported: heard,
-            proven,
-        }
+        let reported = self.store_age(now);
+        StoreAges { reported, proven }
     }
 
     /// Notes how far true time is ahead of the monotonic clock, in microseconds.
-    pub fn on_truth(&self, lead: u64) {
-        self.truth.store(lead, Ordering::Relaxed);
+    pub fn on_true_offset(&self, offset: u64) {
+        self.true_offset.store(offset, Ordering::Relaxed);
     }
 
-    /// True time, in microseconds since the Unix epoch; the wall clock's until any peer was heard.
+    /// True time, in microseconds since the Unix epoch; the local wall clock's time until the clock of a peer is known.
     pub fn true_micros(&self, now: Time) -> u64 {
-        match self.truth.load(Ordering::Relaxed) {
+        match self.true_offset.load(Ordering::Relaxed) {
             0 => clock::wall_micros(),
-            lead => now.as_micros().saturating_add(lead),
+            offset => now.as_micros().saturating_add(offset),
         }
     }
 
     /// Counts a request of a workspace that an engine began at `at`.
     pub fn on_begun(&self, at: Time, workspace: &str) {
-        if let Some(acts) = &self.options.acts {
-            let window = Window::at(self.true_micros(at), acts.window);
-            self.ledger().tally.on_begun(window, workspace);
+        if let Some(leader) = &self.options.leader {
+            let window = Window::at(self.true_micros(at), leader.window);
+            self.traffic().tally.on_begun(window, workspace);
         }
     }
 
-    /// How old a proof of what is known of the store may be; `None` where callers have no keys.
-    pub fn proof_limit(&self) -> Option<Duration> {
+    /// Maximum age of the last proof that all changes in the store are known; `None` if callers need no keys.
+    pub fn max_proof_age(&self) -> Option<Duration> {
         self.view.load().table.workspaces.as_ref()?;
-        self.tuning().keys.max_proof_age()
+        self.reloadable().key_limits.max_proof_age()
     }
 
-    /// Whether requests with keys may be let in.
+    /// Whether the last proof is recent enough for requests with keys to be accepted.
     pub fn is_proven(&self, now: Time) -> bool {
-        self.proof_limit()
+        self.max_proof_age()
             .is_none_or(|limit| self.ages(now).proven <= limit)
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers may be sent to this instance.
     pub fn is_ready(&self) -> bool {
         !self.is_leaving() && self.view.load().is_configured() && self.is_proven(clock::now())
     }
 
-    /// Whether the instance shuts down.
+    /// Whether the instance is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get().is_some()
     }
 
-    /// Begins to shut down.
+    /// Begins the shutdown.
     pub fn leave(&self, now: Time) {
         self.leaving.get_or_init(|| now);
     }
 
-    /// Whether new requests are refused: callers have had the time to learn that this address is no longer named.
+    /// Whether new requests are refused: callers have had the time to learn that the directory no longer lists this
+    /// address.
     ///
-    /// Failure guarded against: a stream that is accepted late in a shutdown is cut when the process ends.
+    /// Guards against streams that are accepted late in a shutdown and cut when the process ends.
     pub fn is_closed(&self, now: Time) -> bool {
-        let kept = self.tuning().keep * KEEP_FACTOR;
-        self.leaving.get().is_some_and(|at| now.since(*at) >= kept)
+        let max_kept = self.reloadable().address_ttl * ADDRESS_TTL_FACTOR;
+        self.leaving.get().is_some_and(|at| now.since(*at) >= max_kept)
     }
 
-    /// Counts a request as running.
+    /// Counts a request as running until the returned guard is dropped.
     pub fn begin(&self) -> Running {
         self.running.fetch_add(1, Ordering::SeqCst);
         Running(self.running.clone())
     }
 
-    /// Requests that are running.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running.load(Ordering::SeqCst)
     }
--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use sequoiastream::ops::relay;
-use sequoiastream::ops::relay::known::Known;
-use sequoiastream::ops::relay::options::Acts;
+use sequoiastream::ops::relay::known::StoreReplica;
+use sequoiastream::ops::relay::options::LeaderOptions;
 use sequoiastream::ops::relay::peers;
 use sequoiastream::ops::relay::shared::Shared;
 use sequoiastream::util::clock;
@@ -30,7 +30,7 @@
 /// An instance that acts for all by itself, towards `api`. Its service `chat` may be bought, and has `engines` in the zone `a`.
 async fn start(api: &ScriptedEngine, store: &FakeStore, engines: u32) -> Arc<Shared> {
     let mut options = options();
-    options.acts = Some(Acts {
+    options.leader = Some(LeaderOptions {
         address: api.address(),
         usage: true,
         scale: true,
@@ -64,9 +64,9 @@
     let sockets = peers::Sockets::bind(&shared)
         .await
         .expect("an address of its own");
-    let fleet = peers::start(shared.clone(), sockets, Known::new());
+    let fleet = peers::start(shared.clone(), sockets, StoreReplica::new());
     let store: Rc<dyn Store> = Rc::new(store.clone());
-    relay::act(&shared, &store, &fleet);
+    relay::start_leader_tasks(&shared, &store, &fleet);
     shared
 }
 
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sequoiastream::ops::relay::follow;
-use sequoiastream::ops::relay::known::Known;
+use sequoiastream::ops::relay::known::StoreReplica;
 use sequoiastream::ops::relay::options::Options;
 use sequoiastream::ops::relay::orders;
 use sequoiastream::ops::relay::peers;
@@ -31,7 +31,7 @@
     let sockets = peers::Sockets::bind(&shared)
         .await
         .expect("an address of its own");
-    let known = Known::new();
+    let known = StoreReplica::new();
     let fleet = peers::start(shared.clone(), sockets, known.clone());
     let store = Rc::new(store.clone());
     actix_web::rt::spawn(follow::run(shared.clone(), store, fleet.clone(), known));
@@ -42,7 +42,7 @@
 async fn listener(served: &FakeStore, own: &FakeStore, bound: Duration) -> [(Arc<Shared>, Fleet); 3] {
     let named = |name: &str| {
         let mut options = options();
-        options.tuning.bound = ApplyLimit(bound);
+        options.reloadable.apply_limit = ApplyLimit(bound);
         options.name = name.parse().expect("a name");
         options
     };
@@ -82,7 +82,7 @@
 
 fn addresses(shared: &Shared) -> Vec<SocketAddr> {
     let view = shared.view.load();
-    view.entrances.iter().map(|e| e.address).collect()
+    view.endpoints.iter().map(|e| e.address).collect()
 }
 
 fn version(shared: &Shared) -> u64 {
@@ -121,7 +121,7 @@
     store.set_batch_size(250);
     store.put("config", "3 /a/");
     let mut options = options();
-    options.tuning.bound = ApplyLimit(Duration::from_secs(60));
+    options.reloadable.apply_limit = ApplyLimit(Duration::from_secs(60));
     let shared = start(options, &store).await;
     until(|| version(&shared) == 3).await;
     for number in 0..4_000 {
@@ -177,7 +177,7 @@
     until(|| engines(&shared) == ["e2", "e3"]).await;
     assert_eq!(version(&shared), 3);
     assert!(
-        shared.view.load().ordered.engines().contains_key("e2"),
+        shared.view.load().orders.stages().contains_key("e2"),
         "an order that can't be read was given"
     );
 }
@@ -221,10 +221,10 @@
         store.put(&format!("orders/{id}"), r#"{"holder":"one/1","reader":true}"#);
     }
     let mut options = options();
-    options.tuning.forget = Duration::from_millis(100);
+    options.reloadable.retention = Duration::from_millis(100);
     let shared = start(options, &store).await;
     actix_web::rt::spawn(orders::run(shared.clone(), Rc::new(store.clone())));
-    let recorded = || -> Vec<String> { shared.view.load().ordered.engines().keys().cloned().collect() };
+    let recorded = || -> Vec<String> { shared.view.load().orders.stages().keys().cloned().collect() };
     until(|| recorded() == ["e1", "gone"]).await;
     until(|| recorded() == ["e1"]).await;
     assert!(store.has("orders/e1") && !store.has("orders/gone"));
@@ -350,7 +350,7 @@
     let named = |name: &str| {
         let mut options = options();
         options.name = name.parse().expect("a name");
-        options.tuning.forget = Duration::from_secs(3);
+        options.reloadable.retention = Duration::from_secs(3);
         options
     };
     let (first, second) = (named("one"), named("two"));
@@ -378,7 +378,7 @@
         store.put(&format!("own/a/{name}"), card);
     }
     let mut options = options();
-    options.tuning.bound = ApplyLimit(Duration::from_secs(60));
+    options.reloadable.apply_limit = ApplyLimit(Duration::from_secs(60));
     let (shared, fleet) = start_seated(options, &store).await;
     until(|| version(&shared) == 3 && !fleet.watch_rank().is_watcher()).await;
     for number in 0..70 {
@@ -399,7 +399,7 @@
         r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#,
     );
     let mut options = options();
-    options.tuning.forget = Duration::from_millis(50);
+    options.reloadable.retention = Duration::from_millis(50);
     let (shared, fleet) = start_seated(options, &store).await;
     let _registration = register::start(shared.clone(), Rc::new(store.clone()), fleet.clone());
     until(|| store.has("own/a/one") && fleet.watch_rank().rank == 0).await;
@@ -475,8 +475,8 @@
     // With work they tell of it, and of what they know of the store, forty times a second.
     for watcher in [&first, &second] {
         watcher
-            .ledger()
-            .book
+            .traffic()
+            .load
             .begin(clock::now(), EngineKey(0), Duration::ZERO);
     }
     let begun = clock::now();
--- a/tests/testsuite/relay/orders.rs
+++ b/tests/testsuite/relay/orders.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use sequoiastream::ops::relay::orders;
-use sequoiastream::ops::relay::orders::Ordered;
+use sequoiastream::ops::relay::orders::OrderRecords;
 use sequoiastream::ops::relay::shared::Shared;
 use sequoiastream_core::relay::engines::Engine;
 use sequoiastream_core::relay::engines::EngineKey;
@@ -134,9 +134,9 @@
     actix_web::rt::spawn(orders::run(state.clone(), Rc::new(store.clone())));
     engine.wait_for(|log| log.requests.len() == 1).await;
     // Three looks later there is still one: the plan is looked at again when the readers' part changes.
-    let mut tuning = (*state.tuning()).clone();
-    tuning.readers = 0.3;
-    state.tune(tuning);
+    let mut tuning = (*state.reloadable()).clone();
+    tuning.prefill_fraction = 0.3;
+    state.reload(tuning);
     let engines: Vec<Engine> = (10..14)
         .map(|index| {
             let entry = Entry {
@@ -173,16 +173,16 @@
 #[test]
 fn records_as_of_revision() {
     let translate = TestDialect::new();
-    let mut ordered = Ordered::default();
+    let mut ordered = OrderRecords::default();
     ordered.on_item(Time::ZERO, &translate, &record("e1", 7));
     ordered.on_item(Time::ZERO, &translate, &record("e2", 9));
-    ordered.on_all(Time::ZERO, &translate, 8, &[record("e1", 7)]);
+    ordered.on_snapshot(Time::ZERO, &translate, 8, &[record("e1", 7)]);
     assert_eq!(
         (ordered.revision("e1"), ordered.revision("e2")),
         (Some(7), Some(9))
     );
     ordered.on_item(Time::ZERO, &translate, &record("e1", 12));
-    ordered.on_all(Time::ZERO, &translate, 12, &[record("e1", 12)]);
+    ordered.on_snapshot(Time::ZERO, &translate, 12, &[record("e1", 12)]);
     assert_eq!((ordered.revision("e1"), ordered.revision("e2")), (Some(12), None));
-    assert_eq!(ordered.engines().len(), 1);
+    assert_eq!(ordered.stages().len(), 1);
 }
