--- a/src/ops/relay/known.rs
+++ b/src/ops/relay/known.rs
@@ -26,7 +26,7 @@
 use sequoiastream_peer::message::StoreNews;
 use sequoiastream_peer::message::StorePage;
 
-use crate::ops::relay::edge::Keys;
+use crate::ops::relay::edge::StoreKeys;
 
 /// Number of removals that are kept for peers that lag; peers that lag further read all items.
 const MAX_REMOVED: usize = 1_024;
@@ -93,7 +93,7 @@
     }
 
     /// Replaces the replica by all `items` of the store as of `revision`, unless it has a higher revision already.
-    pub fn on_snapshot(&self, keys: &Keys, revision: u64, items: &[Item]) {
+    pub fn on_snapshot(&self, keys: &StoreKeys, revision: u64, items: &[Item]) {
         let mut state = self.0.borrow_mut();
         if revision < state.sync.revision() {
             return;
@@ -118,7 +118,7 @@
     }
 
     /// Applies a change.
-    pub fn on_change(&self, keys: &Keys, change: &Change) {
+    pub fn on_change(&self, keys: &StoreKeys, change: &Change) {
         let mut state = self.0.borrow_mut();
         match change {
             Change::Put(item) if is_replicated(keys, &item.key) => {
@@ -303,7 +303,7 @@
     }
 }
 
-fn is_replicated(keys: &Keys, key: &str) -> bool {
-    let prefixes = [&keys.engines, &keys.orders, &keys.own];
-    key == keys.config || key == keys.lead || prefixes.iter().any(|prefix| key.starts_with(prefix.as_str()))
+fn is_replicated(keys: &StoreKeys, key: &str) -> bool {
+    let prefixes = [&keys.engines, &keys.orders, &keys.instances];
+    key == keys.config || key == keys.leader || prefixes.iter().any(|prefix| key.starts_with(prefix.as_str()))
 }
--- a/src/ops/relay/lead.rs
+++ b/src/ops/relay/lead.rs
@@ -39,7 +39,7 @@
 
 /// Parses the holder's record; `None` if the item has another key.
 pub fn record(translate: &dyn Translate, item: &Item) -> Option<LeaseRecord> {
-    if item.key != translate.keys().lead {
+    if item.key != translate.keys().leader {
         return None;
     }
     // A record that can't be read still means that some instance holds the lease.
@@ -133,7 +133,7 @@
     async fn create(&self, shared: &Shared, store: &dyn Store) -> Result<Option<(LeaseId, u64)>, StoreError> {
         let length = self.0.lease.borrow().lease();
         let lease = store.grant(length).await?;
-        let key = shared.translate.keys().lead.clone();
+        let key = shared.translate.keys().leader.clone();
         let own_record = HolderRecord {
             holder: shared.options.name.to_string(),
             process: self.0.process.clone(),
--- a/src/ops/relay/orders.rs
+++ b/src/ops/relay/orders.rs
@@ -343,7 +343,7 @@
         .header(header::HOST, address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .header(
-            &shared.translate.names().expect,
+            &shared.translate.names().target_engine,
             HeaderValue::from_str(&engine.entry.id).map_err(|e| e.to_string())?,
         )
         .body(Full::new(Bytes::from(body)))
--- a/src/ops/relay/stream.rs
+++ b/src/ops/relay/stream.rs
@@ -1,8 +1,8 @@
-//! Passing a stream on, event by event.
+//! Forwards a stream to the caller, event by event.
 //!
-//! Nothing reaches the caller before the first event is whole, so that an engine that fails until then can still be
-//! replaced. Afterwards a stream that may be resumed goes on at another engine behind the last event delivered; any
-//! other is broken off towards the caller too, so that it can't be taken for complete.
+//! Nothing is sent to the caller before the first event is complete, so that an engine that fails until then can still
+//! be replaced. After that, a resumable stream continues at another engine after the last event delivered. Any other
+//! stream is aborted towards the caller as well, so that the caller can't take it for complete.
 
 use std::time::Duration;
 
@@ -19,45 +19,51 @@
 use tokio::time::timeout;
 
 use crate::log_event;
-use crate::ops::relay::forward::Forward;
-use crate::ops::relay::forward::head;
-use crate::ops::relay::pick::Held;
-use crate::ops::relay::send::Failure;
+use crate::ops::relay::forward::ForwardedRequest;
+use crate::ops::relay::forward::response_head;
+use crate::ops::relay::pick::JobGuard;
+use crate::ops::relay::send::AttemptFailure;
 use crate::ops::relay::send::end_of;
 use crate::ops::relay::shared::Running;
 
-/// Pauses that are still on time which an engine may be silent for: callers leave after eight.
-const GAP_PAUSES: u32 = 4;
+/// Multiple of the route's target for the gap between two events after which a silent engine is abandoned. Callers
+/// abandon a stream after eight times the target.
+const GAP_TIMEOUT_FACTOR: u32 = 4;
 
-/// Shortest silence after which an engine is given up: callers leave after two seconds.
-const LEAST_GAP: Duration = Duration::from_millis(600);
+/// Minimum time of silence after which an engine is abandoned. Callers abandon a stream after two seconds of silence.
+const MIN_GAP_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A stream that was broken off.
+/// A stream was aborted before its end.
 #[derive(Debug, Error)]
-#[error("the stream was broken off")]
-pub struct BrokenOff;
+#[error("the stream was aborted before its end")]
+pub struct StreamAborted;
 
-/// A stream whose first event is here.
-pub struct Opened {
+/// A stream whose first event has been received, or an error instead of a stream.
+pub struct OpenedStream {
     answer: Answer,
     engine: Engine,
-    held: Held,
+    job: JobGuard,
     reader: EventReader,
     first: Option<Event>,
-    /// Set for an answer that is no stream: its whole body.
+    /// The whole body, if the answer is an error and not a stream.
     body: Option<Bytes>,
 }
 
-/// Reads the first event of an answer, or the whole of one that is not a success.
+/// Reads the first event of an answer, or the whole body if its status is not a success.
 ///
 /// # Errors
 ///
-/// [`Failure`] if the answer ends before.
-pub async fn open(answer: Answer, engine: Engine, held: Held, limit: Duration) -> Result<Opened, Failure> {
-    let mut opened = Opened {
+/// [`AttemptFailure`] if the answer ends, or `limit` passes, before that.
+pub async fn open(
+    answer: Answer,
+    engine: Engine,
+    job: JobGuard,
+    limit: Duration,
+) -> Result<OpenedStream, AttemptFailure> {
+    let mut opened = OpenedStream {
         answer,
         engine,
-        held,
+        job,
         reader: EventReader::new(),
         first: None,
         body: None,
@@ -65,41 +71,48 @@
     if !opened.answer.head.status.is_success() {
         let body = opened
             .answer
-            .read(crate::ops::relay::send::MAX_ANSWER, limit)
+            .read(crate::ops::relay::send::MAX_ANSWER_BYTES, limit)
             .await?;
         opened.body = Some(body);
         return Ok(opened);
     }
     let first = timeout(limit, opened.next()).await;
-    opened.first = first.map_err(|_| Failure::new(End::Silent, "no first event in time"))??;
-    opened.held.read();
+    opened.first =
+        first.map_err(|_| AttemptFailure::new(End::Silent, "no first event within the time limit"))??;
+    opened.job.finish_prefill();
     Ok(opened)
 }
 
-impl Opened {
-    /// Whether the engine failed instead of generating.
+impl OpenedStream {
+    /// Whether the engine answered with a server error.
     pub fn is_failure(&self) -> bool {
         end_of(&self.answer) == End::Failed
     }
 
-    /// The engine and what is left of its answer.
+    /// Returns the engine and its answer.
     pub fn into_parts(self) -> (Engine, Answer) {
         (self.engine, self.answer)
     }
 
-    /// The next event; `None` at the proper end.
-    async fn next(&mut self) -> Result<Option<Event>, Failure> {
+    /// Returns the next event, or `None` if the stream ended properly.
+    async fn next(&mut self) -> Result<Option<Event>, AttemptFailure> {
         loop {
             if let Some(event) = self.reader.next_event() {
                 return Ok(Some(event));
             }
             if self.reader.is_too_long() {
-                return Err(Failure::new(End::Broken, "an event is too long"));
+                return Err(AttemptFailure::new(
+                    End::Broken,
+                    "an event exceeds the size limit",
+                ));
             }
             match self.answer.next().await? {
                 Some(data) => self.reader.push(&data),
                 None if self.reader.has_rest() => {
-                    return Err(Failure::new(End::Broken, "the stream ended within an event"));
+                    return Err(AttemptFailure::new(
+                        End::Broken,
+                        "the stream ended within an event",
+                    ));
                 }
                 None => return Ok(None),
             }
@@ -107,40 +120,40 @@
     }
 }
 
-/// A stream on its way to the caller.
-struct Stream {
-    forward: Forward,
-    opened: Option<Opened>,
-    /// The last event delivered.
-    last: Option<u64>,
+/// A stream that is being forwarded to the caller.
+struct ResponseStream {
+    forward: ForwardedRequest,
+    opened: Option<OpenedStream>,
+    /// Id of the last event delivered to the caller.
+    last_event: Option<u64>,
     _running: Option<Running>,
 }
 
-/// The answer to the caller: the head of the first engine, and the events of all.
-pub fn respond(forward: Forward, opened: Opened, running: Option<Running>) -> HttpResponse {
+/// Starts the answer to the caller: it has the head of the first engine's answer and the events of all engines.
+pub fn respond(forward: ForwardedRequest, opened: OpenedStream, running: Option<Running>) -> HttpResponse {
     let parts = &opened.answer.head;
-    let mut builder = head(&parts.headers, parts.status.as_u16());
+    let mut builder = response_head(&parts.headers, parts.status.as_u16());
     if let Some(body) = opened.body.clone() {
         let end = end_of(&opened.answer);
-        forward.judge(opened.engine.key, end);
+        forward.record_end(opened.engine.key, end);
         forward.count(end.label());
         let (engine, answer) = opened.into_parts();
         forward.pool.keep(engine.entry.address, answer);
         return builder.body(body);
     }
-    let stream = Stream {
-        last: forward.ask.resume,
+    let stream = ResponseStream {
+        last_event: forward.incoming.last_event,
         forward,
         opened: Some(opened),
         _running: running,
     };
-    builder.streaming(try_unfold(stream, step))
+    builder.streaming(try_unfold(stream, next_chunk))
 }
 
-/// The next bytes for the caller.
-async fn step(mut stream: Stream) -> Result<Option<(Bytes, Stream)>, BrokenOff> {
+/// Returns the next bytes for the caller.
+async fn next_chunk(mut stream: ResponseStream) -> Result<Option<(Bytes, ResponseStream)>, StreamAborted> {
     loop {
-        let limit = stream.limit();
+        let limit = stream.event_timeout();
         let Some(opened) = stream.opened.as_mut() else {
             return Ok(None);
         };
@@ -148,11 +161,11 @@
             Some(first) => Ok(Some(first)),
             None => timeout(limit, opened.next())
                 .await
-                .unwrap_or_else(|_| Err(Failure::new(End::Silent, "no event in time"))),
+                .unwrap_or_else(|_| Err(AttemptFailure::new(End::Silent, "no event within the time limit"))),
         };
         match next {
             Ok(Some(event)) => {
-                stream.last = event.id.or(stream.last);
+                stream.last_event = event.id.or(stream.last_event);
                 return Ok(Some((event.bytes, stream)));
             }
             Ok(None) => {
@@ -164,13 +177,13 @@
     }
 }
 
-impl Stream {
-    /// How long the next event is waited for.
-    fn limit(&self) -> Duration {
-        let left = self.forward.ask.left();
-        match self.forward.patience(Duration::ZERO) {
-            Some(_) => (self.forward.route.gap_target * GAP_PAUSES)
-                .max(LEAST_GAP)
+impl ResponseStream {
+    /// How long to wait for the next event.
+    fn event_timeout(&self) -> Duration {
+        let left = self.forward.incoming.time_left();
+        match self.forward.attempt_timeout(Duration::ZERO) {
+            Some(_) => (self.forward.route.gap_target * GAP_TIMEOUT_FACTOR)
+                .max(MIN_GAP_TIMEOUT)
                 .min(left),
             None => left,
         }
@@ -180,38 +193,39 @@
         let Some(opened) = self.opened.take() else {
             return;
         };
-        self.forward.judge(opened.engine.key, End::Answered);
+        self.forward.record_end(opened.engine.key, End::Answered);
         self.forward.count(End::Answered.label());
         self.forward.pool.keep(opened.engine.entry.address, opened.answer);
     }
 
-    /// Goes on at another engine if the route allows it. The connection to the first is closed before.
-    async fn resume(&mut self, failure: &Failure) -> Result<(), BrokenOff> {
+    /// Continues the stream at another engine if the route allows it. The connection to the previous engine is closed
+    /// first.
+    async fn resume(&mut self, failure: &AttemptFailure) -> Result<(), StreamAborted> {
         let Some(opened) = self.opened.take() else {
-            return Err(BrokenOff);
+            return Err(StreamAborted);
         };
-        let Opened {
-            engine, answer, held, ..
+        let OpenedStream {
+            engine, answer, job, ..
         } = opened;
         drop(answer);
-        drop(held);
+        drop(job);
         let mut reply = self.forward.on_failure(&engine, failure);
         while reply.is_none() {
-            match self.forward.open(self.last).await {
+            match self.forward.open(self.last_event).await {
                 Ok(next) if next.body.is_none() => {
-                    log_event!(info, log_event::RESUMED, request = self.forward.id(), after = self.last, from = %engine.entry.id, to = %next.engine.entry.id);
+                    log_event!(info, log_event::RESUMED, request = self.forward.id(), after = self.last_event, from = %engine.entry.id, to = %next.engine.entry.id);
                     self.opened = Some(next);
                     return Ok(());
                 }
                 Ok(next) => {
-                    let failure = Failure::new(End::Failed, "no stream");
+                    let failure = AttemptFailure::new(End::Failed, "the answer is not a stream");
                     reply = self.forward.on_failure(&next.engine, &failure);
                 }
                 Err(given_up) => reply = given_up,
             }
         }
         self.forward.count("broken-off");
-        log_event!(info, log_event::BROKEN_OFF, request = self.forward.id(), engine = %engine.entry.id, why = failure.why, ?reply);
-        Err(BrokenOff)
+        log_event!(info, log_event::BROKEN_OFF, request = self.forward.id(), engine = %engine.entry.id, why = failure.reason, ?reply);
+        Err(StreamAborted)
     }
 }
