--- a/src/ops/client.rs
+++ b/src/ops/client.rs
@@ -10,10 +10,10 @@
 use thiserror::Error;
 
 /// How long a statement may take.
-const LIMIT: Duration = Duration::from_secs(60);
+const STATEMENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Largest answer, in bytes.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Client of the operators' interface.
 pub struct OperatorClient {
@@ -76,7 +76,10 @@
     /// A client of the instance at `base`.
     pub fn new(base: &str, token: &str) -> OperatorClient {
         OperatorClient {
-            http: Client::builder().timeout(LIMIT).disable_redirects().finish(),
+            http: Client::builder()
+                .timeout(STATEMENT_TIMEOUT)
+                .disable_redirects()
+                .finish(),
             base: base.trim_end_matches('/').to_string(),
             token: token.to_string(),
         }
@@ -100,7 +103,7 @@
             url: url.clone(),
             cause,
         };
-        let body = answer.body().limit(MAX_ANSWER).await;
+        let body = answer.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| malformed(error.to_string()))?;
         if status.is_success() {
             return serde_json::from_slice(&body).map_err(|error| malformed(error.to_string()));
--- a/src/ops/daemon.rs
+++ b/src/ops/daemon.rs
@@ -32,10 +32,10 @@
 use crate::util::clock;
 
 /// How often a shutdown looks whether its next step is due.
-const STEP: Duration = Duration::from_millis(20);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Seconds that connections have to close after the last answer.
-const CLOSE: u64 = 10;
+const CONNECTION_CLOSE_TIMEOUT_SECS: u64 = 10;
 
 /// Runs the daemon until SIGTERM or SIGINT, then shuts down gracefully.
 ///
@@ -66,14 +66,14 @@
     })
     .workers(workers)
     .disable_signals()
-    .shutdown_timeout(CLOSE)
+    .shutdown_timeout(CONNECTION_CLOSE_TIMEOUT_SECS)
     .listen(listener)?
     .run();
     // Failure guarded against: a signal right after `listening` ends the process without any step of a shutdown,
     // since nobody waits for signals yet. They are taken from here on, before that line.
     let terminate = signal(SignalKind::terminate())?;
     let interrupt = signal(SignalKind::interrupt())?;
-    let stopping = actix::spawn(stop(
+    let stopping = actix::spawn(shut_down_on_signal(
         shared,
         control.clone(),
         server.handle(),
@@ -92,7 +92,7 @@
 }
 
 /// Waits for a signal and takes the steps of a shutdown.
-async fn stop(
+async fn shut_down_on_signal(
     shared: Arc<Shared>,
     control: Control,
     server: ServerHandle,
@@ -110,7 +110,7 @@
     control.membership.do_send(Leave);
     let mut phase = Phase::Unlisted;
     while phase != Phase::Drained {
-        actix::clock::sleep(STEP).await;
+        actix::clock::sleep(SHUTDOWN_POLL_INTERVAL).await;
         let next = shutdown.step(clock::now(), shared.count_running());
         if next > phase && next == Phase::Refusing {
             log_event!(info, log_event::REFUSING, running = shared.count_running());
--- a/src/ops/exchange.rs
+++ b/src/ops/exchange.rs
@@ -39,7 +39,7 @@
         head.set_connection_type(ConnectionType::Close);
     }
     let tracked = |_: &mut _, body| {
-        BoxBody::new(Tracked {
+        BoxBody::new(TrackedBody {
             body,
             _running: running,
         })
@@ -48,12 +48,12 @@
 }
 
 /// A body that counts as running work until it is dropped.
-struct Tracked {
+struct TrackedBody {
     body: BoxBody,
     _running: Running,
 }
 
-impl MessageBody for Tracked {
+impl MessageBody for TrackedBody {
     type Error = <BoxBody as MessageBody>::Error;
 
     fn size(&self) -> BodySize {
--- a/src/ops/explain.rs
+++ b/src/ops/explain.rs
@@ -11,19 +11,19 @@
 use thiserror::Error;
 
 /// Event that says which configuration is in force.
-const CONFIG: u64 = 200;
+const CONFIG_EVENT: u64 = 200;
 
 /// Events that say how the store stands: away, back.
-const STORE: [u64; 2] = [300, 301];
+const KV_EVENTS: [u64; 2] = [300, 301];
 
 /// Event that says how many engines may get work.
-const ENGINES: u64 = 304;
+const ENGINES_EVENT: u64 = 304;
 
 /// Events that are the last word on a request, the strongest first.
-const DECIDING: [u64; 4] = [407, 401, 405, 400];
+const DECIDING_EVENTS: [u64; 4] = [407, 401, 405, 400];
 
 /// Fields that every line has, or that the story shows elsewhere.
-const SHOWN: [&str; 3] = ["message", "event", "request"];
+const OMITTED_FIELDS: [&str; 3] = ["message", "event", "request"];
 
 /// A log of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     #[error(
         "no line of {files} files names request {request}; successes are sampled, failures only when they come in floods"
     )]
-    Unknown {
+    RequestNotFound {
         /// The request.
         request: String,
         /// Files that were read.
@@ -50,37 +50,37 @@
 }
 
 #[derive(Debug, Clone)]
-struct Line {
+struct LogLine {
     file: usize,
     number: usize,
     time: String,
     event: u64,
-    said: String,
+    content: String,
 }
 
 /// What an instance believed when it decided.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Beliefs(BTreeMap<u64, String>);
+struct KnownState(BTreeMap<u64, String>);
 
-impl Beliefs {
-    fn on_line(&mut self, event: u64, said: &str) {
+impl KnownState {
+    fn update(&mut self, event: u64, content: &str) {
         let about = match event {
-            CONFIG | ENGINES => event,
-            _ if STORE.contains(&event) => STORE[0],
+            CONFIG_EVENT | ENGINES_EVENT => event,
+            _ if KV_EVENTS.contains(&event) => KV_EVENTS[0],
             _ => return,
         };
-        self.0.insert(about, said.to_string());
+        self.0.insert(about, content.to_string());
     }
 }
 
 /// The story of one request.
 #[derive(Debug, Clone)]
-pub struct Story {
+pub struct RequestHistory {
     request: String,
     names: Vec<String>,
-    lines: Vec<Line>,
-    decided: usize,
-    beliefs: Beliefs,
+    lines: Vec<LogLine>,
+    deciding_index: usize,
+    known_state: KnownState,
 }
 
 /// Gathers what the logs say of `request`.
@@ -88,72 +88,74 @@
 /// # Errors
 ///
 /// [`ExplainError`] if they say nothing.
-pub fn explain(request: &str, logs: &[Log]) -> Result<Story, ExplainError> {
+pub fn explain(request: &str, logs: &[Log]) -> Result<RequestHistory, ExplainError> {
     let mut found = Vec::new();
     for (file, log) in logs.iter().enumerate() {
         let lines = log.text.lines().enumerate();
-        let lines = lines.filter_map(|(number, text)| line(file, number + 1, text));
-        found.push(lines.collect::<Vec<(Option<String>, Line)>>());
+        let lines = lines.filter_map(|(number, text)| parse_line(file, number + 1, text));
+        found.push(lines.collect::<Vec<(Option<String>, LogLine)>>());
     }
-    let own = |lines: &[(Option<String>, Line)]| -> Vec<Line> {
+    let own = |lines: &[(Option<String>, LogLine)]| -> Vec<LogLine> {
         let lines = lines
             .iter()
             .filter(|(named, _)| named.as_deref() == Some(request));
         lines.map(|(_, line)| line.clone()).collect()
     };
     let lines = merge(found.iter().map(|lines| own(lines)).collect());
-    let Some(decided) = deciding(&lines) else {
-        return Err(ExplainError::Unknown {
+    let Some(deciding_index) = find_deciding_line(&lines) else {
+        return Err(ExplainError::RequestNotFound {
             request: request.to_string(),
             files: logs.len(),
         });
     };
-    let mut beliefs = Beliefs::default();
-    let until = &lines[decided];
+    let mut known_state = KnownState::default();
+    let until = &lines[deciding_index];
     for (_, line) in found[until.file]
         .iter()
         .filter(|(_, line)| line.number < until.number)
     {
-        beliefs.on_line(line.event, &line.said);
+        known_state.update(line.event, &line.content);
     }
-    Ok(Story {
+    Ok(RequestHistory {
         request: request.to_string(),
         names: logs.iter().map(|log| log.name.clone()).collect(),
         lines,
-        decided,
-        beliefs,
+        deciding_index,
+        known_state,
     })
 }
 
 /// A line of a log and the request that it names; `None` for what is no line of ours. Whatever stands before the first
 /// brace, such as a collector's own stamp, is passed over.
-fn line(file: usize, number: usize, text: &str) -> Option<(Option<String>, Line)> {
+fn parse_line(file: usize, number: usize, text: &str) -> Option<(Option<String>, LogLine)> {
     let json: Value = serde_json::from_str(&text[text.find('{')?..]).ok()?;
     let fields = json.get("fields")?.as_object()?;
     let event = fields.get("event")?.as_u64()?;
-    let rest = fields.iter().filter(|(name, _)| !SHOWN.contains(&name.as_str()));
+    let rest = fields
+        .iter()
+        .filter(|(name, _)| !OMITTED_FIELDS.contains(&name.as_str()));
     let rest: Vec<String> = rest
-        .map(|(name, value)| format!("{name}={}", plain(value)))
+        .map(|(name, value)| format!("{name}={}", to_plain_text(value)))
         .collect();
-    let message = fields.get("message").map(plain).unwrap_or_default();
-    let said = format!("{message} {}", rest.join(" "));
-    let line = Line {
+    let message = fields.get("message").map(to_plain_text).unwrap_or_default();
+    let content = format!("{message} {}", rest.join(" "));
+    let line = LogLine {
         file,
         number,
-        time: json.get("timestamp").map(plain).unwrap_or_default(),
+        time: json.get("timestamp").map(to_plain_text).unwrap_or_default(),
         event,
-        said: said.trim_end().to_string(),
+        content: content.trim_end().to_string(),
     };
-    Some((fields.get("request").map(plain), line))
+    Some((fields.get("request").map(to_plain_text), line))
 }
 
-fn plain(value: &Value) -> String {
+fn to_plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
 
 /// All lines, by time as far as each file's own order allows.
-fn merge(files: Vec<Vec<Line>>) -> Vec<Line> {
-    let mut files: Vec<std::vec::IntoIter<Line>> = files.into_iter().map(Vec::into_iter).collect();
+fn merge(files: Vec<Vec<LogLine>>) -> Vec<LogLine> {
+    let mut files: Vec<std::vec::IntoIter<LogLine>> = files.into_iter().map(Vec::into_iter).collect();
     let mut merged = Vec::new();
     loop {
         let heads = files.iter().enumerate();
@@ -166,30 +168,30 @@
 }
 
 /// The line that decided: the last of the strongest kind.
-fn deciding(lines: &[Line]) -> Option<usize> {
+fn find_deciding_line(lines: &[LogLine]) -> Option<usize> {
     let last = |event: &u64| lines.iter().rposition(|line| line.event == *event);
-    DECIDING
+    DECIDING_EVENTS
         .iter()
         .find_map(last)
         .or_else(|| lines.len().checked_sub(1))
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for RequestHistory {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "request {}", self.request)?;
         for (index, line) in self.lines.iter().enumerate() {
-            let mark = if index == self.decided { '>' } else { ' ' };
+            let mark = if index == self.deciding_index { '>' } else { ' ' };
             let name = &self.names[line.file];
             writeln!(
                 f,
                 "{mark} {name}:{} {} {} {}",
-                line.number, line.time, line.event, line.said
+                line.number, line.time, line.event, line.content
             )?;
         }
-        let decided = &self.lines[self.decided];
-        writeln!(f, "decided by {}:{}", self.names[decided.file], decided.number)?;
-        for (event, said) in &self.beliefs.0 {
-            writeln!(f, "believed then: {event} {said}")?;
+        let deciding = &self.lines[self.deciding_index];
+        writeln!(f, "decided by {}:{}", self.names[deciding.file], deciding.number)?;
+        for (event, content) in &self.known_state.0 {
+            writeln!(f, "believed then: {event} {content}")?;
         }
         Ok(())
     }
