--- a/src/ops/client.rs
+++ b/src/ops/client.rs
@@ -1,4 +1,4 @@
-//! What the command-line tool asks of an instance.
+//! HTTP client with which the command-line tool sends operator statements to an instance.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,52 +9,52 @@
 use sequoiastream_operator::wire::StatementBody;
 use thiserror::Error;
 
-/// How long a statement may take.
+/// Timeout of the HTTP request that carries a statement.
 const STATEMENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Largest answer, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Client of the operators' interface.
+/// Client of the operator interface of one instance.
 pub struct OperatorClient {
     http: Client,
     base: String,
     token: String,
 }
 
-/// Why an instance did not carry statements out.
+/// Why a statement was not executed, or why its outcome is not known.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ClientError {
-    /// No answer came: it is not known whether the statements took effect.
+    /// No response arrived; the statement may or may not have taken effect.
     #[error("could not reach {url}: {cause}")]
     Unreachable {
-        /// Where.
+        /// URL of the request.
         url: String,
-        /// Why.
+        /// Description of the underlying error.
         cause: String,
     },
-    /// The answer can't be read.
-    #[error("could not read the answer of {url}: {cause}")]
+    /// The response can't be read or decoded.
+    #[error("could not read the response from {url}: {cause}")]
     Malformed {
-        /// Where.
+        /// URL of the request.
         url: String,
-        /// Why.
+        /// Description of the underlying error.
         cause: String,
     },
-    /// The instance refused.
+    /// The instance responded with an error status.
     #[error("{error}")]
     Refused {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// What the instance said.
+        /// Error message from the instance.
         error: String,
-        /// What to do next, if it said so.
+        /// What to do next, if the instance suggested something.
         help: Option<String>,
     },
 }
 
 impl ClientError {
-    /// What to do next, if there is something.
+    /// Returns a suggestion of what to do next, if there is one.
     pub fn help(&self) -> Option<&str> {
         match self {
             ClientError::Unreachable { .. } => Some("try another instance with --server"),
@@ -73,7 +73,7 @@
 }
 
 impl OperatorClient {
-    /// A client of the instance at `base`.
+    /// Creates a client of the instance at the URL `base` that authenticates with the bearer token `token`.
     pub fn new(base: &str, token: &str) -> OperatorClient {
         OperatorClient {
             http: Client::builder()
@@ -85,25 +85,26 @@
         }
     }
 
-    /// Gives statements.
+    /// Sends `statement` to the instance and returns its reply.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if the instance can't be reached or did not carry them out.
+    /// Returns [`ClientError`] if the instance can't be reached, responds with an error, or sends a response that
+    /// can't be read.
     pub async fn execute(&self, statement: &StatementBody) -> Result<ReplyBody, ClientError> {
         let url = format!("{}/operator/statement", self.base);
         let request = self.http.post(&url).bearer_auth(&self.token);
-        let sent = request.send_json(statement).await;
-        let mut answer = sent.map_err(|error| ClientError::Unreachable {
+        let result = request.send_json(statement).await;
+        let mut response = result.map_err(|error| ClientError::Unreachable {
             url: url.clone(),
             cause: error.to_string(),
         })?;
-        let status = answer.status();
+        let status = response.status();
         let malformed = |cause: String| ClientError::Malformed {
             url: url.clone(),
             cause,
         };
-        let body = answer.body().limit(MAX_RESPONSE_BYTES).await;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| malformed(error.to_string()))?;
         if status.is_success() {
             return serde_json::from_slice(&body).map_err(|error| malformed(error.to_string()));
--- a/src/ops/daemon.rs
+++ b/src/ops/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the daemon.
+//! Startup and graceful shutdown of the daemon.
 
 use std::future::ready;
 use std::io::Write;
@@ -31,10 +31,10 @@
 use crate::settings::Settings;
 use crate::util::clock;
 
-/// How often a shutdown looks whether its next step is due.
+/// Interval at which a shutdown checks whether its next phase is due.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Seconds that connections have to close after the last answer.
+/// Time in seconds for connections to close after the last response, before the server closes them.
 const CONNECTION_CLOSE_TIMEOUT_SECS: u64 = 10;
 
 /// Runs the daemon until SIGTERM or SIGINT, then shuts down gracefully.
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 ///
-/// If an address can't be bound or the server fails.
+/// Returns an error if an address can't be bound, the control thread can't be started, or the server fails.
 pub async fn run(settings: Settings) -> eyre::Result<()> {
     let listen = settings.listen;
     let workers = settings.workers;
@@ -52,9 +52,9 @@
     let sockets = Sockets::bind(&settings, address)?;
     let shared = Arc::new(Shared::new(settings));
     let control = Control::start(shared.clone(), sockets).await?;
-    let (state, actors) = (shared.clone(), control.clone());
+    let (state, control_handle) = (shared.clone(), control.clone());
     let server = HttpServer::new(move || {
-        let dispatch = Dispatch::new(state.clone(), actors.clone());
+        let dispatch = Dispatch::new(state.clone(), control_handle.clone());
         let version = state.clone();
         let version = move || ready(HttpResponse::Ok().json(version.snapshot.load().version));
         App::new()
@@ -69,11 +69,11 @@
     .shutdown_timeout(CONNECTION_CLOSE_TIMEOUT_SECS)
     .listen(listener)?
     .run();
-    // Failure guarded against: a signal right after `listening` ends the process without any step of a shutdown,
-    // since nobody waits for signals yet. They are taken from here on, before that line.
+    // The signal handlers are installed before `listening` is printed: otherwise a signal that arrives right after
+    // that line, before anything waits for signals, would end the process without a graceful shutdown.
     let terminate = signal(SignalKind::terminate())?;
     let interrupt = signal(SignalKind::interrupt())?;
-    let stopping = actix::spawn(shut_down_on_signal(
+    let shutdown_task = actix::spawn(shut_down_on_signal(
         shared,
         control.clone(),
         server.handle(),
@@ -84,14 +84,14 @@
     let mut out = std::io::stdout();
     writeln!(out, "listening {address}")?;
     out.flush()?;
-    server.await.wrap_err("the server failed")?;
-    stopping.await.wrap_err("the shutdown failed")?;
+    server.await.wrap_err("the HTTP server failed")?;
+    shutdown_task.await.wrap_err("the graceful shutdown failed")?;
     control.release_leases().await;
     log_event!(info, log_event::STOPPED);
     Ok(())
 }
 
-/// Waits for a signal and takes the steps of a shutdown.
+/// Waits for SIGTERM or SIGINT, then goes through the phases of a shutdown and stops the server.
 async fn shut_down_on_signal(
     shared: Arc<Shared>,
     control: Control,
--- a/src/ops/exchange.rs
+++ b/src/ops/exchange.rs
@@ -1,4 +1,4 @@
-//! What surrounds every HTTP exchange of the daemon.
+//! Middleware around every HTTP exchange of the daemon.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -19,11 +19,15 @@
 use crate::ops::shared::Running;
 use crate::ops::shared::Shared;
 
-/// Counts the exchange as running until the last byte of its answer left, and ends the connection after it if
-/// this instance is leaving.
+/// Counts the exchange as running work until the last byte of its response has been sent, and closes the connection
+/// after the response if this instance is shutting down.
 ///
-/// Failure guarded against: a caller sends a request on a kept connection in the moment in which the instance
-/// closes it, and sees a connection reset. Callers that were told to close have none open by then.
+/// This guards against connection resets: a caller may send a request on a keep-alive connection just as the instance
+/// closes it. Callers that were sent `Connection: close` have no connection open by then.
+///
+/// # Errors
+///
+/// Returns the error of the wrapped service.
 pub async fn track<B>(
     shared: Data<Arc<Shared>>,
     request: ServiceRequest,
@@ -47,7 +51,7 @@
     Ok(response.map_body(tracked))
 }
 
-/// A body that counts as running work until it is dropped.
+/// A response body that counts as running work until it is dropped.
 struct TrackedBody {
     body: BoxBody,
     _running: Running,
--- a/src/ops/explain.rs
+++ b/src/ops/explain.rs
@@ -1,8 +1,8 @@
-//! The story of one request, out of the logs of the instances.
+//! Reconstructs the history of one request from the logs of the instances.
 //!
-//! Clocks of instances differ, so lines of two files can't be ordered by their times alone. The lines of one file are in
-//! the order in which things happened there; between files, a line is placed by its time as far as that keeps each
-//! file's own order.
+//! The clocks of instances differ, so lines of different files can't be ordered by their timestamps alone. Lines of the
+//! same file are in the order in which the events happened on that instance and keep this order; lines of different
+//! files are ordered by timestamp as far as that allows.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,45 +10,46 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Event that says which configuration is in force.
+/// Event that reports the configuration in force.
 const CONFIG_EVENT: u64 = 200;
 
-/// Events that say how the store stands: away, back.
+/// Events that report the state of the key-value service: a call failed, it responds again.
 const KV_EVENTS: [u64; 2] = [300, 301];
 
-/// Event that says how many engines may get work.
+/// Event that reports how many engines may receive requests.
 const ENGINES_EVENT: u64 = 304;
 
-/// Events that are the last word on a request, the strongest first.
+/// Events that determine the outcome of a request, in descending order of precedence.
 const DECIDING_EVENTS: [u64; 4] = [407, 401, 405, 400];
 
-/// Fields that every line has, or that the story shows elsewhere.
+/// Fields omitted from the list of a line's fields: every line has them, or the history shows them elsewhere.
 const OMITTED_FIELDS: [&str; 3] = ["message", "event", "request"];
 
-/// A log of one instance.
+/// The log of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Log {
-    /// What the story calls it.
+    /// Name of the log in the output.
     pub name: String,
-    /// Its lines.
+    /// Content of the log, as JSON lines.
     pub text: String,
 }
 
-/// Why there is no story.
+/// Why the history of a request can't be reconstructed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ExplainError {
-    /// No line names the request.
+    /// No log line has the id of the request.
     #[error(
-        "no line of {files} files names request {request}; successes are sampled, failures only when they come in floods"
+        "no line of {files} files names request {request}; successes are sampled, failures are left out only at high rates"
     )]
     RequestNotFound {
-        /// The request.
+        /// Id of the request.
         request: String,
-        /// Files that were read.
+        /// Number of files that were read.
         files: usize,
     },
 }
 
+/// A parsed log line; `number` is its line number in the file and starts at 1.
 #[derive(Debug, Clone)]
 struct LogLine {
     file: usize,
@@ -58,22 +59,23 @@
     content: String,
 }
 
-/// What an instance believed when it decided.
+/// The state known to an instance when it decided: the latest line of each kind of state event, by event number.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct KnownState(BTreeMap<u64, String>);
 
 impl KnownState {
+    /// Records the line if its event reports state. Both events of the key-value service share one entry.
     fn update(&mut self, event: u64, content: &str) {
-        let about = match event {
+        let key = match event {
             CONFIG_EVENT | ENGINES_EVENT => event,
             _ if KV_EVENTS.contains(&event) => KV_EVENTS[0],
             _ => return,
         };
-        self.0.insert(about, content.to_string());
+        self.0.insert(key, content.to_string());
     }
 }
 
-/// The story of one request.
+/// The history of one request: its log lines, which of them decided its outcome, and the state known at that time.
 #[derive(Debug, Clone)]
 pub struct RequestHistory {
     request: String,
@@ -83,25 +85,23 @@
     known_state: KnownState,
 }
 
-/// Gathers what the logs say of `request`.
+/// Reconstructs the history of the request with the id `request` from `logs`.
 ///
 /// # Errors
 ///
-/// [`ExplainError`] if they say nothing.
+/// Returns [`ExplainError`] if no line has the id of the request.
 pub fn explain(request: &str, logs: &[Log]) -> Result<RequestHistory, ExplainError> {
-    let mut found = Vec::new();
+    let mut parsed = Vec::new();
     for (file, log) in logs.iter().enumerate() {
         let lines = log.text.lines().enumerate();
         let lines = lines.filter_map(|(number, text)| parse_line(file, number + 1, text));
-        found.push(lines.collect::<Vec<(Option<String>, LogLine)>>());
+        parsed.push(lines.collect::<Vec<(Option<String>, LogLine)>>());
     }
-    let own = |lines: &[(Option<String>, LogLine)]| -> Vec<LogLine> {
-        let lines = lines
-            .iter()
-            .filter(|(named, _)| named.as_deref() == Some(request));
+    let of_request = |lines: &[(Option<String>, LogLine)]| -> Vec<LogLine> {
+        let lines = lines.iter().filter(|(id, _)| id.as_deref() == Some(request));
         lines.map(|(_, line)| line.clone()).collect()
     };
-    let lines = merge(found.iter().map(|lines| own(lines)).collect());
+    let lines = merge(parsed.iter().map(|lines| of_request(lines)).collect());
     let Some(deciding_index) = find_deciding_line(&lines) else {
         return Err(ExplainError::RequestNotFound {
             request: request.to_string(),
@@ -109,10 +109,10 @@
         });
     };
     let mut known_state = KnownState::default();
-    let until = &lines[deciding_index];
-    for (_, line) in found[until.file]
+    let deciding = &lines[deciding_index];
+    for (_, line) in parsed[deciding.file]
         .iter()
-        .filter(|(_, line)| line.number < until.number)
+        .filter(|(_, line)| line.number < deciding.number)
     {
         known_state.update(line.event, &line.content);
     }
@@ -125,8 +125,8 @@
     })
 }
 
-/// A line of a log and the request that it names; `None` for what is no line of ours. Whatever stands before the first
-/// brace, such as a collector's own stamp, is passed over.
+/// Parses a log line and returns it with the request id that it contains, or `None` if it is not a JSON log line of an
+/// instance. Text before the first brace, such as a timestamp added by a log collector, is skipped.
 fn parse_line(file: usize, number: usize, text: &str) -> Option<(Option<String>, LogLine)> {
     let json: Value = serde_json::from_str(&text[text.find('{')?..]).ok()?;
     let fields = json.get("fields")?.as_object()?;
@@ -153,7 +153,7 @@
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
 
-/// All lines, by time as far as each file's own order allows.
+/// Merges the lines of all files by timestamp, as far as the order within each file allows.
 fn merge(files: Vec<Vec<LogLine>>) -> Vec<LogLine> {
     let mut files: Vec<std::vec::IntoIter<LogLine>> = files.into_iter().map(Vec::into_iter).collect();
     let mut merged = Vec::new();
@@ -167,7 +167,8 @@
     }
 }
 
-/// The line that decided: the last of the strongest kind.
+/// Returns the index of the line that decided the outcome: the last one of the event with the highest precedence, or
+/// the last line if there is no such event.
 fn find_deciding_line(lines: &[LogLine]) -> Option<usize> {
     let last = |event: &u64| lines.iter().rposition(|line| line.event == *event);
     DECIDING_EVENTS
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,8 +1,9 @@
-//! What the daemon and the command-line tool do.
+//! Operations of the daemon and the command-line tool.
 //!
-//! [`daemon`] starts the parts: [`control`] on a thread of its own, [`dispatch`] on each traffic thread,
-//! [`exchange`] around each HTTP exchange, and
-//! [`shared`] between them. [`relay`] forwards requests unchanged, by routes. [`client`] is what the command-line tool uses, and [`explain`] reads logs for it.
+//! [`daemon`] starts the components: [`control`] on its own thread, [`dispatch`] on each traffic thread, and
+//! [`exchange`] as middleware around each HTTP exchange. [`shared`] is the state that the threads share.
+//! [`relay`] forwards requests unchanged according to routes. The command-line tool uses [`client`] to send
+//! statements to an instance, and [`explain`] to find the history of a request in logs.
 
 pub mod client;
 pub mod control;
