--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -142,7 +142,7 @@
         let roster = self.shared.roster();
         let peers: Vec<Name> = roster.peers.iter().map(|p| p.name.clone()).collect();
         let next = {
-            let mut watch = self.shared.clocks();
+            let mut watch = self.shared.clock_watch();
             watch.retain(|name| peers.contains(name));
             watch.next(&peers, self.last_compared.as_ref()).cloned()
         };
@@ -159,7 +159,7 @@
             let request = async move { call_client.call(address, &Request::Clock, CLOCK_TIMEOUT).await };
             context.spawn(request.into_actor(self).map(move |response, actor, _| {
                 if let Ok(Response::Clock(theirs)) = response {
-                    actor.shared.clocks().on_time(&name, clock::wall(), theirs);
+                    actor.shared.clock_watch().on_time(&name, clock::wall(), theirs);
                 }
             }));
         }
--- a/src/ops/control/config.rs
+++ b/src/ops/control/config.rs
@@ -246,7 +246,9 @@
             log_event!(error, log_event::INVARIANT_BROKEN, %error);
             return;
         }
-        self.shared.poison().on_quarantine(&state.config.quarantine);
+        self.shared
+            .crash_records()
+            .on_quarantine(&state.config.quarantine);
         let mut snapshot = Snapshot::new(version, &state.config);
         snapshot.mark_leaving(&self.leaving);
         self.shared.snapshot.store(Arc::new(snapshot));
--- a/src/ops/control/config/execute.rs
+++ b/src/ops/control/config/execute.rs
@@ -103,9 +103,9 @@
     match (queries.as_slice(), commands.is_empty()) {
         ([], false) => Ok(Script::Commands(commands)),
         ([query], true) => {
-            let table = tables::of_config(&state.config, query.table);
+            let table = tables::config_table(&state.config, query.table);
             let table = table.unwrap_or_else(|| match query.table {
-                Table::Changes => tables::changes(state),
+                Table::Changes => tables::audit_trail(state),
                 Table::Instances => tables::instances(roster),
                 _ => TableBody::default(),
             });
@@ -127,7 +127,7 @@
             .apply(command)
             .map_err(|error| OperatorError::Rejected(error.to_string()))?;
     }
-    Ok(tables::difference(&state.config, &after))
+    Ok(tables::config_diff(&state.config, &after))
 }
 
 /// Creates a proposal. Without an explicit base version it is based on `version`.
--- a/src/ops/control/mod.rs
+++ b/src/ops/control/mod.rs
@@ -192,5 +192,5 @@
         settings.deadline,
         Uuid::new_v4(),
     );
-    client.meter(shared.calls.clone())
+    client.meter(shared.call_meter.clone())
 }
--- a/src/ops/control/peers.rs
+++ b/src/ops/control/peers.rs
@@ -83,19 +83,19 @@
         agreed: true,
         ran: BTreeSet::new(),
     };
-    let mut poison = shared.poison();
+    let mut poison = shared.crash_records();
     match request {
         PoisonRequest::Note(report) => {
             response.ran = poison.requests_on(&report.incident);
-            shared.stops.stop(&poison.on_crash_report(now, report));
+            shared.stop_signals.stop(&poison.on_crash_report(now, report));
         }
         PoisonRequest::Ask(hold) => response.agreed = poison.on_hold_request(now, hold),
-        PoisonRequest::Vacate(engine) => shared.stops.stop(&poison.attempts_to_move(engine)),
+        PoisonRequest::Vacate(engine) => shared.stop_signals.stop(&poison.attempts_to_move(engine)),
         PoisonRequest::Release(hold) => poison.release(hold),
         PoisonRequest::Clear(fingerprint) => poison.clear(*fingerprint),
         PoisonRequest::Convict(fingerprint) => {
             let quarantine = &shared.snapshot.load().quarantine;
-            shared.stops.stop(&poison.confirm(now, *fingerprint));
+            shared.stop_signals.stop(&poison.confirm(now, *fingerprint));
             // If the configuration already lists the fingerprint, the configuration alone decides, so that a pardon
             // stays in force.
             poison.on_quarantine(quarantine);
--- a/src/ops/daemon.rs
+++ b/src/ops/daemon.rs
@@ -114,7 +114,7 @@
         let next = shutdown.step(clock::now(), shared.count_running());
         if next > phase && next == Phase::Refusing {
             log_event!(info, log_event::REFUSING, running = shared.count_running());
-            shared.refuse();
+            shared.refuse_work();
         }
         phase = next;
     }
--- a/src/ops/dispatch/addresses.rs
+++ b/src/ops/dispatch/addresses.rs
@@ -48,7 +48,7 @@
 /// This instance in the form in which the roster holds its peers.
 fn own_peer(dispatch: &Dispatch) -> Peer {
     let shared = &dispatch.shared;
-    let leaving = shared.is_leaving() || shared.closed().is_some();
+    let leaving = shared.is_leaving() || shared.refusal_reason().is_some();
     Peer {
         name: shared.settings.name.clone(),
         zone: shared.settings.zone.clone(),
@@ -70,7 +70,7 @@
 /// operators have drained; one that is about to exit interrupts work that it starts. Nothing was sent, so the outcome
 /// `not-run` is correct, and the refusal names instances that accept the request.
 pub fn check_accepting(dispatch: &Dispatch, unsent: Unsent) -> Result<Unsent, Refusal> {
-    let Some(reason) = dispatch.shared.closed() else {
+    let Some(reason) = dispatch.shared.refusal_reason() else {
         return Ok(unsent);
     };
     let cause = match reason {
--- a/src/ops/dispatch/admit.rs
+++ b/src/ops/dispatch/admit.rs
@@ -106,7 +106,7 @@
     };
     shared
         .policy
-        .ask(&view.name, f64::from(forecast.prefill), f64::from(route.output));
+        .add_demand(&view.name, f64::from(forecast.prefill), f64::from(route.output));
     if !shared.settings.policy.enforces_limits() || call.resume.offset > 0 {
         return Ok(call);
     }
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -271,7 +271,7 @@
         if let Some(incarnation) = stream.incarnation {
             self.dispatch
                 .shared
-                .poison()
+                .crash_records()
                 .record_incarnation(open.attempt, incarnation);
         }
         open.stream = Some(stream);
--- a/src/ops/dispatch/mod.rs
+++ b/src/ops/dispatch/mod.rs
@@ -134,7 +134,7 @@
     }
 
     fn ready(&self) -> bool {
-        let closed = self.shared.is_leaving() || self.shared.closed().is_some();
+        let closed = self.shared.is_leaving() || self.shared.refusal_reason().is_some();
         !closed && self.shared.snapshot.load().version > Version::default()
     }
 
--- a/src/ops/dispatch/once.rs
+++ b/src/ops/dispatch/once.rs
@@ -106,10 +106,10 @@
 pub(super) fn check_key(dispatch: &Dispatch, key: Option<&str>) -> Result<IdempotencyKey, InvalidKey> {
     let key = key.ok_or(InvalidKey::Missing)?;
     let key: IdempotencyKey = key.parse().map_err(InvalidKey::Rejected)?;
-    if !dispatch.shared.clocks().is_trusted() {
+    if !dispatch.shared.clock_watch().is_trusted() {
         return Err(InvalidKey::Rejected(KeyError::ClockStepped));
     }
-    let checked = dispatch.shared.keys.check(&key, clock::both());
+    let checked = dispatch.shared.key_ages.check(&key, clock::both());
     checked.map(|()| key).map_err(InvalidKey::Rejected)
 }
 
@@ -320,7 +320,7 @@
     };
     let product = &call.product;
     let service = call.service.as_deref();
-    if dispatch.shared.keys.check(&key, clock::both()) == Err(KeyError::Old) {
+    if dispatch.shared.key_ages.check(&key, clock::both()) == Err(KeyError::Old) {
         return Ok(RequestState::Expired);
     }
     for name in plain_services(dispatch, service) {
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -92,7 +92,10 @@
         if snapshot.quarantine.contains(&request.fingerprint.to_string()) {
             return PickResult::Quarantined;
         }
-        let suspicion = self.shared.poison().suspicion(clock::now(), request.fingerprint);
+        let suspicion = self
+            .shared
+            .crash_records()
+            .suspicion(clock::now(), request.fingerprint);
         match suspicion {
             Suspicion::Unsuspected => self.route_unheld(&snapshot, request, tried),
             Suspicion::Suspect => self.hold_engine(&snapshot, request, tried).await,
@@ -103,7 +106,7 @@
 
     /// Picks an engine that is not held for a suspect.
     fn route_unheld(&self, snapshot: &Snapshot, request: &Request, tried: &[Name]) -> PickResult {
-        let held = self.shared.poison().held_engines(clock::now());
+        let held = self.shared.crash_records().held_engines(clock::now());
         let except: Vec<Name> = tried.iter().chain(&held).cloned().collect();
         if let Some(target) = self.route(snapshot, request, &except) {
             return PickResult::Engine(target);
@@ -119,7 +122,7 @@
         let now = clock::now();
         let mut router = self.shared.router();
         let mut except = except.to_vec();
-        except.extend(self.shared.held(now));
+        except.extend(self.shared.held_engines(now));
         let choice = router.choose(now, snapshot, &request.route, &except)?;
         Some(Target {
             name: choice.name,
@@ -146,7 +149,7 @@
         if untried.count() == 0 {
             return PickResult::NoEngine;
         }
-        let held = self.shared.poison().held_engines(clock::now());
+        let held = self.shared.crash_records().held_engines(clock::now());
         let all: Vec<Name> = engines_of(snapshot, request).collect();
         let held_count = all.iter().filter(|engine| held.contains(engine)).count();
         if held_count > 0 && (held_count + 1) * HELD_DIVISOR > all.len() {
@@ -189,21 +192,21 @@
             let start = request.fingerprint.first_byte() as usize % engines.len();
             engines.rotate_left(start);
         }
-        let poison = self.shared.poison();
+        let poison = self.shared.crash_records();
         engines.retain(|engine| !poison.held_engines(clock::now()).contains(engine));
         engines.sort_by_key(|engine| poison.running_on(engine));
         engines
     }
 
     async fn acquire_hold(&self, hold: &HoldRequest) -> bool {
-        if !self.shared.poison().reserve(clock::now(), hold) {
+        if !self.shared.crash_records().reserve(clock::now(), hold) {
             return false;
         }
         let answers = self.broadcast(PoisonRequest::Ask(hold.clone())).await;
         let agreed = answers.iter().all(|a| a.agreed);
-        if agreed && self.shared.poison().grant(hold) {
-            let moving = self.shared.poison().attempts_to_move(&hold.engine);
-            self.shared.stops.stop(&moving);
+        if agreed && self.shared.crash_records().grant(hold) {
+            let moving = self.shared.crash_records().attempts_to_move(&hold.engine);
+            self.shared.stop_signals.stop(&moving);
             self.broadcast(PoisonRequest::Vacate(hold.engine.clone())).await;
             return true;
         }
@@ -212,7 +215,7 @@
     }
 
     async fn release_hold(&self, hold: HoldRequest) {
-        self.shared.poison().release(&hold);
+        self.shared.crash_records().release(&hold);
         self.broadcast(PoisonRequest::Release(hold)).await;
     }
 
@@ -221,9 +224,9 @@
         let now = clock::now();
         let allowed = self
             .shared
-            .poison()
+            .crash_records()
             .begin(now, attempt, request.fingerprint, &target.name);
-        allowed.then(|| self.shared.stops.add(attempt))
+        allowed.then(|| self.shared.stop_signals.add(attempt))
     }
 
     /// Releases a target: its request at the router and its hold, if any.
@@ -236,15 +239,15 @@
 
     /// Records the end of an attempt and releases its target.
     pub async fn end_attempt(&self, target: Target, attempt: Uuid) {
-        self.shared.poison().end(attempt);
-        self.shared.stops.remove(attempt);
+        self.shared.crash_records().end(attempt);
+        self.shared.stop_signals.remove(attempt);
         self.release_target(target).await;
     }
 
     /// Clears a request that ran to completion, if it was a suspect with a hold.
     pub async fn clear_suspect(&self, request: &Request, target: &Target) {
         if target.hold.is_some() {
-            self.shared.poison().clear(request.fingerprint);
+            self.shared.crash_records().clear(request.fingerprint);
             self.broadcast(PoisonRequest::Clear(request.fingerprint)).await;
             self.quarantine_confirmed().await;
         }
@@ -256,7 +259,7 @@
         let Some(evidence) = self.crash_evidence(target, attempt).await else {
             return;
         };
-        let report = self.shared.poison().crash_report(attempt, evidence);
+        let report = self.shared.crash_records().crash_report(attempt, evidence);
         let Some(report) = report else { return };
         self.shared.metrics.traffic.crashed.inc();
         log_event!(
@@ -279,12 +282,12 @@
     }
 
     fn apply_report(&self, report: &CrashReport) {
-        let stop = self.shared.poison().on_crash_report(clock::now(), report);
-        self.shared.stops.stop(&stop);
+        let stop = self.shared.crash_records().on_crash_report(clock::now(), report);
+        self.shared.stop_signals.stop(&stop);
     }
 
     async fn quarantine_confirmed(&self) {
-        let confirmed = self.shared.poison().confirm_suspects(clock::now());
+        let confirmed = self.shared.crash_records().confirm_suspects(clock::now());
         for fingerprint in confirmed {
             self.quarantine(fingerprint).await;
         }
@@ -297,7 +300,7 @@
             // Operators withdrew the engine, so it was stopped on purpose.
             return None;
         }
-        let before = self.shared.poison().incarnation(attempt);
+        let before = self.shared.crash_records().incarnation(attempt);
         let mut probe = self.engine_client.probe(target.address).await;
         for _ in 0..MAX_PROBES {
             if probe != Probe::Breaks {
@@ -322,8 +325,8 @@
     async fn quarantine(&self, fingerprint: Fingerprint) {
         log_event!(warn, log_event::CONVICTED, %fingerprint);
         self.shared.metrics.traffic.convictions.inc();
-        let stop = self.shared.poison().confirm(clock::now(), fingerprint);
-        self.shared.stops.stop(&stop);
+        let stop = self.shared.crash_records().confirm(clock::now(), fingerprint);
+        self.shared.stop_signals.stop(&stop);
         let dispatch = self.clone();
         let write = actix::spawn(async move { dispatch.write_quarantine(fingerprint).await });
         let written = tokio::time::timeout(WRITE_TIMEOUT, write);
--- a/src/ops/policy.rs
+++ b/src/ops/policy.rs
@@ -23,8 +23,8 @@
     /// The state before any request.
     pub fn new(settings: &Settings) -> PolicyState {
         PolicyState {
-            limits: Mutex::new(Limits::new(seed(settings))),
-            retries: Mutex::new(RetryBudgets::new(seed(settings))),
+            limits: Mutex::new(Limits::new(instance_seed(settings))),
+            retries: Mutex::new(RetryBudgets::new(instance_seed(settings))),
             demand: Mutex::default(),
         }
     }
@@ -44,17 +44,17 @@
     }
 
     /// Adds work that callers asked of `service`, whether it was admitted or not.
-    pub fn ask(&self, service: &Name, prefill: f64, decode: f64) {
-        let mut demand = self.demands();
+    pub fn add_demand(&self, service: &Name, prefill: f64, decode: f64) {
+        let mut demand = self.lock_demand();
         demand.entry(service.clone()).or_default().add(prefill, decode);
     }
 
     /// Takes the work asked of each service since the last call.
     pub fn take_demand(&self) -> BTreeMap<Name, Demand> {
-        std::mem::take(&mut self.demands())
+        std::mem::take(&mut self.lock_demand())
     }
 
-    fn demands(&self) -> MutexGuard<'_, BTreeMap<Name, Demand>> {
+    fn lock_demand(&self) -> MutexGuard<'_, BTreeMap<Name, Demand>> {
         self.demand
             .lock()
             .expect("no thread panics while it holds the demand")
@@ -62,7 +62,7 @@
 }
 
 /// A seed that differs between instances, so that they don't draw alike.
-pub fn seed(settings: &Settings) -> u64 {
+pub fn instance_seed(settings: &Settings) -> u64 {
     let hash = blake3::hash(settings.name.as_str().as_bytes());
     let mut seed = [0; 8];
     seed.copy_from_slice(&hash.as_bytes()[..8]);
--- a/src/ops/shared.rs
+++ b/src/ops/shared.rs
@@ -24,7 +24,7 @@
 
 use crate::ops::policy;
 use crate::ops::policy::PolicyState;
-use crate::ops::stops::Stops;
+use crate::ops::stops::StopSignals;
 use crate::settings::Settings;
 use crate::util::clock;
 use crate::util::metrics::Metrics;
@@ -39,18 +39,18 @@
     /// Counts of what happened.
     pub metrics: Metrics,
     /// The budget of calls to the platform, and what was spent.
-    pub calls: Arc<CallMeter>,
+    pub call_meter: Arc<CallMeter>,
     /// Judges the age of idempotency keys.
-    pub keys: KeyAgeCheck,
+    pub key_ages: KeyAgeCheck,
     /// Limits, retry budgets and demand.
     pub policy: PolicyState,
     /// Attempts that can be stopped.
-    pub stops: Stops,
+    pub stop_signals: StopSignals,
     router: Mutex<Router>,
-    held: Mutex<BTreeMap<Name, Time>>,
+    holds: Mutex<BTreeMap<Name, Time>>,
     owners: Mutex<Owners>,
-    watch: Mutex<ClockWatch>,
-    poison: Mutex<CrashRecords>,
+    clock_watch: Mutex<ClockWatch>,
+    crash_records: Mutex<CrashRecords>,
     roster: watch::Sender<Arc<Roster>>,
     leaving: AtomicBool,
     refusing: AtomicBool,
@@ -72,21 +72,21 @@
     pub fn new(settings: Settings) -> Shared {
         let router = router(&settings);
         let policy = PolicyState::new(&settings);
-        let poison = CrashRecords::new(settings.name.clone());
-        let calls = Arc::new(CallMeter::new(settings.rate));
+        let crash_records = CrashRecords::new(settings.name.clone());
+        let call_meter = Arc::new(CallMeter::new(settings.rate));
         Shared {
             settings,
             snapshot: ArcSwap::default(),
-            metrics: Metrics::new(calls.clone()),
-            calls,
-            keys: KeyAgeCheck::new(clock::both()),
+            metrics: Metrics::new(call_meter.clone()),
+            call_meter,
+            key_ages: KeyAgeCheck::new(clock::both()),
             owners: Mutex::default(),
-            watch: Mutex::default(),
+            clock_watch: Mutex::default(),
             policy,
             router: Mutex::new(router),
-            stops: Stops::default(),
-            held: Mutex::default(),
-            poison: Mutex::new(poison),
+            stop_signals: StopSignals::default(),
+            holds: Mutex::default(),
+            crash_records: Mutex::new(crash_records),
             roster: watch::Sender::default(),
             leaving: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
@@ -108,32 +108,32 @@
     pub fn hold(&self, engine: Name, until: Time) -> u32 {
         let router = self.router();
         let count = router.in_flight(&engine);
-        self.holds().insert(engine, until);
+        self.lock_holds().insert(engine, until);
         count
     }
 
     /// Gives `engine` work again.
     pub fn unhold(&self, engine: &Name) {
-        self.holds().remove(engine);
+        self.lock_holds().remove(engine);
     }
 
     /// Engines that get no work now. Ask while the router is locked. A hold that was not renewed lapses, so
     /// that a holder that died keeps no engine idle.
-    pub fn held(&self, now: Time) -> Vec<Name> {
-        let mut held = self.holds();
+    pub fn held_engines(&self, now: Time) -> Vec<Name> {
+        let mut held = self.lock_holds();
         held.retain(|_, until| now < *until);
         held.keys().cloned().collect()
     }
 
-    fn holds(&self) -> MutexGuard<'_, BTreeMap<Name, Time>> {
-        self.held
+    fn lock_holds(&self) -> MutexGuard<'_, BTreeMap<Name, Time>> {
+        self.holds
             .lock()
             .expect("no thread panics while it holds the held engines")
     }
 
     /// What other instances' clocks said of this one's. Held for one decision, never across an await.
-    pub fn clocks(&self) -> MutexGuard<'_, ClockWatch> {
-        self.watch
+    pub fn clock_watch(&self) -> MutexGuard<'_, ClockWatch> {
+        self.clock_watch
             .lock()
             .expect("no thread panics while it holds the watch")
     }
@@ -146,8 +146,8 @@
     }
 
     /// The records of requests that crash engines. Held for one decision, never across an await.
-    pub fn poison(&self) -> MutexGuard<'_, CrashRecords> {
-        self.poison
+    pub fn crash_records(&self) -> MutexGuard<'_, CrashRecords> {
+        self.crash_records
             .lock()
             .expect("no thread panics while it holds the records")
     }
@@ -172,7 +172,7 @@
     /// Failure guarded against: an instance that was paused goes on, and a traffic thread takes a request before
     /// the control thread has noticed. The roster is judged anew at each tick; one that is older than the limit
     /// shows that the control thread did not run.
-    pub fn closed(&self) -> Option<Reason> {
+    pub fn refusal_reason(&self) -> Option<Reason> {
         if self.refusing.load(Ordering::Acquire) {
             return Some(Reason::Stopping);
         }
@@ -208,7 +208,7 @@
     }
 
     /// Marks this instance as refusing new work.
-    pub fn refuse(&self) {
+    pub fn refuse_work(&self) {
         self.refusing.store(true, Ordering::Release);
     }
 }
@@ -218,5 +218,5 @@
     Router::new()
         .policy(settings.policy.routing())
         .zone(settings.zone.clone())
-        .seed(policy::seed(settings))
+        .seed(policy::instance_seed(settings))
 }
--- a/src/ops/stops.rs
+++ b/src/ops/stops.rs
@@ -10,9 +10,9 @@
 
 /// What each running attempt listens to.
 #[derive(Debug, Default)]
-pub struct Stops(Mutex<BTreeMap<Uuid, Arc<Notify>>>);
+pub struct StopSignals(Mutex<BTreeMap<Uuid, Arc<Notify>>>);
 
-impl Stops {
+impl StopSignals {
     /// Adds an attempt; returns what is notified when it must stop.
     pub fn add(&self, attempt: Uuid) -> Arc<Notify> {
         let notify = Arc::new(Notify::new());
--- a/src/ops/tables.rs
+++ b/src/ops/tables.rs
@@ -18,7 +18,7 @@
 use sequoiastream_operator::wire::TableBody;
 
 /// The tables that a configuration alone decides.
-const OF_CONFIG: [Table; 4] = [
+const CONFIG_TABLES: [Table; 4] = [
     Table::Products,
     Table::Services,
     Table::Engines,
@@ -37,7 +37,7 @@
 }
 
 /// The table `kind` of `config`; `None` if it shows something else than the configuration.
-pub fn of_config(config: &Config, kind: Table) -> Option<TableBody> {
+pub fn config_table(config: &Config, kind: Table) -> Option<TableBody> {
     match kind {
         Table::Products => Some(products(config)),
         Table::Services => Some(services(config)),
@@ -48,10 +48,10 @@
 }
 
 /// What differs between two configurations: a row for each thing that was added, removed or changed.
-pub fn difference(before: &Config, after: &Config) -> TableBody {
+pub fn config_diff(before: &Config, after: &Config) -> TableBody {
     let mut rows = Vec::new();
-    for kind in OF_CONFIG {
-        let (Some(old), Some(new)) = (of_config(before, kind), of_config(after, kind)) else {
+    for kind in CONFIG_TABLES {
+        let (Some(old), Some(new)) = (config_table(before, kind), config_table(after, kind)) else {
             continue;
         };
         rows.extend(changed_rows(kind, &old, &new));
@@ -60,8 +60,8 @@
 }
 
 fn changed_rows(kind: Table, old: &TableBody, new: &TableBody) -> Vec<Vec<String>> {
-    let old = by_name(old);
-    let new = by_name(new);
+    let old = rows_by_name(old);
+    let new = rows_by_name(new);
     let mut names: Vec<&String> = old.keys().chain(new.keys()).copied().collect();
     names.sort();
     names.dedup();
@@ -87,7 +87,7 @@
 }
 
 /// The rows by their first cell, the others written as `column=cell`.
-fn by_name(table: &TableBody) -> BTreeMap<&String, String> {
+fn rows_by_name(table: &TableBody) -> BTreeMap<&String, String> {
     let mut rows = BTreeMap::new();
     for row in &table.rows {
         let cells = table.columns.iter().zip(row).skip(1);
@@ -98,7 +98,7 @@
 }
 
 /// The audit trail, newest change first. Refused changes have no entry; event 202 logs them.
-pub fn changes(state: &State) -> TableBody {
+pub fn audit_trail(state: &State) -> TableBody {
     let rows = state.past.iter().rev().map(|past| {
         vec![
             past.version.to_string(),
@@ -190,9 +190,9 @@
             e.service.to_string(),
             e.zone.to_string(),
             e.address.to_string(),
-            state(e.state).to_string(),
+            state_name(e.state).to_string(),
             e.role.map_or("auto".to_string(), |r| r.to_string()),
-            fencing(e.fencing).to_string(),
+            fencing_name(e.fencing).to_string(),
         ]
     });
     table(
@@ -206,14 +206,14 @@
     table(&["fingerprint"], rows)
 }
 
-fn state(state: EngineState) -> &'static str {
+fn state_name(state: EngineState) -> &'static str {
     match state {
         EngineState::Serving => "serving",
         EngineState::Draining => "draining",
     }
 }
 
-fn fencing(fencing: Fencing) -> &'static str {
+fn fencing_name(fencing: Fencing) -> &'static str {
     match fencing {
         Fencing::Checked => "checked",
         Fencing::Ignored => "ignored",
