--- a/src/ops/policy.rs
+++ b/src/ops/policy.rs
@@ -1,4 +1,4 @@
-//! Limits, retry budgets and demand, shared between the traffic threads.
+//! Limits, retry budgets and recorded demand, shared by the threads of an instance.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 
 use crate::settings::Settings;
 
-/// The policy's state in one daemon. Each lock is held for one decision, never across an await.
+/// Limits, retry budgets and demand of one daemon. Each lock is held for one decision, never across an await.
 #[derive(Debug)]
 pub struct PolicyState {
     limits: Mutex<Limits>,
@@ -20,7 +20,7 @@
 }
 
 impl PolicyState {
-    /// The state before any request.
+    /// Returns the state before the first request.
     pub fn new(settings: &Settings) -> PolicyState {
         PolicyState {
             limits: Mutex::new(Limits::new(instance_seed(settings))),
@@ -29,27 +29,27 @@
         }
     }
 
-    /// What products may use of each service.
+    /// Locks the limits on what products may use of each service.
     pub fn limits(&self) -> MutexGuard<'_, Limits> {
         self.limits
             .lock()
             .expect("no thread panics while it holds the limits")
     }
 
-    /// The retry budgets.
+    /// Locks the products' retry budgets.
     pub fn retries(&self) -> MutexGuard<'_, RetryBudgets> {
         self.retries
             .lock()
-            .expect("no thread panics while it holds the budgets")
+            .expect("no thread panics while it holds the retry budgets")
     }
 
-    /// Adds work that callers asked of `service`, whether it was admitted or not.
+    /// Adds the tokens of a request for `service` to its demand, whether or not the request is admitted.
     pub fn add_demand(&self, service: &Name, prefill: f64, decode: f64) {
         let mut demand = self.lock_demand();
         demand.entry(service.clone()).or_default().add(prefill, decode);
     }
 
-    /// Takes the work asked of each service since the last call.
+    /// Returns the demand of each service since the last call, and resets it.
     pub fn take_demand(&self) -> BTreeMap<Name, Demand> {
         std::mem::take(&mut self.lock_demand())
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// A seed that differs between instances, so that they don't draw alike.
+/// Derives a seed from the instance's name, so that instances don't make the same random choices.
 pub fn instance_seed(settings: &Settings) -> u64 {
     let hash = blake3::hash(settings.name.as_str().as_bytes());
     let mut seed = [0; 8];
--- a/src/ops/shared.rs
+++ b/src/ops/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic threads share.
+//! State shared by the control thread and the traffic threads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,22 +29,22 @@
 use crate::util::clock;
 use crate::util::metrics::Metrics;
 
-/// Shared between all threads of a daemon.
+/// State shared by all threads of a daemon.
 #[derive(Debug)]
 pub struct Shared {
-    /// The settings.
+    /// The daemon's settings.
     pub settings: Settings,
-    /// The configuration in force; swapped whole.
+    /// The configuration in force; replaced atomically as a whole.
     pub snapshot: ArcSwap<Snapshot>,
-    /// Counts of what happened.
+    /// Metrics of this instance.
     pub metrics: Metrics,
-    /// The budget of calls to the platform, and what was spent.
+    /// Budget of calls to the platform, and the calls spent from it.
     pub call_meter: Arc<CallMeter>,
-    /// Judges the age of idempotency keys.
+    /// Checks the age of idempotency keys.
     pub key_ages: KeyAgeCheck,
     /// Limits, retry budgets and demand.
     pub policy: PolicyState,
-    /// Attempts that can be stopped.
+    /// Signals that stop running attempts.
     pub stop_signals: StopSignals,
     router: Mutex<Router>,
     holds: Mutex<BTreeMap<Name, Time>>,
@@ -57,7 +57,7 @@
     running: Arc<AtomicUsize>,
 }
 
-/// A piece of work that a shutdown waits for, until it is dropped.
+/// Counts a piece of work as running until dropped; a shutdown waits for it.
 #[derive(Debug)]
 pub struct Running(Arc<AtomicUsize>);
 
@@ -68,7 +68,7 @@
 }
 
 impl Shared {
-    /// Shared state before the first configuration is known.
+    /// Returns the state before the first configuration is known.
     pub fn new(settings: Settings) -> Shared {
         let router = router(&settings);
         let policy = PolicyState::new(&settings);
@@ -94,17 +94,17 @@
         }
     }
 
-    /// The router. Held for one decision, never across an await.
+    /// Locks the router. The lock is held for one decision, never across an await.
     pub fn router(&self) -> MutexGuard<'_, Router> {
         self.router
             .lock()
             .expect("no thread panics while it holds the router")
     }
 
-    /// Keeps new work from `engine` until `until`, and tells how many requests this instance has there.
+    /// Sends no new work to `engine` until `until`, and returns the number of requests that this instance has there.
     ///
-    /// The router is locked first: a request that was given to the engine before is counted, and a later one
-    /// sees the hold.
+    /// The router is locked first, so that each request is either routed to the engine before the hold and counted,
+    /// or routed afterwards and sees the hold.
     pub fn hold(&self, engine: Name, until: Time) -> u32 {
         let router = self.router();
         let count = router.in_flight(&engine);
@@ -112,13 +112,15 @@
         count
     }
 
-    /// Gives `engine` work again.
+    /// Removes the hold on `engine`, so that it gets new work again.
     pub fn unhold(&self, engine: &Name) {
         self.lock_holds().remove(engine);
     }
 
-    /// Engines that get no work now. Ask while the router is locked. A hold that was not renewed lapses, so
-    /// that a holder that died keeps no engine idle.
+    /// Returns the engines that get no new work at `now`. Call this while the router is locked.
+    ///
+    /// A hold that is not renewed expires, so that an engine does not stay idle if the instance that asked for the
+    /// hold crashes.
     pub fn held_engines(&self, now: Time) -> Vec<Name> {
         let mut held = self.lock_holds();
         held.retain(|_, until| now < *until);
@@ -128,50 +130,52 @@
     fn lock_holds(&self) -> MutexGuard<'_, BTreeMap<Name, Time>> {
         self.holds
             .lock()
-            .expect("no thread panics while it holds the held engines")
+            .expect("no thread panics while it holds the engine holds")
     }
 
-    /// What other instances' clocks said of this one's. Held for one decision, never across an await.
+    /// Locks the comparison of the peers' clocks with this instance's clock. The lock is held for one decision, never
+    /// across an await.
     pub fn clock_watch(&self) -> MutexGuard<'_, ClockWatch> {
         self.clock_watch
             .lock()
-            .expect("no thread panics while it holds the watch")
+            .expect("no thread panics while it holds the clock watch")
     }
 
-    /// Which owners of claims were silent. Held for one decision, never across an await.
+    /// Locks the record of the owners of claims that did not answer. The lock is held for one decision, never across
+    /// an await.
     pub fn owners(&self) -> MutexGuard<'_, Owners> {
         self.owners
             .lock()
             .expect("no thread panics while it holds the owners")
     }
 
-    /// The records of requests that crash engines. Held for one decision, never across an await.
+    /// Locks the records of requests that crash engines. The lock is held for one decision, never across an await.
     pub fn crash_records(&self) -> MutexGuard<'_, CrashRecords> {
         self.crash_records
             .lock()
-            .expect("no thread panics while it holds the records")
+            .expect("no thread panics while it holds the crash records")
     }
 
-    /// The other instances, as last published.
+    /// Returns the roster of instances that was last published.
     pub fn roster(&self) -> Arc<Roster> {
         self.roster.borrow().clone()
     }
 
-    /// Follows the published rosters.
+    /// Subscribes to the published rosters.
     pub fn follow_roster(&self) -> watch::Receiver<Arc<Roster>> {
         self.roster.subscribe()
     }
 
-    /// Publishes `roster` and returns the one before.
+    /// Publishes `roster` and returns the previous one.
     pub fn publish_roster(&self, roster: Roster) -> Arc<Roster> {
         self.roster.send_replace(Arc::new(roster))
     }
 
-    /// Why new work must be refused now, if it must.
+    /// Returns the reason to refuse new work now, or `None` if it may be taken.
     ///
-    /// Failure guarded against: an instance that was paused goes on, and a traffic thread takes a request before
-    /// the control thread has noticed. The roster is judged anew at each tick; one that is older than the limit
-    /// shows that the control thread did not run.
+    /// Failure guarded against: an instance resumes after a pause, and a traffic thread takes a request before the
+    /// control thread has noticed the pause. The roster is recomputed on each tick; one that is older than the pause
+    /// limit shows that the control thread did not run.
     pub fn refusal_reason(&self) -> Option<Reason> {
         if self.refusing.load(Ordering::Acquire) {
             return Some(Reason::Stopping);
@@ -179,20 +183,20 @@
         (!self.is_confirmed()).then_some(Reason::Isolated)
     }
 
-    /// Whether this instance runs and knows the configuration in force, as far as it can tell.
+    /// Whether, as far as this instance can tell, it was not paused and knows the configuration in force.
     pub fn is_confirmed(&self) -> bool {
         let roster = self.roster.borrow();
-        let awake = clock::now().since(roster.evaluated_at) <= self.settings.limits.pause_limit;
-        awake && roster.standing.accepts_work()
+        let not_paused = clock::now().since(roster.evaluated_at) <= self.settings.limits.pause_limit;
+        not_paused && roster.standing.accepts_work()
     }
 
-    /// Counts a piece of work as running until the result is dropped.
+    /// Counts a piece of work as running until the returned guard is dropped.
     pub fn begin_work(&self) -> Running {
         self.running.fetch_add(1, Ordering::AcqRel);
         Running(self.running.clone())
     }
 
-    /// Pieces of work that run.
+    /// Returns the number of pieces of work that are running.
     pub fn count_running(&self) -> usize {
         self.running.load(Ordering::Acquire)
     }
@@ -202,7 +206,7 @@
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Marks this instance as shutting down: it names itself to callers no more.
+    /// Marks this instance as shutting down: it no longer lists its own address for callers.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
     }
@@ -213,7 +217,7 @@
     }
 }
 
-/// The router of an instance. Its seed comes from the instance's name, so that instances draw differently.
+/// Builds the router. Its seed is derived from the instance's name, so that instances make different random choices.
 fn router(settings: &Settings) -> Router {
     Router::new()
         .policy(settings.policy.routing())
--- a/src/ops/stops.rs
+++ b/src/ops/stops.rs
@@ -1,4 +1,4 @@
-//! How a crash reaches the attempts that must stop because of it, on whatever thread they run.
+//! Signals that stop running attempts after an engine crash, whichever thread they run on.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 use tokio::sync::Notify;
 use uuid::Uuid;
 
-/// What each running attempt listens to.
+/// The stop signal of each running attempt, by the attempt's id.
 #[derive(Debug, Default)]
 pub struct StopSignals(Mutex<BTreeMap<Uuid, Arc<Notify>>>);
 
 impl StopSignals {
-    /// Adds an attempt; returns what is notified when it must stop.
+    /// Adds an attempt, and returns the signal that is notified when the attempt must stop.
     pub fn add(&self, attempt: Uuid) -> Arc<Notify> {
         let notify = Arc::new(Notify::new());
         self.lock().insert(attempt, notify.clone());
@@ -25,15 +25,17 @@
         self.lock().remove(&attempt);
     }
 
-    /// Stops attempts.
+    /// Notifies `attempts` to stop. Those that have ended are skipped.
     pub fn stop(&self, attempts: &[Uuid]) {
-        let stops = self.lock();
-        for notify in attempts.iter().filter_map(|attempt| stops.get(attempt)) {
+        let signals = self.lock();
+        for notify in attempts.iter().filter_map(|attempt| signals.get(attempt)) {
             notify.notify_one();
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<Uuid, Arc<Notify>>> {
-        self.0.lock().expect("no thread panics while it holds the stops")
+        self.0
+            .lock()
+            .expect("no thread panics while it holds the stop signals")
     }
 }
--- a/src/ops/tables.rs
+++ b/src/ops/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that queries show of a configuration, and the difference between two of them.
+//! Tables that answer operators' queries, and the difference between the tables of two configurations.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use sequoiastream_operator::Table;
 use sequoiastream_operator::wire::TableBody;
 
-/// The tables that a configuration alone decides.
+/// The tables that depend on the configuration alone.
 const CONFIG_TABLES: [Table; 4] = [
     Table::Products,
     Table::Services,
@@ -25,7 +25,7 @@
     Table::Quarantine,
 ];
 
-/// A table from its columns and rows.
+/// Builds a table from its columns and rows.
 pub fn table<R>(columns: &[&str], rows: R) -> TableBody
 where
     R: Iterator<Item = Vec<String>>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The table `kind` of `config`; `None` if it shows something else than the configuration.
+/// Returns the table `kind` of `config`; `None` if the table does not show the configuration.
 pub fn config_table(config: &Config, kind: Table) -> Option<TableBody> {
     match kind {
         Table::Products => Some(products(config)),
@@ -47,7 +47,7 @@
     }
 }
 
-/// What differs between two configurations: a row for each thing that was added, removed or changed.
+/// Compares two configurations: returns a row for each entry that was added, removed or changed.
 pub fn config_diff(before: &Config, after: &Config) -> TableBody {
     let mut rows = Vec::new();
     for kind in CONFIG_TABLES {
@@ -68,7 +68,7 @@
     let mut rows = Vec::new();
     for name in names {
         let (before, after) = (old.get(name), new.get(name));
-        let verb = match (before, after) {
+        let action = match (before, after) {
             (None, _) => "add",
             (_, None) => "remove",
             (Some(a), Some(b)) if a != b => "alter",
@@ -76,7 +76,7 @@
         };
         let cells = |row: Option<&String>| row.cloned().unwrap_or_default();
         rows.push(vec![
-            verb.to_string(),
+            action.to_string(),
             kind.to_string(),
             name.clone(),
             cells(before),
@@ -86,7 +86,7 @@
     rows
 }
 
-/// The rows by their first cell, the others written as `column=cell`.
+/// Returns the rows by their first cell, with the other cells written as `column=cell`.
 fn rows_by_name(table: &TableBody) -> BTreeMap<&String, String> {
     let mut rows = BTreeMap::new();
     for row in &table.rows {
@@ -97,22 +97,22 @@
     rows
 }
 
-/// The audit trail, newest change first. Refused changes have no entry; event 202 logs them.
+/// Returns the audit trail, newest change first. Refused changes have no entry; they are logged as event 202.
 pub fn audit_trail(state: &State) -> TableBody {
-    let rows = state.past.iter().rev().map(|past| {
+    let rows = state.past.iter().rev().map(|entry| {
         vec![
-            past.version.to_string(),
-            rfc3339(past.when),
-            past.who.clone(),
-            past.from.clone(),
+            entry.version.to_string(),
+            rfc3339(entry.when),
+            entry.who.clone(),
+            entry.from.clone(),
             "accepted".to_string(),
-            past.statement.clone(),
+            entry.statement.clone(),
         ]
     });
     table(&["version", "when", "who", "from", "outcome", "statement"], rows)
 }
 
-/// The instances as this one sees them, itself first.
+/// Returns the instances as seen by this one, itself first.
 pub fn instances(roster: &Roster) -> TableBody {
     let standing = format!("{:?}", roster.standing).to_lowercase();
     let rows = roster.local.iter().chain(&roster.peers).map(|peer| {
@@ -121,21 +121,26 @@
             (true, MemberState::Live) => "live",
             (true, MemberState::Leaving) => "leaving",
         };
-        let myself = roster.local.as_ref().is_some_and(|m| m.name == peer.name);
+        let is_local = roster.local.as_ref().is_some_and(|m| m.name == peer.name);
         vec![
             peer.name.to_string(),
             peer.zone.to_string(),
             peer.address.to_string(),
             state.to_string(),
             peer.version.to_string(),
-            if myself { standing.clone() } else { "-".to_string() },
+            if is_local {
+                standing.clone()
+            } else {
+                "-".to_string()
+            },
         ]
     });
     let columns = &["instance", "zone", "address", "state", "version", "standing"];
     table(columns, rows)
 }
 
-/// What products are owed and use of each service through this instance, in engine seconds a second.
+/// Returns the products' entitlement to each service and their usage of it through this instance, in engine seconds
+/// per second.
 pub fn limits(limits: &Limits, now: Time) -> TableBody {
     let rows = limits.iter().flat_map(|(service, limiter)| {
         let accounts = limiter.accounts(now);
@@ -152,20 +157,20 @@
     table(&["service", "product", "owed", "used", "capacity"], rows)
 }
 
-/// A wall time for people.
+/// Formats a wall time for operators, in seconds.
 fn rfc3339(time: WallTime) -> String {
     let time = UNIX_EPOCH + Duration::from_millis(time.0);
     humantime::format_rfc3339_seconds(time).to_string()
 }
 
 fn products(config: &Config) -> TableBody {
-    let rows = config.products.iter().map(|(name, p)| {
+    let rows = config.products.iter().map(|(name, product)| {
         vec![
             name.to_string(),
-            p.share.to_string(),
-            format!("{}ms", p.deadline),
-            p.weight.to_string(),
-            p.keys.len().to_string(),
+            product.share.to_string(),
+            format!("{}ms", product.deadline),
+            product.weight.to_string(),
+            product.keys.len().to_string(),
         ]
     });
     table(&["product", "share", "deadline", "weight", "keys"], rows)
@@ -184,15 +189,15 @@
 }
 
 fn engines(config: &Config) -> TableBody {
-    let rows = config.engines.iter().map(|(name, e)| {
+    let rows = config.engines.iter().map(|(name, engine)| {
         vec![
             name.to_string(),
-            e.service.to_string(),
-            e.zone.to_string(),
-            e.address.to_string(),
-            state_name(e.state).to_string(),
-            e.role.map_or("auto".to_string(), |r| r.to_string()),
-            fencing_name(e.fencing).to_string(),
+            engine.service.to_string(),
+            engine.zone.to_string(),
+            engine.address.to_string(),
+            state_name(engine.state).to_string(),
+            engine.role.map_or("auto".to_string(), |role| role.to_string()),
+            fencing_name(engine.fencing).to_string(),
         ]
     });
     table(
@@ -202,7 +207,10 @@
 }
 
 fn quarantine(config: &Config) -> TableBody {
-    let rows = config.quarantine.iter().map(|print| vec![print.clone()]);
+    let rows = config
+        .quarantine
+        .iter()
+        .map(|fingerprint| vec![fingerprint.clone()]);
     table(&["fingerprint"], rows)
 }
 
