--- a/tests/testsuite/relay/orders.rs
+++ b/tests/testsuite/relay/orders.rs
@@ -16,14 +16,14 @@
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Item;
 
-use super::engine::Act;
+use super::engine::Action;
 use super::engine::ScriptedEngine;
 use super::instance::TestDialect;
 use super::instance::options;
 use super::instance::shared;
 use super::store::FakeStore;
 use super::store::Fate;
-use super::until;
+use super::wait_until;
 
 /// An instance that knows three generating engines at one address, of which one is to read.
 fn instance(engine: &ScriptedEngine) -> Arc<Shared> {
@@ -50,7 +50,7 @@
 
 async fn accepting() -> ScriptedEngine {
     let accepted = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
-    ScriptedEngine::start(move |_, _| vec![Act::Send(accepted.to_string())]).await
+    ScriptedEngine::start(move |_, _| vec![Action::Send(accepted.to_string())]).await
 }
 
 /// An engine gets two orders from two instances. Order: both see the same plan and none sees the other's record yet.
@@ -61,7 +61,7 @@
     for _ in 0..2 {
         actix_web::rt::spawn(orders::run(instance(&engine), Rc::new(store.clone())));
     }
-    until(|| store.calls().writes >= 2).await;
+    wait_until(|| store.calls().writes >= 2).await;
     engine.wait_for(|log| !log.requests.is_empty()).await;
     let seen = engine.log().requests;
     assert_eq!(seen.len(), 1);
@@ -93,7 +93,7 @@
     store.next_write(Fate::LostUnanswered);
     let state = instance(&engine);
     actix_web::rt::spawn(orders::run(state.clone(), Rc::new(store.clone())));
-    until(|| store.calls().ranges == 1).await;
+    wait_until(|| store.calls().ranges == 1).await;
     store.set_down(false);
     // Another engine is due later: until its order is there, the first one was passed over.
     let mut engines: Vec<Engine> = state.view.load().engines()["chat"].clone();
@@ -128,7 +128,7 @@
 /// An order is sent again though the first may still be carried out. Order: the engine gives no answer.
 #[actix_web::test]
 async fn unanswered_not_repeated() {
-    let engine = ScriptedEngine::start(|_, _| vec![Act::Close]).await;
+    let engine = ScriptedEngine::start(|_, _| vec![Action::Close]).await;
     let store = FakeStore::new();
     let state = instance(&engine);
     actix_web::rt::spawn(orders::run(state.clone(), Rc::new(store.clone())));
