--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -25,7 +25,7 @@
 use super::instance::options;
 use super::instance::shared;
 use super::store::FakeStore;
-use super::store::Fate;
+use super::store::WriteOutcome;
 
 /// An instance that acts for all by itself, towards `api`. Its service `chat` may be bought, and has `engines` in the zone `a`.
 async fn start(api: &ScriptedEngine, store: &FakeStore, engines: u32) -> Arc<Shared> {
@@ -136,7 +136,7 @@
     let shared = start(&api, &store, 0).await;
     let held = || shared.metrics.leads.get() == 1;
     super::until(held).await;
-    store.next_write(Fate::LostUnanswered);
+    store.set_next_write(WriteOutcome::DroppedUnanswered);
     let writes = store.calls().writes;
     shared.on_begun(clock::now(), "huka");
     super::until(|| store.calls().writes > writes).await;
--- a/tests/testsuite/relay/book.rs
+++ b/tests/testsuite/relay/book.rs
@@ -18,35 +18,35 @@
 const ENGINE: EngineKey = EngineKey(3);
 
 fn work(requests: u32, millis: u64) -> Work {
-    let reading = Duration::from_millis(millis);
+    let prefill_time = Duration::from_millis(millis);
     Work {
         requests,
-        prefill: reading,
+        prefill: prefill_time,
     }
 }
 
 #[test]
 fn work_until_end() {
-    let mut book = LoadTracker::new();
-    let first = book.begin(Time::ZERO, ENGINE, Duration::from_millis(900));
-    let second = book.begin(Time::ZERO, ENGINE, Duration::from_millis(100));
-    assert_eq!(book.own_work(ENGINE), work(2, 1_000));
-    book.finish_prefill(first);
-    book.finish_prefill(first);
-    assert_eq!(book.own_work(ENGINE), work(2, 100));
+    let mut tracker = LoadTracker::new();
+    let first = tracker.begin(Time::ZERO, ENGINE, Duration::from_millis(900));
+    let second = tracker.begin(Time::ZERO, ENGINE, Duration::from_millis(100));
+    assert_eq!(tracker.own_work(ENGINE), work(2, 1_000));
+    tracker.finish_prefill(first);
+    tracker.finish_prefill(first);
+    assert_eq!(tracker.own_work(ENGINE), work(2, 100));
     for ticket in [second, second, first] {
-        book.finish(Time::ZERO, ticket);
+        tracker.finish(Time::ZERO, ticket);
     }
-    assert_eq!(book.own_work(ENGINE), Work::default());
+    assert_eq!(tracker.own_work(ENGINE), Work::default());
 }
 
 #[test]
 fn work_of_peers_expires() {
-    let mut book = LoadTracker::new();
-    book.begin(Time::ZERO, ENGINE, Duration::from_millis(10));
-    book.on_peer_report(Time::ZERO, "b", BTreeMap::from([(ENGINE, work(4, 400))]));
-    assert_eq!(book.work(Time::from_millis(900), ENGINE), work(5, 410));
-    assert_eq!(book.work(Time::from_millis(1_100), ENGINE), work(1, 10));
+    let mut tracker = LoadTracker::new();
+    tracker.begin(Time::ZERO, ENGINE, Duration::from_millis(10));
+    tracker.on_peer_report(Time::ZERO, "b", BTreeMap::from([(ENGINE, work(4, 400))]));
+    assert_eq!(tracker.work(Time::from_millis(900), ENGINE), work(5, 410));
+    assert_eq!(tracker.work(Time::from_millis(1_100), ENGINE), work(1, 10));
 }
 
 /// Every check is refused for minutes though engines are free. Order: links are slow for a while, the mean time of a
@@ -54,48 +54,48 @@
 /// are let in by it.
 #[test]
 fn handover_forgotten() {
-    let mut book = LoadTracker::new();
-    let usual = book.handover(Time::ZERO, ENGINE);
+    let mut tracker = LoadTracker::new();
+    let usual = tracker.handover(Time::ZERO, ENGINE);
     for _ in 0..50 {
-        book.on_handover(Time::ZERO, ENGINE, Duration::from_millis(600));
+        tracker.on_handover(Time::ZERO, ENGINE, Duration::from_millis(600));
     }
-    assert!(book.handover(Time::ZERO, ENGINE) > Duration::from_millis(500));
-    let later = book.handover(Time::from_millis(4_000), ENGINE);
+    assert!(tracker.handover(Time::ZERO, ENGINE) > Duration::from_millis(500));
+    let later = tracker.handover(Time::from_millis(4_000), ENGINE);
     assert!(later < usual * 2, "{later:?}");
-    assert_eq!(book.handover(Time::ZERO, EngineKey(4)), usual);
+    assert_eq!(tracker.handover(Time::ZERO, EngineKey(4)), usual);
 }
 
 /// One engine draws all requests and serves none. Order: it declines whatever comes, so it has no work. Cause: the
 /// engine with the least work is the best choice.
 #[test]
 fn avoid_declining() {
-    let mut book = LoadTracker::new();
-    book.on_attempt_end(Time::ZERO, ENGINE, End::Declined);
-    assert!(book.is_avoided(Time::from_millis(200), ENGINE));
-    assert!(!book.is_avoided(Time::from_millis(300), ENGINE));
+    let mut tracker = LoadTracker::new();
+    tracker.on_attempt_end(Time::ZERO, ENGINE, End::Declined);
+    assert!(tracker.is_avoided(Time::from_millis(200), ENGINE));
+    assert!(!tracker.is_avoided(Time::from_millis(300), ENGINE));
 }
 
 #[test]
 fn avoid_longer_with_each_fault() {
-    let mut book = LoadTracker::new();
-    let mut pauses = Vec::new();
+    let mut tracker = LoadTracker::new();
+    let mut avoided_for = Vec::new();
     for _ in 0..6 {
-        book.on_attempt_end(Time::ZERO, ENGINE, End::Broken);
+        tracker.on_attempt_end(Time::ZERO, ENGINE, End::Broken);
         let avoided = (0..20_000)
             .step_by(100)
-            .filter(|ms| book.is_avoided(Time::from_millis(*ms), ENGINE));
-        pauses.push(avoided.count() / 5);
+            .filter(|ms| tracker.is_avoided(Time::from_millis(*ms), ENGINE));
+        avoided_for.push(avoided.count() / 5);
     }
-    assert_eq!(pauses, [1, 2, 4, 8, 16, 16]);
-    book.on_attempt_end(Time::ZERO, ENGINE, End::Answered);
-    assert!(!book.is_avoided(Time::ZERO, ENGINE));
+    assert_eq!(avoided_for, [1, 2, 4, 8, 16, 16]);
+    tracker.on_attempt_end(Time::ZERO, ENGINE, End::Answered);
+    assert!(!tracker.is_avoided(Time::ZERO, ENGINE));
 }
 
 /// What an engine was seen to read, alone, in so many milliseconds.
-fn read(book: &mut LoadTracker, now: Time, engine: &Engine, millis: u64) {
+fn record_prefill(tracker: &mut LoadTracker, now: Time, engine: &Engine, millis: u64) {
     let engines = [engine.clone()];
-    let chooser = EngineSelector {
-        loads: book,
+    let selector = EngineSelector {
+        loads: tracker,
         now,
         zone: "a",
         tried: &[],
@@ -109,10 +109,10 @@
         output: 2,
         parts: Vec::new(),
     };
-    let reading = chooser
+    let plan = selector
         .choose_prefill(&engines, Stage::Prefill, &prompt)
         .expect("an engine");
-    book.on_prefill(now, &reading, Duration::from_millis(millis));
+    tracker.on_prefill(now, &plan, Duration::from_millis(millis));
 }
 
 /// One engine of a service turns slow, and is well again later. Order: its prompts take four times as long, it counts as slow;
@@ -120,37 +120,37 @@
 #[test]
 fn slow_engine_seen_and_forgotten() {
     let engines = fleet(&[Stage::Prefill; 2]);
-    let mut book = LoadTracker::new();
+    let mut tracker = LoadTracker::new();
     for _ in 0..40 {
-        read(&mut book, Time::ZERO, &engines[0], 100);
-        read(&mut book, Time::ZERO, &engines[1], 100);
+        record_prefill(&mut tracker, Time::ZERO, &engines[0], 100);
+        record_prefill(&mut tracker, Time::ZERO, &engines[1], 100);
     }
-    assert!((0.9..1.1).contains(&book.slowness(Time::ZERO, engines[0].key)));
+    assert!((0.9..1.1).contains(&tracker.slowness(Time::ZERO, engines[0].key)));
     for _ in 0..12 {
-        read(&mut book, Time::ZERO, &engines[0], 400);
-        read(&mut book, Time::ZERO, &engines[1], 100);
+        record_prefill(&mut tracker, Time::ZERO, &engines[0], 400);
+        record_prefill(&mut tracker, Time::ZERO, &engines[1], 100);
     }
-    let slowness = [0, 1].map(|i: usize| book.slowness(Time::ZERO, engines[i].key));
+    let slowness = [0, 1].map(|i: usize| tracker.slowness(Time::ZERO, engines[i].key));
     assert!(slowness[0] > 1.5 * slowness[1], "{slowness:?}");
-    let later = book.slowness(Time::from_millis(40_000), engines[0].key);
+    let later = tracker.slowness(Time::from_millis(40_000), engines[0].key);
     assert!((0.9..1.1).contains(&later), "{later}");
 }
 
 #[test]
 fn queue_only_over_slots() {
-    let mut book = LoadTracker::new();
+    let mut tracker = LoadTracker::new();
     for millis in 0..40 {
-        let ticket = book.begin(Time::from_millis(millis), ENGINE, Duration::ZERO);
-        book.finish(Time::from_millis(millis + 160), ticket);
+        let ticket = tracker.begin(Time::from_millis(millis), ENGINE, Duration::ZERO);
+        tracker.finish(Time::from_millis(millis + 160), ticket);
     }
     for _ in 0..15 {
-        book.begin(Time::from_millis(500), ENGINE, Duration::ZERO);
+        tracker.begin(Time::from_millis(500), ENGINE, Duration::ZERO);
     }
     assert_eq!(
-        book.queue_time(Time::from_millis(500), ENGINE, 16),
+        tracker.queue_time(Time::from_millis(500), ENGINE, 16),
         Duration::ZERO
     );
-    book.begin(Time::from_millis(500), ENGINE, Duration::ZERO);
-    let wait = book.queue_time(Time::from_millis(500), ENGINE, 16);
+    tracker.begin(Time::from_millis(500), ENGINE, Duration::ZERO);
+    let wait = tracker.queue_time(Time::from_millis(500), ENGINE, 16);
     assert_eq!(wait, Duration::from_millis(10));
 }
--- a/tests/testsuite/relay/digest.rs
+++ b/tests/testsuite/relay/digest.rs
@@ -21,9 +21,9 @@
 #[test]
 fn part_all_of_few() {
     for turn in 0..5 {
-        let mut told = round_robin(&peers(7), turn, 16);
-        told.sort();
-        assert_eq!(told, peers(7));
+        let mut recipients = round_robin(&peers(7), turn, 16);
+        recipients.sort();
+        assert_eq!(recipients, peers(7));
     }
     assert_eq!(round_robin(&[], 3, 16), Vec::new());
 }
@@ -32,14 +32,14 @@
 #[test]
 fn part_goes_round() {
     let peers = peers(349);
-    let mut told: BTreeMap<SocketAddr, u32> = BTreeMap::new();
+    let mut counts: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for turn in 0..349 {
         round_robin(&peers, turn, 16)
             .into_iter()
-            .for_each(|peer| *told.entry(peer).or_default() += 1);
+            .for_each(|peer| *counts.entry(peer).or_default() += 1);
     }
-    assert_eq!(told.len(), 349);
-    assert!(told.values().all(|times| *times == 16));
+    assert_eq!(counts.len(), 349);
+    assert!(counts.values().all(|count| *count == 16));
 }
 
 /// Guards against a thousand small instances spending all their time on messages about each other's load. Idle instances
@@ -91,17 +91,18 @@
         part,
         tokens: 1,
     });
-    let digest = LoadMessage::new(all.collect(), Vec::new(), reads.collect());
-    let whole = postcard::to_allocvec(&digest).expect("written").len();
-    assert!(whole > MAX_DATAGRAM, "{whole}");
-    let cut = digest.trim(MAX_DATAGRAM as f64 / whole as f64 * 0.8);
-    let length = postcard::to_allocvec(&cut).expect("written").len();
+    let message = LoadMessage::new(all.collect(), Vec::new(), reads.collect());
+    let full_length = postcard::to_allocvec(&message).expect("written").len();
+    assert!(full_length > MAX_DATAGRAM, "{full_length}");
+    let trimmed = message.trim(MAX_DATAGRAM as f64 / full_length as f64 * 0.8);
+    let length = postcard::to_allocvec(&trimmed).expect("written").len();
     assert!((600..MAX_DATAGRAM - 120).contains(&length), "{length}");
     assert!(
-        cut.shares
+        trimmed
+            .shares
             .iter()
-            .all(|share| share.requests > 200 - cut.shares.len() as u32)
+            .all(|share| share.requests > 200 - trimmed.shares.len() as u32)
     );
-    let parts: Vec<u64> = cut.reads.iter().map(|read| read.part).collect();
+    let parts: Vec<u64> = trimmed.reads.iter().map(|read| read.part).collect();
     assert_eq!(parts.last(), Some(&9), "the latest stay: {parts:?}");
 }
--- a/tests/testsuite/relay/engines.rs
+++ b/tests/testsuite/relay/engines.rs
@@ -12,9 +12,9 @@
 
 use super::entry;
 
-fn ready(sequence: u64, born: u64) -> Entry {
+fn ready(sequence: u64, created: u64) -> Entry {
     let mut entry = entry("e", Stage::Decode);
-    (entry.sequence, entry.create_revision) = (sequence, born);
+    (entry.sequence, entry.create_revision) = (sequence, created);
     entry
 }
 
@@ -24,11 +24,11 @@
     entry
 }
 
-fn gone(revision: u64) -> EngineUpdate {
+fn removal(revision: u64) -> EngineUpdate {
     EngineUpdate::Removed(revision, "e".to_string())
 }
 
-fn open(engines: &Engines) -> usize {
+fn available_count(engines: &Engines) -> usize {
     engines.available().values().flatten().count()
 }
 
@@ -39,9 +39,9 @@
     let mut engines = Engines::new();
     engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(7, 1)));
     engines.on_update(Time::ZERO, EngineUpdate::Entry(6, leaving(9)));
-    assert_eq!(open(&engines), 0);
+    assert_eq!(available_count(&engines), 0);
     engines.on_update(Time::ZERO, EngineUpdate::Entry(7, ready(8, 1)));
-    assert_eq!(open(&engines), 0);
+    assert_eq!(available_count(&engines), 0);
 }
 
 /// Work goes to an engine that has left. Order: its entry is removed, then a word from before creates it anew. Cause:
@@ -50,11 +50,11 @@
 fn gone_older_word_late() {
     let mut engines = Engines::new();
     engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(7, 1)));
-    engines.on_update(Time::ZERO, gone(6));
+    engines.on_update(Time::ZERO, removal(6));
     engines.on_update(Time::ZERO, EngineUpdate::Entry(8, ready(7, 8)));
-    assert_eq!(open(&engines), 0);
+    assert_eq!(available_count(&engines), 0);
     engines.on_update(Time::ZERO, EngineUpdate::Entry(9, ready(8, 8)));
-    assert_eq!(open(&engines), 1);
+    assert_eq!(available_count(&engines), 1);
 }
 
 #[test]
@@ -62,8 +62,8 @@
     let mut engines = Engines::new();
     engines.on_update(Time::ZERO, EngineUpdate::Entry(9, leaving(3)));
     assert!(!engines.on_update(Time::ZERO, EngineUpdate::Entry(8, ready(2, 1))));
-    assert!(!engines.on_update(Time::ZERO, gone(8)));
-    assert_eq!((engines.len(), open(&engines)), (1, 0));
+    assert!(!engines.on_update(Time::ZERO, removal(8)));
+    assert_eq!((engines.len(), available_count(&engines)), (1, 0));
 }
 
 /// Everybody is refused though all engines live. Order: the store is away, all entries lapse meanwhile, it comes back
@@ -75,11 +75,11 @@
     let back = Time::from_millis(60_000);
     engines.on_store_failure(back);
     engines.on_snapshot(back, 9, Vec::new());
-    assert_eq!(open(&engines), 1);
+    assert_eq!(available_count(&engines), 1);
     engines.on_tick(back + REREGISTRATION_GRACE - Duration::from_millis(1));
-    assert_eq!(open(&engines), 1);
+    assert_eq!(available_count(&engines), 1);
     engines.on_tick(back + REREGISTRATION_GRACE);
-    assert_eq!(open(&engines), 0);
+    assert_eq!(available_count(&engines), 0);
 }
 
 #[test]
@@ -90,7 +90,7 @@
     engines.on_snapshot(Time::ZERO, 9, Vec::new());
     engines.on_update(Time::ZERO, EngineUpdate::Entry(11, ready(2, 11)));
     engines.on_tick(Time::ZERO + REREGISTRATION_GRACE);
-    assert_eq!(open(&engines), 1);
+    assert_eq!(available_count(&engines), 1);
     assert!(!engines.has_missing());
 }
 
@@ -101,8 +101,8 @@
     let mut engines = Engines::new();
     engines.on_update(Time::ZERO, EngineUpdate::Entry(5, ready(1, 1)));
     engines.on_store_failure(Time::ZERO);
-    assert!(engines.on_update(Time::ZERO + STORE_FAILURE_WINDOW, gone(6)));
-    assert_eq!(open(&engines), 0);
+    assert!(engines.on_update(Time::ZERO + STORE_FAILURE_WINDOW, removal(6)));
+    assert_eq!(available_count(&engines), 0);
 }
 
 /// What was known of an engine's load is taken for that of another. Order: an engine comes back under its id. Cause:
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -23,26 +23,26 @@
 use super::until;
 
 async fn start(options: Options, store: &FakeStore) -> Arc<Shared> {
-    start_seated(options, store).await.0
+    start_with_fleet(options, store).await.0
 }
 
-async fn start_seated(options: Options, store: &FakeStore) -> (Arc<Shared>, Fleet) {
+async fn start_with_fleet(options: Options, store: &FakeStore) -> (Arc<Shared>, Fleet) {
     let shared = shared(options);
     let sockets = peers::Sockets::bind(&shared)
         .await
         .expect("an address of its own");
-    let known = StoreReplica::new();
-    let fleet = peers::start(shared.clone(), sockets, known.clone());
+    let replica = StoreReplica::new();
+    let fleet = peers::start(shared.clone(), sockets, replica.clone());
     let store = Rc::new(store.clone());
-    actix_web::rt::spawn(follow::run(shared.clone(), store, fleet.clone(), known));
+    actix_web::rt::spawn(follow::run(shared.clone(), store, fleet.clone(), replica));
     (shared, fleet)
 }
 
 /// Three instances of a zone: two watch `served`, the third listens to them and has a store of its own.
-async fn listener(served: &FakeStore, own: &FakeStore, bound: Duration) -> [(Arc<Shared>, Fleet); 3] {
+async fn start_zone(served: &FakeStore, own: &FakeStore, limit: Duration) -> [(Arc<Shared>, Fleet); 3] {
     let named = |name: &str| {
         let mut options = options();
-        options.reloadable.apply_limit = ApplyLimit(bound);
+        options.reloadable.apply_limit = ApplyLimit(limit);
         options.name = name.parse().expect("a name");
         options
     };
@@ -54,15 +54,15 @@
             name, front, peer, ..
         } in &options
         {
-            let card = format!(r#"{{"zone":"a","front":"{front}","peer":"{peer}"}}"#);
-            store.put(&format!("own/a/{name}"), &card);
+            let record = format!(r#"{{"zone":"a","front":"{front}","peer":"{peer}"}}"#);
+            store.put(&format!("own/a/{name}"), &record);
         }
     }
     let [a, b, c] = options;
     let instances = [
-        start_seated(a, served).await,
-        start_seated(b, served).await,
-        start_seated(c, own).await,
+        start_with_fleet(a, served).await,
+        start_with_fleet(b, served).await,
+        start_with_fleet(c, own).await,
     ];
     let [.., (_, listener)] = &instances;
     until(|| instances.iter().all(|(shared, _)| version(shared) == 3)).await;
@@ -188,21 +188,21 @@
 async fn turned_away_asks_peer() {
     let (served, silent) = (FakeStore::new(), FakeStore::new());
     silent.set_down(true);
-    let near = options();
-    let mut far = options();
-    far.name = "two".parse().expect("a name");
+    let one = options();
+    let mut two = options();
+    two.name = "two".parse().expect("a name");
     served.put("config", "3 /a/");
     served.put("engines/e1", "chat 127.0.0.1:9 ready 1");
-    let card = |options: &Options| {
+    let record = |options: &Options| {
         format!(
             r#"{{"zone":"a","front":"{}","peer":"{}"}}"#,
             options.front, options.peer
         )
     };
-    served.put("own/one", &card(&near));
-    served.put("own/two", &card(&far));
-    let first = start(near, &served).await;
-    let second = start(far, &silent).await;
+    served.put("own/one", &record(&one));
+    served.put("own/two", &record(&two));
+    let first = start(one, &served).await;
+    let second = start(two, &silent).await;
     until(|| version(&first) == 3).await;
     until(|| version(&second) == 3 && engines(&second) == ["e1"]).await;
     served.put("engines/e1", "chat 127.0.0.1:9 leaving 2");
@@ -236,12 +236,15 @@
 async fn instances_named() {
     let store = FakeStore::new();
     store.put("config", "3 /a/");
-    let near = options();
-    let mut far = options();
-    far.name = "two".parse().expect("a name");
-    let mut both = vec![near.front, far.front];
+    let one = options();
+    let mut two = options();
+    two.name = "two".parse().expect("a name");
+    let mut both = vec![one.front, two.front];
     both.sort();
-    let instances = [start_seated(near, &store).await, start_seated(far, &store).await];
+    let instances = [
+        start_with_fleet(one, &store).await,
+        start_with_fleet(two, &store).await,
+    ];
     let registrations = instances
         .clone()
         .map(|(s, fleet)| register::start(s, Rc::new(store.clone()), fleet));
@@ -265,7 +268,7 @@
             store.put(&format!("engines/e{number}"), "chat 127.0.0.1:9 ready 1");
         }
     }
-    let [_, _, (listener, _)] = listener(&served, &own, Duration::from_secs(60)).await;
+    let [_, _, (listener, _)] = start_zone(&served, &own, Duration::from_secs(60)).await;
     let known: Vec<String> = (1..9).map(|number| format!("e{number}")).collect();
     until(|| engines(&listener) == known).await;
     assert_eq!(
@@ -295,7 +298,7 @@
 async fn listener_hears_of_changes() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
     // So long that the instance need not watch by itself, however slow the test's machine is.
-    let [_, _, (listener, _)] = listener(&served, &own, Duration::from_secs(60)).await;
+    let [_, _, (listener, _)] = start_zone(&served, &own, Duration::from_secs(60)).await;
     served.put("engines/e2", "chat 127.0.0.1:9 ready 1");
     served.remove("engines/e1");
     served.put("config", "7 /b/");
@@ -312,7 +315,7 @@
 #[actix_web::test]
 async fn listener_unconfirmed_watches() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
-    let [_, _, (listener, _)] = listener(&served, &own, Duration::from_millis(400)).await;
+    let [_, _, (listener, _)] = start_zone(&served, &own, Duration::from_millis(400)).await;
     served.set_down(true);
     own.put("engines/e2", "chat 127.0.0.1:9 ready 1");
     until(|| engines(&listener) == ["e1", "e2"]).await;
@@ -323,7 +326,7 @@
 #[actix_web::test]
 async fn lapse_told_in_doubt() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
-    let [(watcher, _), _, (listener, _)] = listener(&served, &own, Duration::from_millis(400)).await;
+    let [(watcher, _), _, (listener, _)] = start_zone(&served, &own, Duration::from_millis(400)).await;
     served.set_down(true);
     own.set_down(true);
     for shared in [&watcher, &listener] {
@@ -355,8 +358,8 @@
     };
     let (first, second) = (named("one"), named("two"));
     let instances = [
-        start_seated(first, &store).await,
-        start_seated(second, &store).await,
+        start_with_fleet(first, &store).await,
+        start_with_fleet(second, &store).await,
     ];
     let registrations = instances
         .clone()
@@ -373,18 +376,18 @@
 async fn zone_listed_after_many_changes() {
     let store = FakeStore::new();
     store.put("config", "3 /a/");
-    let card = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
+    let record = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
     for name in ["a1", "a2", "a3"] {
-        store.put(&format!("own/a/{name}"), card);
+        store.put(&format!("own/a/{name}"), record);
     }
     let mut options = options();
     options.reloadable.apply_limit = ApplyLimit(Duration::from_secs(60));
-    let (shared, fleet) = start_seated(options, &store).await;
+    let (shared, fleet) = start_with_fleet(options, &store).await;
     until(|| version(&shared) == 3 && !fleet.watch_rank().is_watcher()).await;
     for number in 0..70 {
         store.put(&format!("engines/e{number}"), "chat 127.0.0.1:9 ready 1");
     }
-    store.put("own/a/a4", card);
+    store.put("own/a/a4", record);
     let _registration = register::start(shared, Rc::new(store.clone()), fleet.clone());
     until(|| fleet.listed_zones().keys().any(|name| name.as_str() == "a4")).await;
 }
@@ -400,7 +403,7 @@
     );
     let mut options = options();
     options.reloadable.retention = Duration::from_millis(50);
-    let (shared, fleet) = start_seated(options, &store).await;
+    let (shared, fleet) = start_with_fleet(options, &store).await;
     let _registration = register::start(shared.clone(), Rc::new(store.clone()), fleet.clone());
     until(|| store.has("own/a/one") && fleet.watch_rank().rank == 0).await;
     // Each check of the keys begins with rewriting the instance's own key if it is missing.
@@ -417,7 +420,7 @@
 async fn missing_key_rewritten() {
     let store = FakeStore::new();
     store.put("config", "3 /a/");
-    let (shared, fleet) = start_seated(options(), &store).await;
+    let (shared, fleet) = start_with_fleet(options(), &store).await;
     let _registration = register::start(shared, Rc::new(store.clone()), fleet);
     until(|| store.has("own/a/one")).await;
     store.remove("own/a/one");
@@ -432,10 +435,10 @@
     let store = FakeStore::new();
     store.put("config", "3 /a/");
     for number in 10..30 {
-        let card = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
-        store.put(&format!("own/a{number}"), card);
+        let record = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
+        store.put(&format!("own/a{number}"), record);
     }
-    let (shared, fleet) = start_seated(options(), &store).await;
+    let (shared, fleet) = start_with_fleet(options(), &store).await;
     until(|| version(&shared) == 3).await;
     assert!(!fleet.watch_rank().is_watcher(), "{:?}", fleet.watch_rank());
     store.put("config", "5 /a/");
@@ -448,7 +451,7 @@
 #[actix_web::test]
 async fn leaving_told_by_one_cut_off() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
-    let [(watcher, _), _, (listener, _)] = listener(&served, &own, Duration::from_millis(400)).await;
+    let [(watcher, _), _, (listener, _)] = start_zone(&served, &own, Duration::from_millis(400)).await;
     served.set_down(true);
     until(|| watcher.store_age(clock::now()) > Duration::from_millis(400)).await;
     served.remove("engines/e1");
@@ -465,12 +468,12 @@
 async fn listener_rests_between_questions() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
     for number in 100..220 {
-        let card = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
+        let record = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
         for store in [&served, &own] {
-            store.put(&format!("own/z{number}"), card);
+            store.put(&format!("own/z{number}"), record);
         }
     }
-    let [(first, _), (second, _), (listener, _)] = listener(&served, &own, Duration::from_secs(60)).await;
+    let [(first, _), (second, _), (listener, _)] = start_zone(&served, &own, Duration::from_secs(60)).await;
     until(|| listener.view.load().instances > 100).await;
     // With work they tell of it, and of what they know of the store, forty times a second.
     for watcher in [&first, &second] {
@@ -479,11 +482,11 @@
             .load
             .begin(clock::now(), EngineKey(0), Duration::ZERO);
     }
-    let begun = clock::now();
+    let started = clock::now();
     for change in 4..9 {
         served.put("config", &format!("{change} /a/"));
         until(|| version(&listener) == change).await;
     }
-    let rests = follow::batch_delay(listener.view.load().instances) * 4;
-    assert!(clock::now().since(begun) >= rests, "{rests:?}");
+    let min_delay = follow::batch_delay(listener.view.load().instances) * 4;
+    assert!(clock::now().since(started) >= min_delay, "{min_delay:?}");
 }
--- a/tests/testsuite/relay/known.rs
+++ b/tests/testsuite/relay/known.rs
@@ -29,53 +29,56 @@
 }
 
 /// Knows two engines as of revision 10.
-fn known() -> StoreReplica {
-    let known = StoreReplica::new();
-    known.on_snapshot(&keys(), 10, &[item("engines/a", 3, 1), item("engines/b", 7, 1)]);
-    known.on_store_answer(NOW, NOW, Duration::ZERO, 10);
-    known
+fn replica() -> StoreReplica {
+    let replica = StoreReplica::new();
+    replica.on_snapshot(&keys(), 10, &[item("engines/a", 3, 1), item("engines/b", 7, 1)]);
+    replica.on_store_answer(NOW, NOW, Duration::ZERO, 10);
+    replica
 }
 
-fn gone(key: &str, revision: u64) -> Change {
+fn removal(key: &str, revision: u64) -> Change {
     let key = key.to_string();
     Change::Removed { key, revision }
 }
 
 /// What is told after a revision: revisions written, keys removed, large items.
-fn told(known: &StoreReplica, revision: u64) -> Option<(Vec<u64>, Vec<String>, Vec<u64>)> {
-    let news = known.changes_since(NOW, revision)?;
-    let items = news.items.iter().map(|item| item.revision).collect();
-    let removed = news.removed.into_iter().map(|(_, key)| key).collect();
-    let large = news.large.iter().map(|(revision, _)| *revision).collect();
+fn reported(replica: &StoreReplica, revision: u64) -> Option<(Vec<u64>, Vec<String>, Vec<u64>)> {
+    let changes = replica.changes_since(NOW, revision)?;
+    let items = changes.items.iter().map(|item| item.revision).collect();
+    let removed = changes.removed.into_iter().map(|(_, key)| key).collect();
+    let large = changes.large.iter().map(|(revision, _)| *revision).collect();
     Some((items, removed, large))
 }
 
 #[test]
 fn tell_since_what_changed() {
-    let known = known();
-    known.on_change(&keys(), &Change::Put(item("engines/a", 11, 1)));
-    known.on_change(&keys(), &gone("engines/b", 12));
-    known.on_change(&keys(), &Change::Put(item("config", 13, 60_000)));
-    known.on_change(&keys(), &Change::Put(item("others/x", 14, 1)));
-    known.on_store_answer(NOW, NOW, Duration::ZERO, 14);
+    let replica = replica();
+    replica.on_change(&keys(), &Change::Put(item("engines/a", 11, 1)));
+    replica.on_change(&keys(), &removal("engines/b", 12));
+    replica.on_change(&keys(), &Change::Put(item("config", 13, 60_000)));
+    replica.on_change(&keys(), &Change::Put(item("others/x", 14, 1)));
+    replica.on_store_answer(NOW, NOW, Duration::ZERO, 14);
     let b = "engines/b".to_string();
-    assert_eq!(told(&known, 10), Some((vec![11], vec![b.clone()], vec![13])));
-    assert_eq!(told(&known, 11), Some((vec![], vec![b], vec![13])));
-    assert_eq!(told(&known, 13), Some((vec![], vec![], vec![])));
+    assert_eq!(
+        reported(&replica, 10),
+        Some((vec![11], vec![b.clone()], vec![13]))
+    );
+    assert_eq!(reported(&replica, 11), Some((vec![], vec![b], vec![13])));
+    assert_eq!(reported(&replica, 13), Some((vec![], vec![], vec![])));
 }
 
 /// Work goes to an engine that is gone. Order: an instance lags behind what its peer has read of removals, and takes what
 /// the peer tells for all that happened.
 #[test]
 fn tell_since_before_it_knew() {
-    let known = known();
-    assert_eq!(told(&known, 9), None);
+    let replica = replica();
+    assert_eq!(reported(&replica, 9), None);
     for revision in 11..2_100 {
-        known.on_change(&keys(), &gone(&format!("engines/{revision}"), revision));
+        replica.on_change(&keys(), &removal(&format!("engines/{revision}"), revision));
     }
-    known.on_store_answer(NOW, NOW, Duration::ZERO, 2_100);
-    assert_eq!(told(&known, 10), None);
-    let (_, removed, _) = told(&known, 2_000).expect("a short while ago");
+    replica.on_store_answer(NOW, NOW, Duration::ZERO, 2_100);
+    assert_eq!(reported(&replica, 10), None);
+    let (_, removed, _) = reported(&replica, 2_000).expect("a short while ago");
     assert_eq!(removed.len(), 99);
 }
 
@@ -83,40 +86,40 @@
 /// beginning, though what went since can be worked out.
 #[test]
 fn tell_since_across_a_read() {
-    let known = known();
-    known.on_snapshot(&keys(), 20, &[item("engines/b", 7, 1), item("engines/c", 15, 1)]);
-    known.on_store_answer(NOW, NOW, Duration::ZERO, 20);
+    let replica = replica();
+    replica.on_snapshot(&keys(), 20, &[item("engines/b", 7, 1), item("engines/c", 15, 1)]);
+    replica.on_store_answer(NOW, NOW, Duration::ZERO, 20);
     let a = "engines/a".to_string();
-    assert_eq!(told(&known, 10), Some((vec![15], vec![a], vec![])));
+    assert_eq!(reported(&replica, 10), Some((vec![15], vec![a], vec![])));
 }
 
 #[test]
 fn tell_ages() {
-    let known = known();
+    let replica = replica();
     let later = NOW + Duration::from_millis(300);
-    let news = known.changes_since(later, 10).expect("all that happened");
-    assert_eq!((news.age, known.page(later, "").age), (300, 300));
-    let word = SyncStatus {
+    let changes = replica.changes_since(later, 10).expect("all that happened");
+    assert_eq!((changes.age, replica.page(later, "").age), (300, 300));
+    let status = SyncStatus {
         revision: 10,
         age: Duration::from_millis(40),
     };
-    assert!(!known.on_peer_status(later, word));
-    assert_eq!(known.page(later, "").age, 40);
+    assert!(!replica.on_peer_status(later, status));
+    assert_eq!(replica.page(later, "").age, 40);
     assert_eq!(StoreReplica::new().page(later, "").age, u32::MAX);
 }
 
 /// Guards against an answer to a starting peer that exceeds the frame limit, as with ten thousand engines.
 #[test]
 fn tell_in_pages() {
-    let known = StoreReplica::new();
+    let replica = StoreReplica::new();
     let items = ["a", "b", "c", "d"].map(|name| item(&format!("engines/{name}"), 3, 200 * 1024));
-    known.on_snapshot(&keys(), 10, &items);
+    replica.on_snapshot(&keys(), 10, &items);
     let mut after = String::new();
     let mut pages = Vec::new();
     loop {
-        let page = known.page(NOW, &after);
+        let page = replica.page(NOW, &after);
         pages.push(page.items.iter().map(|item| item.key.clone()).collect::<Vec<_>>());
-        assert_eq!(page.revision, known.revision());
+        assert_eq!(page.revision, replica.revision());
         match page.more {
             true => after = page.items.last().expect("a non-empty page").key.clone(),
             false => break,
@@ -129,19 +132,19 @@
 /// answer that passes for a complete one.
 #[test]
 fn tell_since_in_parts() {
-    let known = known();
+    let replica = replica();
     for revision in 11..61 {
-        known.on_change(
+        replica.on_change(
             &keys(),
             &Change::Put(item(&format!("engines/{revision}"), revision, 20_000)),
         );
     }
-    known.on_change(&keys(), &gone("engines/a", 62));
-    known.on_store_answer(NOW, NOW, Duration::ZERO, 62);
-    let first = known.changes_since(NOW, 10).expect("a short while ago");
+    replica.on_change(&keys(), &removal("engines/a", 62));
+    replica.on_store_answer(NOW, NOW, Duration::ZERO, 62);
+    let first = replica.changes_since(NOW, 10).expect("a short while ago");
     assert_eq!((first.items.len(), first.revision, first.age), (27, 37, u32::MAX));
     assert_eq!(first.removed, []);
-    let second = known
+    let second = replica
         .changes_since(NOW, first.revision)
         .expect("a short while ago");
     assert_eq!((second.items.len(), second.revision, second.age), (23, 62, 0));
--- a/tests/testsuite/relay/lead.rs
+++ b/tests/testsuite/relay/lead.rs
@@ -42,41 +42,41 @@
 /// The first call of a holder crosses the last one of the holder before it.
 #[test]
 fn fence_after_a_lease() {
-    let mut lead = LeaderLease::new(LEASE);
-    lead.on_acquired(at(10), at(0), 7);
-    lead.on_renewed(at(1_000));
-    lead.on_renewed(at(2_000));
-    assert_eq!(lead.fence(at(3_009)), None);
-    assert_eq!(lead.fence(at(3_010)), Some(7));
+    let mut leader = LeaderLease::new(LEASE);
+    leader.on_acquired(at(10), at(0), 7);
+    leader.on_renewed(at(1_000));
+    leader.on_renewed(at(2_000));
+    assert_eq!(leader.fence(at(3_009)), None);
+    assert_eq!(leader.fence(at(3_010)), Some(7));
 }
 
 /// A holder is paused, its lease lapses, another takes it, and the first goes on calling.
 #[test]
 fn fence_ends_before_lease() {
-    let mut lead = LeaderLease::new(LEASE);
-    lead.on_acquired(at(10), at(0), 7);
-    lead.on_renewed(at(2_000));
-    assert_eq!(lead.fence(at(4_099)), Some(7));
-    assert_eq!(lead.fence(at(4_100)), None);
-    lead.on_lost(at(4_200));
-    assert!(!lead.is_held());
+    let mut leader = LeaderLease::new(LEASE);
+    leader.on_acquired(at(10), at(0), 7);
+    leader.on_renewed(at(2_000));
+    assert_eq!(leader.fence(at(4_099)), Some(7));
+    assert_eq!(leader.fence(at(4_100)), None);
+    leader.on_lost(at(4_200));
+    assert!(!leader.is_held());
 }
 
 #[test]
 fn step_renews_and_rests_after_failure() {
-    let mut lead = LeaderLease::new(LEASE);
-    lead.on_acquired(at(10), at(0), 7);
-    assert_eq!(lead.next_action(at(900), false, 0), LeaseAction::Wait);
-    assert_eq!(lead.next_action(at(1_000), false, 0), LeaseAction::Renew);
-    lead.on_failure(at(1_000));
-    assert_eq!(lead.next_action(at(1_300), false, 0), LeaseAction::Wait);
-    assert_eq!(lead.next_action(at(1_400), false, 0), LeaseAction::Renew);
+    let mut leader = LeaderLease::new(LEASE);
+    leader.on_acquired(at(10), at(0), 7);
+    assert_eq!(leader.next_action(at(900), false, 0), LeaseAction::Wait);
+    assert_eq!(leader.next_action(at(1_000), false, 0), LeaseAction::Renew);
+    leader.on_failure(at(1_000));
+    assert_eq!(leader.next_action(at(1_300), false, 0), LeaseAction::Wait);
+    assert_eq!(leader.next_action(at(1_400), false, 0), LeaseAction::Renew);
 }
 
 /// A call for the lease on its way.
 #[derive(Debug, Clone, Copy)]
 enum Call {
-    Take,
+    Acquire,
     Renew(u64),
 }
 
@@ -91,11 +91,11 @@
 
 #[derive(Debug)]
 struct Instance {
-    lead: LeaderLease,
+    leader: LeaderLease,
     lease: Option<u64>,
     pending: Option<Pending>,
     paused: Time,
-    away: Time,
+    unreachable: Time,
     sees_free: bool,
 }
 
@@ -123,8 +123,8 @@
         self.revision += 1;
         let until = now + LEASE;
         match call {
-            Call::Take if self.record.is_some() => Err(false),
-            Call::Take => {
+            Call::Acquire if self.record.is_some() => Err(false),
+            Call::Acquire => {
                 let lease = self.revision;
                 self.leases.insert(lease, until);
                 self.record = Some((lease, self.revision));
@@ -156,11 +156,11 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(1..9);
         let instance = |_| Instance {
-            lead: LeaderLease::new(LEASE),
+            leader: LeaderLease::new(LEASE),
             lease: None,
             pending: None,
             paused: Time::ZERO,
-            away: Time::ZERO,
+            unreachable: Time::ZERO,
             sees_free: true,
         };
         Run {
@@ -172,28 +172,28 @@
         }
     }
 
-    fn delay(&mut self, most: u64) -> Duration {
-        let most = if self.rng.random_bool(0.1) {
-            most
+    fn delay(&mut self, limit: u64) -> Duration {
+        let limit = if self.rng.random_bool(0.1) {
+            limit
         } else {
-            most / 20
+            limit / 20
         };
-        Duration::from_millis(self.rng.random_range(1..=most.max(2)))
+        Duration::from_millis(self.rng.random_range(1..=limit.max(2)))
     }
 
-    fn trouble(&mut self, now: Time) {
+    fn inject_fault(&mut self, now: Time) {
         let length = Duration::from_millis(self.rng.random_range(200..9_000));
         let index = self.rng.random_range(0..self.instances.len());
         match self.rng.random_bool(0.5) {
             true => self.instances[index].paused = now + length,
-            false => self.instances[index].away = now + length,
+            false => self.instances[index].unreachable = now + length,
         }
     }
 
-    fn turn(&mut self, now: Time) {
+    fn step(&mut self, now: Time) {
         self.store.expire(now);
         if self.rng.random_bool(0.02) {
-            self.trouble(now);
+            self.inject_fault(now);
         }
         let due: Vec<_> = self
             .calls
@@ -206,38 +206,38 @@
             self.arrived.push(call);
         }
         for index in 0..self.instances.len() {
-            self.arrive(now, index);
+            self.deliver(now, index);
             if now >= self.instances[index].paused {
-                self.act(now, index);
+                self.run_instance(now, index);
             }
         }
     }
 
     /// The store gets a call whether or not its sender runs.
-    fn arrive(&mut self, now: Time, index: usize) {
+    fn deliver(&mut self, now: Time, index: usize) {
         let instance = &mut self.instances[index];
         let Some(pending) = &mut instance.pending else {
             return;
         };
-        if pending.result.is_none() && now >= pending.arrives && now >= instance.away {
+        if pending.result.is_none() && now >= pending.arrives && now >= instance.unreachable {
             pending.result = Some(self.store.call(now, pending.call));
         }
     }
 
-    fn act(&mut self, now: Time, index: usize) {
+    fn run_instance(&mut self, now: Time, index: usize) {
         let is_free = self.store.record.is_none();
-        let looks = self.rng.random_bool(0.3);
+        let refreshes = self.rng.random_bool(0.3);
         let delays = [self.delay(800), self.delay(800), self.delay(3_000)];
         let is_lost = self.rng.random_bool(0.05);
         let instance = &mut self.instances[index];
-        if looks && now >= instance.away {
+        if refreshes && now >= instance.unreachable {
             instance.sees_free = is_free;
         }
-        instance.take_answer(now);
+        instance.handle_answer(now);
         if instance.pending.is_none() {
-            let call = match instance.lead.next_action(now, instance.sees_free, index as u32) {
+            let call = match instance.leader.next_action(now, instance.sees_free, index as u32) {
                 LeaseAction::Wait => None,
-                LeaseAction::Acquire => Some(Call::Take),
+                LeaseAction::Acquire => Some(Call::Acquire),
                 LeaseAction::Renew => instance.lease.map(Call::Renew),
             };
             instance.pending = call.map(|call| Pending {
@@ -248,33 +248,33 @@
                 result: None,
             });
         }
-        if let Some(fence) = instance.lead.fence(now) {
+        if let Some(fence) = instance.leader.fence(now) {
             self.calls.insert((now + delays[2], index, fence));
         }
     }
 }
 
 impl Instance {
-    fn take_answer(&mut self, now: Time) {
+    fn handle_answer(&mut self, now: Time) {
         let Some(pending) = &self.pending else { return };
         let (call, sent) = (pending.call, pending.sent);
         let is_answered = pending.result.is_some() && pending.answers.is_some_and(|at| now >= at);
         if !is_answered {
             if now.since(sent) > Duration::from_secs(2) {
                 self.pending = None;
-                self.lead.on_failure(now);
+                self.leader.on_failure(now);
             }
             return;
         }
         let result = self.pending.take().and_then(|pending| pending.result);
         match (call, result) {
-            (Call::Take, Some(Ok((lease, fence)))) => {
+            (Call::Acquire, Some(Ok((lease, fence)))) => {
                 self.lease = Some(lease);
-                self.lead.on_acquired(now, sent, fence);
+                self.leader.on_acquired(now, sent, fence);
             }
-            (Call::Renew(_), Some(Ok(_))) => self.lead.on_renewed(sent),
-            (Call::Renew(_), Some(Err(true))) => self.lead.on_lost(now),
-            _ => self.lead.on_failure(now),
+            (Call::Renew(_), Some(Ok(_))) => self.leader.on_renewed(sent),
+            (Call::Renew(_), Some(Err(true))) => self.leader.on_lost(now),
+            _ => self.leader.on_failure(now),
         }
     }
 }
@@ -287,15 +287,15 @@
     for seed in seeds_or(0..48) {
         let mut run = Run::new(seed);
         for step in 0..4_000 {
-            run.turn(at(0) + STEP * step);
+            run.step(at(0) + STEP * step);
         }
-        judge(seed, &run.arrived);
+        check_calls(seed, &run.arrived);
         acted += usize::from(!run.arrived.is_empty());
     }
     assert!(acted > 0, "somebody acts");
 }
 
-fn judge(seed: u64, arrived: &[(Time, usize, u64)]) {
+fn check_calls(seed: u64, arrived: &[(Time, usize, u64)]) {
     for pair in arrived.windows(2) {
         assert!(
             pair[0].2 <= pair[1].2,
@@ -314,9 +314,9 @@
             _ => holders.push((*time, *time, *index)),
         }
     }
-    for three in holders.windows(3) {
-        let is_turn = three[0].2 == three[2].2 && three[2].0.since(three[0].1) < LEASE;
-        assert!(!is_turn, "seed {seed}: by turns within a lease: {three:?}");
+    for terms in holders.windows(3) {
+        let is_turn = terms[0].2 == terms[2].2 && terms[2].0.since(terms[0].1) < LEASE;
+        assert!(!is_turn, "seed {seed}: by turns within a lease: {terms:?}");
     }
 }
 
@@ -329,15 +329,15 @@
         run.instances.push(Run::new(4).instances.remove(0));
     }
     let mut now = at(0);
-    let mut acts = |run: &mut Run, index: usize, most: u32| {
-        for _ in 0..most {
+    let mut acts = |run: &mut Run, index: usize, limit: u32| {
+        for _ in 0..limit {
             now = now + STEP;
             for (other, instance) in run.instances.iter_mut().enumerate() {
                 instance.paused = if other == index { Time::ZERO } else { now + STEP };
-                instance.away = Time::ZERO;
+                instance.unreachable = Time::ZERO;
             }
-            run.turn(now);
-            if run.instances[index].lead.fence(now).is_some() {
+            run.step(now);
+            if run.instances[index].leader.fence(now).is_some() {
                 return true;
             }
         }
--- a/tests/testsuite/relay/orders.rs
+++ b/tests/testsuite/relay/orders.rs
@@ -22,7 +22,7 @@
 use super::instance::options;
 use super::instance::shared;
 use super::store::FakeStore;
-use super::store::Fate;
+use super::store::WriteOutcome;
 use super::until;
 
 /// An instance that knows three generating engines at one address, of which one is to read.
@@ -48,7 +48,7 @@
     shared
 }
 
-async fn accepting() -> ScriptedEngine {
+async fn accepting_engine() -> ScriptedEngine {
     let accepted = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
     ScriptedEngine::start(move |_, _| vec![Act::Send(accepted.to_string())]).await
 }
@@ -56,29 +56,29 @@
 /// An engine gets two orders from two instances. Order: both see the same plan and none sees the other's record yet.
 #[actix_web::test]
 async fn two_instances_one_order() {
-    let engine = accepting().await;
+    let engine = accepting_engine().await;
     let store = FakeStore::new();
     for _ in 0..2 {
         actix_web::rt::spawn(orders::run(instance(&engine), Rc::new(store.clone())));
     }
     until(|| store.calls().writes >= 2).await;
     engine.wait_for(|log| !log.requests.is_empty()).await;
-    let seen = engine.log().requests;
-    assert_eq!(seen.len(), 1);
+    let requests = engine.log().requests;
+    assert_eq!(requests.len(), 1);
     assert!(
-        seen[0].head.starts_with("POST /order ") && seen[0].body.starts_with("Prefill one/"),
-        "{seen:?}"
+        requests[0].head.starts_with("POST /order ") && requests[0].body.starts_with("Prefill one/"),
+        "{requests:?}"
     );
-    assert_eq!(seen[0].header("x-expect"), Some("e2"));
+    assert_eq!(requests[0].header("x-expect"), Some("e2"));
 }
 
 /// The answer to the write of the record is lost. Order: it has taken effect. Reading back shows whose it is, and the
 /// order is given, once.
 #[actix_web::test]
 async fn record_answer_lost() {
-    let engine = accepting().await;
+    let engine = accepting_engine().await;
     let store = FakeStore::new();
-    store.next_write(Fate::DoneUnanswered);
+    store.set_next_write(WriteOutcome::AppliedUnanswered);
     actix_web::rt::spawn(orders::run(instance(&engine), Rc::new(store.clone())));
     engine.wait_for(|log| log.requests.len() == 1).await;
     assert!(store.has("orders/e2"));
@@ -88,21 +88,21 @@
 /// later: the write may still take effect.
 #[actix_web::test]
 async fn record_unknown_not_sent() {
-    let engine = accepting().await;
+    let engine = accepting_engine().await;
     let store = FakeStore::new();
-    store.next_write(Fate::LostUnanswered);
-    let state = instance(&engine);
-    actix_web::rt::spawn(orders::run(state.clone(), Rc::new(store.clone())));
+    store.set_next_write(WriteOutcome::DroppedUnanswered);
+    let shared = instance(&engine);
+    actix_web::rt::spawn(orders::run(shared.clone(), Rc::new(store.clone())));
     until(|| store.calls().ranges == 1).await;
     store.set_down(false);
     // Another engine is due later: until its order is there, the first one was passed over.
-    let mut engines: Vec<Engine> = state.view.load().engines()["chat"].clone();
-    let ninth = Entry {
+    let mut engines: Vec<Engine> = shared.view.load().engines()["chat"].clone();
+    let late_engine = Entry {
         address: engine.address(),
         ..super::entry("e9", Stage::Decode)
     };
-    engines.push(Engine::new(EngineKey(9), ninth));
-    state.publish(|view| view.set_engines([("chat".to_string(), engines)].into()));
+    engines.push(Engine::new(EngineKey(9), late_engine));
+    shared.publish(|view| view.set_engines([("chat".to_string(), engines)].into()));
     engine.wait_for(|log| !log.requests.is_empty()).await;
     let expected: Vec<Option<String>> = engine
         .log()
@@ -117,9 +117,9 @@
 /// order that was not given is taken for given.
 #[actix_web::test]
 async fn record_refused_tried_again() {
-    let engine = accepting().await;
+    let engine = accepting_engine().await;
     let store = FakeStore::new();
-    store.next_write(Fate::Refused);
+    store.set_next_write(WriteOutcome::Refused);
     actix_web::rt::spawn(orders::run(instance(&engine), Rc::new(store.clone())));
     engine.wait_for(|log| log.requests.len() == 1).await;
     assert_eq!(store.calls().writes, 2);
@@ -130,13 +130,13 @@
 async fn unanswered_not_repeated() {
     let engine = ScriptedEngine::start(|_, _| vec![Act::Close]).await;
     let store = FakeStore::new();
-    let state = instance(&engine);
-    actix_web::rt::spawn(orders::run(state.clone(), Rc::new(store.clone())));
+    let shared = instance(&engine);
+    actix_web::rt::spawn(orders::run(shared.clone(), Rc::new(store.clone())));
     engine.wait_for(|log| log.requests.len() == 1).await;
     // Three looks later there is still one: the plan is looked at again when the readers' part changes.
-    let mut tuning = (*state.reloadable()).clone();
-    tuning.prefill_fraction = 0.3;
-    state.reload(tuning);
+    let mut reloadable = (*shared.reloadable()).clone();
+    reloadable.prefill_fraction = 0.3;
+    shared.reload(reloadable);
     let engines: Vec<Engine> = (10..14)
         .map(|index| {
             let entry = Entry {
@@ -146,17 +146,17 @@
             Engine::new(EngineKey(index), entry)
         })
         .collect();
-    let mut all = state.view.load().engines()["chat"].clone();
+    let mut all = shared.view.load().engines()["chat"].clone();
     all.extend(engines);
-    state.publish(|view| view.set_engines([("chat".to_string(), all)].into()));
+    shared.publish(|view| view.set_engines([("chat".to_string(), all)].into()));
     engine.wait_for(|log| log.requests.len() >= 2).await;
-    let to_first = engine
+    let orders_sent = engine
         .log()
         .requests
         .iter()
         .filter(|r| r.header("x-expect") == Some("e2"))
         .count();
-    assert_eq!(to_first, 1);
+    assert_eq!(orders_sent, 1);
 }
 
 fn record(engine: &str, revision: u64) -> Item {
@@ -173,16 +173,16 @@
 #[test]
 fn records_as_of_revision() {
     let translate = TestDialect::new();
-    let mut ordered = OrderRecords::default();
-    ordered.on_item(Time::ZERO, &translate, &record("e1", 7));
-    ordered.on_item(Time::ZERO, &translate, &record("e2", 9));
-    ordered.on_snapshot(Time::ZERO, &translate, 8, &[record("e1", 7)]);
+    let mut records = OrderRecords::default();
+    records.on_item(Time::ZERO, &translate, &record("e1", 7));
+    records.on_item(Time::ZERO, &translate, &record("e2", 9));
+    records.on_snapshot(Time::ZERO, &translate, 8, &[record("e1", 7)]);
     assert_eq!(
-        (ordered.revision("e1"), ordered.revision("e2")),
+        (records.revision("e1"), records.revision("e2")),
         (Some(7), Some(9))
     );
-    ordered.on_item(Time::ZERO, &translate, &record("e1", 12));
-    ordered.on_snapshot(Time::ZERO, &translate, 12, &[record("e1", 12)]);
-    assert_eq!((ordered.revision("e1"), ordered.revision("e2")), (Some(12), None));
-    assert_eq!(ordered.stages().len(), 1);
+    records.on_item(Time::ZERO, &translate, &record("e1", 12));
+    records.on_snapshot(Time::ZERO, &translate, 12, &[record("e1", 12)]);
+    assert_eq!((records.revision("e1"), records.revision("e2")), (Some(12), None));
+    assert_eq!(records.stages().len(), 1);
 }
--- a/tests/testsuite/relay/pace.rs
+++ b/tests/testsuite/relay/pace.rs
@@ -7,13 +7,13 @@
 use sequoiastream_core::relay::prompt::Prompt;
 
 /// An engine: milliseconds of a reading, of a thousand tokens, of a million pairs.
-type Line = (f64, f64, f64);
+type EngineSpeed = (f64, f64, f64);
 
 /// Engines that read 112 tokens a millisecond, with long contexts.
-const SLOW: Line = (36.0, 10.5, 0.25);
+const SLOW: EngineSpeed = (36.0, 10.5, 0.25);
 
 /// Engines that read 409 tokens a millisecond.
-const FAST: Line = (8.0, 2.6, 0.04);
+const FAST: EngineSpeed = (8.0, 2.6, 0.04);
 
 fn prompt(input: u32) -> Prompt {
     Prompt {
@@ -25,10 +25,10 @@
 }
 
 /// How long the last `tokens` of `input` take.
-fn takes(line: Line, input: u32, tokens: u32) -> Duration {
+fn prefill_time(speed: EngineSpeed, input: u32, tokens: u32) -> Duration {
     let (own, context) = (f64::from(tokens), f64::from(input - tokens));
     let pairs = own * context + own * own / 2.0;
-    let (fixed, token, pair) = line;
+    let (fixed, token, pair) = speed;
     Duration::from_secs_f64((fixed + token * own / 1e3 + pair * pairs / 1e6) / 1e3)
 }
 
@@ -39,19 +39,22 @@
     (shared + own, own)
 }
 
-fn learn(pace: &mut PrefillModel, line: Line, readings: u32) {
-    for turn in 0..readings {
+fn train(model: &mut PrefillModel, speed: EngineSpeed, count: u32) {
+    for turn in 0..count {
         let (input, own) = size(turn);
-        pace.on_uncontended(PrefillWork::new(&prompt(input), own), takes(line, input, own));
+        model.on_uncontended(
+            PrefillWork::new(&prompt(input), own),
+            prefill_time(speed, input, own),
+        );
     }
 }
 
 /// By how much the expected time is off, for all sizes, as a part of the true one.
-fn worst(pace: &PrefillModel, line: Line) -> f64 {
+fn max_error(model: &PrefillModel, speed: EngineSpeed) -> f64 {
     let sizes = (0..15).map(size).chain([(17_000, 17_000), (40_000, 20_000)]);
     let errors = sizes.map(|(input, own)| {
-        let true_time = takes(line, input, own).as_secs_f64();
-        let expected = pace.fixed_latency() + pace.busy_time(PrefillWork::new(&prompt(input), own));
+        let true_time = prefill_time(speed, input, own).as_secs_f64();
+        let expected = model.fixed_latency() + model.busy_time(PrefillWork::new(&prompt(input), own));
         (expected.as_secs_f64() / true_time - 1.0).abs()
     });
     errors.fold(0.0, f64::max)
@@ -62,11 +65,11 @@
 /// speed that was measured elsewhere.
 #[test]
 fn pace_of_any_engine() {
-    for line in [SLOW, FAST] {
-        let mut pace = PrefillModel::default();
-        learn(&mut pace, line, 60);
-        let off = worst(&pace, line);
-        assert!(off < 0.15, "{line:?}: {off}");
+    for speed in [SLOW, FAST] {
+        let mut model = PrefillModel::default();
+        train(&mut model, speed, 60);
+        let error = max_error(&model, speed);
+        assert!(error < 0.15, "{speed:?}: {error}");
     }
 }
 
@@ -74,28 +77,31 @@
 /// is let in that could correct it. One reading moves the line by a part of what was expected.
 #[test]
 fn pace_one_wild_reading() {
-    let mut pace = PrefillModel::default();
-    learn(&mut pace, SLOW, 30);
-    pace.on_uncontended(PrefillWork::new(&prompt(17_020), 3_720), Duration::from_secs(9));
-    let off = worst(&pace, SLOW);
-    assert!(off < 0.5, "{off}");
-    learn(&mut pace, SLOW, 60);
-    assert!(worst(&pace, SLOW) < 0.15);
+    let mut model = PrefillModel::default();
+    train(&mut model, SLOW, 30);
+    model.on_uncontended(PrefillWork::new(&prompt(17_020), 3_720), Duration::from_secs(9));
+    let error = max_error(&model, SLOW);
+    assert!(error < 0.5, "{error}");
+    train(&mut model, SLOW, 60);
+    assert!(max_error(&model, SLOW) < 0.15);
 }
 
 /// Readings are expected to take twice what they take. Cause: one in seven had to read shared parts that were thought to
 /// be kept, and counts as a slow engine.
 #[test]
 fn pace_parts_lost_now_and_then() {
-    let mut pace = PrefillModel::default();
+    let mut model = PrefillModel::default();
     for turn in 0..210 {
         let (input, own) = size(turn);
-        let read = if turn % 7 == 0 { input } else { own };
-        pace.on_uncontended(PrefillWork::new(&prompt(input), own), takes(SLOW, input, read));
+        let computed = if turn % 7 == 0 { input } else { own };
+        model.on_uncontended(
+            PrefillWork::new(&prompt(input), own),
+            prefill_time(SLOW, input, computed),
+        );
     }
     let (input, own) = size(0);
-    let expected = pace.fixed_latency() + pace.busy_time(PrefillWork::new(&prompt(input), own));
-    let true_time = takes(SLOW, input, own);
+    let expected = model.fixed_latency() + model.busy_time(PrefillWork::new(&prompt(input), own));
+    let true_time = prefill_time(SLOW, input, own);
     assert!(
         expected < true_time.mul_f64(1.5) && expected > true_time.mul_f64(0.8),
         "{expected:?} for {true_time:?}"
@@ -104,27 +110,30 @@
 
 #[test]
 fn pace_follows_other_engines() {
-    let mut pace = PrefillModel::default();
-    learn(&mut pace, FAST, 300);
-    learn(&mut pace, SLOW, 600);
-    let off = worst(&pace, SLOW);
-    assert!(off < 0.25, "{off}");
+    let mut model = PrefillModel::default();
+    train(&mut model, FAST, 300);
+    train(&mut model, SLOW, 600);
+    let error = max_error(&model, SLOW);
+    assert!(error < 0.25, "{error}");
 }
 
 /// A service that asks for one size only, for hours: the line stays where it is, and nothing grows without end.
 #[test]
 fn pace_one_size_for_hours() {
-    let mut pace = PrefillModel::default();
+    let mut model = PrefillModel::default();
     for _ in 0..200_000 {
-        pace.on_uncontended(PrefillWork::new(&prompt(9_190), 2_890), takes(SLOW, 9_190, 2_890));
+        model.on_uncontended(
+            PrefillWork::new(&prompt(9_190), 2_890),
+            prefill_time(SLOW, 9_190, 2_890),
+        );
     }
-    let expected = pace.fixed_latency() + pace.busy_time(PrefillWork::new(&prompt(9_190), 2_890));
-    let true_time = takes(SLOW, 9_190, 2_890).as_secs_f64();
+    let expected = model.fixed_latency() + model.busy_time(PrefillWork::new(&prompt(9_190), 2_890));
+    let true_time = prefill_time(SLOW, 9_190, 2_890).as_secs_f64();
     assert!(
         (expected.as_secs_f64() / true_time - 1.0).abs() < 0.02,
         "{expected:?}"
     );
-    learn(&mut pace, SLOW, 90);
-    let off = worst(&pace, SLOW);
-    assert!(off < 0.25, "{off}");
+    train(&mut model, SLOW, 90);
+    let error = max_error(&model, SLOW);
+    assert!(error < 0.25, "{error}");
 }
--- a/tests/testsuite/relay/parts.rs
+++ b/tests/testsuite/relay/parts.rs
@@ -10,9 +10,9 @@
 const ENGINE: EngineKey = EngineKey(2);
 
 /// Tokens that an engine's memory holds.
-const MEMORY: Option<u64> = Some(100_000);
+const MEMORY_TOKENS: Option<u64> = Some(100_000);
 
-fn read(part: u64, tokens: u32) -> PrefillRecord {
+fn record(part: u64, tokens: u32) -> PrefillRecord {
     PrefillRecord {
         engine: 7,
         part,
@@ -25,64 +25,64 @@
 /// counts as kept for ever. The load: more sessions than the engines' memory holds.
 #[test]
 fn kept_until_memory_needed() {
-    let mut parts = CachedParts::default();
-    let keeps = |parts: &CachedParts, part| parts.is_cached(Time::ZERO, ENGINE, part, MEMORY);
-    assert!(!keeps(&parts, 1));
-    parts.on_prefill(Time::ZERO, ENGINE, read(1, 10_000));
-    parts.on_prefill(Time::ZERO, ENGINE, read(2, 10_000));
-    assert!(keeps(&parts, 1) && keeps(&parts, 2));
+    let mut cached = CachedParts::default();
+    let is_cached = |cached: &CachedParts, part| cached.is_cached(Time::ZERO, ENGINE, part, MEMORY_TOKENS);
+    assert!(!is_cached(&cached, 1));
+    cached.on_prefill(Time::ZERO, ENGINE, record(1, 10_000));
+    cached.on_prefill(Time::ZERO, ENGINE, record(2, 10_000));
+    assert!(is_cached(&cached, 1) && is_cached(&cached, 2));
     assert!(
-        !parts.is_cached(Time::ZERO, EngineKey(3), 1, MEMORY),
+        !cached.is_cached(Time::ZERO, EngineKey(3), 1, MEMORY_TOKENS),
         "another engine"
     );
     for _ in 0..6 {
-        parts.on_prefill(Time::ZERO, ENGINE, read(2, 3_000));
-        parts.on_prefill(Time::ZERO, ENGINE, read(3, 9_000));
+        cached.on_prefill(Time::ZERO, ENGINE, record(2, 3_000));
+        cached.on_prefill(Time::ZERO, ENGINE, record(3, 9_000));
     }
-    assert!(!keeps(&parts, 1), "82,000 tokens ago");
-    assert!(keeps(&parts, 2), "used again meanwhile");
+    assert!(!is_cached(&cached, 1), "82,000 tokens ago");
+    assert!(is_cached(&cached, 2), "used again meanwhile");
 }
 
 #[test]
 fn kept_for_a_time_where_memory_unknown() {
-    let mut parts = CachedParts::default();
-    parts.on_prefill(Time::ZERO, ENGINE, read(1, 10_000));
-    let keeps = |millis| parts.is_cached(Time::from_millis(millis), ENGINE, 1, None);
-    assert!(keeps(9_900) && !keeps(10_100));
+    let mut cached = CachedParts::default();
+    cached.on_prefill(Time::ZERO, ENGINE, record(1, 10_000));
+    let is_cached = |millis| cached.is_cached(Time::from_millis(millis), ENGINE, 1, None);
+    assert!(is_cached(9_900) && !is_cached(10_100));
 }
 
 /// An engine that restarted is thought to keep what it had. Its key is another one; the old one is forgotten.
 #[test]
 fn kept_no_more_when_gone() {
-    let mut parts = CachedParts::default();
-    parts.on_prefill(Time::ZERO, ENGINE, read(1, 10_000));
-    parts.forget(ENGINE);
-    assert!(!parts.is_cached(Time::ZERO, ENGINE, 1, MEMORY));
+    let mut cached = CachedParts::default();
+    cached.on_prefill(Time::ZERO, ENGINE, record(1, 10_000));
+    cached.forget(ENGINE);
+    assert!(!cached.is_cached(Time::ZERO, ENGINE, 1, MEMORY_TOKENS));
 }
 
 /// Each own reading goes out in as many messages as it takes to reach all peers, and no more; what peers told isn't passed on.
 #[test]
 fn told_in_turns() {
-    let mut parts = CachedParts::default();
-    parts.on_prefill(Time::ZERO, ENGINE, read(9, 1));
-    parts.on_own_prefill(Time::ZERO, ENGINE, read(1, 1));
-    assert_eq!(parts.records_to_send(3), [read(1, 1)]);
-    parts.on_own_prefill(Time::ZERO, ENGINE, read(2, 1));
-    assert_eq!(parts.records_to_send(3), [read(1, 1), read(2, 1)]);
-    assert_eq!(parts.records_to_send(3), [read(1, 1), read(2, 1)]);
-    assert_eq!(parts.records_to_send(3), [read(2, 1)]);
-    assert_eq!(parts.records_to_send(3), []);
+    let mut cached = CachedParts::default();
+    cached.on_prefill(Time::ZERO, ENGINE, record(9, 1));
+    cached.on_own_prefill(Time::ZERO, ENGINE, record(1, 1));
+    assert_eq!(cached.records_to_send(3), [record(1, 1)]);
+    cached.on_own_prefill(Time::ZERO, ENGINE, record(2, 1));
+    assert_eq!(cached.records_to_send(3), [record(1, 1), record(2, 1)]);
+    assert_eq!(cached.records_to_send(3), [record(1, 1), record(2, 1)]);
+    assert_eq!(cached.records_to_send(3), [record(2, 1)]);
+    assert_eq!(cached.records_to_send(3), []);
 }
 
 /// Neither memory nor messages grow without end, however much is read.
 #[test]
 fn parts_bounded() {
-    let mut parts = CachedParts::default();
+    let mut cached = CachedParts::default();
     for part in 0..20_000 {
-        parts.on_own_prefill(Time::ZERO + Duration::from_millis(part), ENGINE, read(part, 0));
+        cached.on_own_prefill(Time::ZERO + Duration::from_millis(part), ENGINE, record(part, 0));
     }
-    assert!(parts.records_to_send(1).len() <= 256);
+    assert!(cached.records_to_send(1).len() <= 256);
     let now = Time::from_millis(20_000);
-    let kept = (0..20_000).filter(|part| parts.is_cached(now, ENGINE, *part, MEMORY));
-    assert!(kept.count() <= 4_096);
+    let cached_parts = (0..20_000).filter(|part| cached.is_cached(now, ENGINE, *part, MEMORY_TOKENS));
+    assert!(cached_parts.count() <= 4_096);
 }
--- a/tests/testsuite/relay/place.rs
+++ b/tests/testsuite/relay/place.rs
@@ -18,9 +18,9 @@
 
 use super::fleet;
 
-fn chooser<'a>(book: &'a LoadTracker, tried: &'a [EngineKey]) -> EngineSelector<'a> {
+fn selector<'a>(tracker: &'a LoadTracker, tried: &'a [EngineKey]) -> EngineSelector<'a> {
     EngineSelector {
-        loads: book,
+        loads: tracker,
         now: Time::ZERO,
         zone: "a",
         tried,
@@ -55,9 +55,9 @@
     engines
 }
 
-fn home(book: &LoadTracker, engines: &[Engine], session: u64) -> EngineKey {
-    let reading = chooser(book, &[]).choose_prefill(engines, Stage::Prefill, &prompt(session));
-    reading.expect("an engine").engine.key
+fn chosen_engine(tracker: &LoadTracker, engines: &[Engine], session: u64) -> EngineKey {
+    let plan = selector(tracker, &[]).choose_prefill(engines, Stage::Prefill, &prompt(session));
+    plan.expect("an engine").engine.key
 }
 
 /// Shared parts are read again and again. Order: the requests of one session come to all instances in turn. Cause:
@@ -69,8 +69,8 @@
     reversed.reverse();
     let mut homes: BTreeMap<EngineKey, u32> = BTreeMap::new();
     for session in 0..700 {
-        let key = home(&LoadTracker::new(), &engines, session);
-        assert_eq!(home(&LoadTracker::new(), &reversed, session), key);
+        let key = chosen_engine(&LoadTracker::new(), &engines, session);
+        assert_eq!(chosen_engine(&LoadTracker::new(), &reversed, session), key);
         *homes.entry(key).or_default() += 1;
     }
     assert_eq!(homes.len(), 7);
@@ -82,17 +82,17 @@
     let engines = fleet(&[Stage::Prefill; 7]);
     let left = &engines[1..];
     for session in 0..300 {
-        let before = home(&LoadTracker::new(), &engines, session);
-        let after = home(&LoadTracker::new(), left, session);
+        let before = chosen_engine(&LoadTracker::new(), &engines, session);
+        let after = chosen_engine(&LoadTracker::new(), left, session);
         assert!(before == after || before == EngineKey(0));
     }
 }
 
 /// Notes that an engine was sent a prompt of a session.
-fn sent(book: &mut LoadTracker, engines: &[Engine], key: EngineKey, session: u64) {
+fn record_sent(tracker: &mut LoadTracker, engines: &[Engine], key: EngineKey, session: u64) {
     let only: Vec<Engine> = engines.iter().filter(|e| e.key == key).cloned().collect();
-    let reading = chooser(book, &[]).choose_prefill(&only, Stage::Prefill, &prompt(session));
-    book.on_prefill_sent(Time::ZERO, &reading.expect("an engine"), session);
+    let plan = selector(tracker, &[]).choose_prefill(&only, Stage::Prefill, &prompt(session));
+    tracker.on_prefill_sent(Time::ZERO, &plan.expect("an engine"), session);
 }
 
 /// Calls queue at one engine while others idle. Cause: a session's home is kept whatever the wait there. Where no engine keeps
@@ -101,20 +101,24 @@
 #[test]
 fn reader_leaves_long_queue() {
     let engines = fleet(&[Stage::Prefill; 3]);
-    let pace = PrefillModel::default();
-    let all = pace.busy_time(PrefillWork::new(&prompt(5), 9_000));
-    let own = pace.busy_time(PrefillWork::new(&prompt(5), 3_000));
+    let model = PrefillModel::default();
+    let all = model.busy_time(PrefillWork::new(&prompt(5), 9_000));
+    let own = model.busy_time(PrefillWork::new(&prompt(5), 3_000));
     let fetch = LoadTracker::new().handover(Time::ZERO, EngineKey(0));
-    for (is_kept, worth_waiting) in [(false, (all - own) * 12), (true, fetch * 13)] {
-        let mut book = LoadTracker::new();
-        let key = home(&book, &engines, 5);
-        if is_kept {
-            sent(&mut book, &engines, key, 5);
+    for (is_cached, worth_waiting) in [(false, (all - own) * 12), (true, fetch * 13)] {
+        let mut tracker = LoadTracker::new();
+        let key = chosen_engine(&tracker, &engines, 5);
+        if is_cached {
+            record_sent(&mut tracker, &engines, key, 5);
         }
-        book.begin(Time::ZERO, key, worth_waiting.mul_f64(0.95));
-        assert_eq!(home(&book, &engines, 5), key, "cheaper for all: {is_kept}");
-        book.begin(Time::ZERO, key, worth_waiting.mul_f64(0.1));
-        assert_ne!(home(&book, &engines, 5), key, "{is_kept}");
+        tracker.begin(Time::ZERO, key, worth_waiting.mul_f64(0.95));
+        assert_eq!(
+            chosen_engine(&tracker, &engines, 5),
+            key,
+            "cheaper for all: {is_cached}"
+        );
+        tracker.begin(Time::ZERO, key, worth_waiting.mul_f64(0.1));
+        assert_ne!(chosen_engine(&tracker, &engines, 5), key, "{is_cached}");
     }
 }
 
@@ -123,14 +127,14 @@
 #[test]
 fn reader_where_parts_are() {
     let engines = fleet(&[Stage::Prefill; 3]);
-    let mut book = LoadTracker::new();
-    let key = home(&book, &engines, 5);
+    let mut tracker = LoadTracker::new();
+    let key = chosen_engine(&tracker, &engines, 5);
     let other = engines.iter().map(|e| e.key).find(|k| *k != key).expect("others");
-    sent(&mut book, &engines, other, 5);
-    assert_eq!(home(&book, &engines, 5), other);
-    sent(&mut book, &engines, key, 5);
-    book.begin(Time::ZERO, other, Duration::from_millis(1));
-    assert_eq!(home(&book, &engines, 5), key, "both keep them");
+    record_sent(&mut tracker, &engines, other, 5);
+    assert_eq!(chosen_engine(&tracker, &engines, 5), other);
+    record_sent(&mut tracker, &engines, key, 5);
+    tracker.begin(Time::ZERO, other, Duration::from_millis(1));
+    assert_eq!(chosen_engine(&tracker, &engines, 5), key, "both keep them");
 }
 
 /// What is expected of a reading: the fixed time, the work before it and its own. Parts that the engine keeps cost nothing;
@@ -139,7 +143,7 @@
 fn reader_counts_time() {
     let engines = fleet(&[Stage::Prefill, Stage::Prefill, Stage::Decode]);
     let before = Duration::from_millis(40);
-    let pace = PrefillModel::default();
+    let model = PrefillModel::default();
     let [all, own] = [9_000, 3_000].map(|tokens| PrefillWork::new(&prompt(5), tokens));
     let fetch = LoadTracker::new().handover(Time::ZERO, EngineKey(0));
     let cases = [
@@ -147,23 +151,20 @@
         (Some(EngineKey(0)), own, Duration::ZERO, 3_000),
         (Some(EngineKey(1)), own, fetch, 9_000),
     ];
-    for (keeper, load, besides, adds) in cases {
-        let mut book = LoadTracker::new();
-        if let Some(keeper) = keeper {
-            sent(&mut book, &engines, keeper, 5);
+    for (cached_at, work, fetch_time, new_tokens) in cases {
+        let mut tracker = LoadTracker::new();
+        if let Some(cached_at) = cached_at {
+            record_sent(&mut tracker, &engines, cached_at, 5);
         }
-        book.begin(Time::ZERO, EngineKey(0), before);
-        book.begin(Time::ZERO, EngineKey(1), Duration::from_secs(9));
-        let reading = chooser(&book, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(5));
-        let reading = reading.expect("an engine");
-        assert_eq!(reading.engine.key, EngineKey(0), "{keeper:?}");
-        assert_eq!((reading.work, reading.new_tokens), (load, adds), "{keeper:?}");
-        assert_eq!(
-            (reading.busy_time, reading.queue_time),
-            (pace.busy_time(load), before)
-        );
-        let takes = pace.fixed_latency() + before + pace.busy_time(load) + besides;
-        assert_eq!(reading.total_time, takes, "{keeper:?}");
+        tracker.begin(Time::ZERO, EngineKey(0), before);
+        tracker.begin(Time::ZERO, EngineKey(1), Duration::from_secs(9));
+        let plan = selector(&tracker, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(5));
+        let plan = plan.expect("an engine");
+        assert_eq!(plan.engine.key, EngineKey(0), "{cached_at:?}");
+        assert_eq!((plan.work, plan.new_tokens), (work, new_tokens), "{cached_at:?}");
+        assert_eq!((plan.busy_time, plan.queue_time), (model.busy_time(work), before));
+        let total_time = model.fixed_latency() + before + model.busy_time(work) + fetch_time;
+        assert_eq!(plan.total_time, total_time, "{cached_at:?}");
     }
 }
 
@@ -172,13 +173,13 @@
 #[test]
 fn reader_fetches_from_home() {
     let engines = addressed(&[Stage::Prefill; 5]);
-    let mut book = LoadTracker::new();
-    let key = home(&book, &engines, 5);
-    book.begin(Time::ZERO, key, Duration::from_secs(9));
-    let reading = chooser(&book, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(5));
-    let reading = reading.expect("an engine");
-    assert_ne!(reading.engine.key, key);
-    assert_eq!(reading.fetch_from, Some(address(key.0)));
+    let mut tracker = LoadTracker::new();
+    let key = chosen_engine(&tracker, &engines, 5);
+    tracker.begin(Time::ZERO, key, Duration::from_secs(9));
+    let plan = selector(&tracker, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(5));
+    let plan = plan.expect("an engine");
+    assert_ne!(plan.engine.key, key);
+    assert_eq!(plan.fetch_from, Some(address(key.0)));
 }
 
 /// Parts are read again by their new home. Order: an engine is added and is the home of some parts from now on. The one that
@@ -186,14 +187,14 @@
 #[test]
 fn reader_fetches_from_last_home() {
     let engines = addressed(&[Stage::Prefill; 5]);
-    let book = LoadTracker::new();
+    let tracker = LoadTracker::new();
     let mut moved = 0;
     for session in 0..300 {
-        let before = home(&book, &engines[..4], session);
-        let reading = chooser(&book, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(session));
-        let reading = reading.expect("an engine");
-        if reading.engine.key != before {
-            assert_eq!(reading.fetch_from, Some(address(before.0)));
+        let before = chosen_engine(&tracker, &engines[..4], session);
+        let plan = selector(&tracker, &[]).choose_prefill(&engines, Stage::Prefill, &prompt(session));
+        let plan = plan.expect("an engine");
+        if plan.engine.key != before {
+            assert_eq!(plan.fetch_from, Some(address(before.0)));
             moved += 1;
         }
     }
@@ -203,10 +204,10 @@
 #[test]
 fn reader_fetches_nothing() {
     let engines = addressed(&[Stage::Prefill; 2]);
-    let book = LoadTracker::new();
+    let tracker = LoadTracker::new();
     let fetch = |engines: &[Engine], prompt: &Prompt| {
-        let reading = chooser(&book, &[]).choose_prefill(engines, Stage::Prefill, prompt);
-        reading.expect("an engine").fetch_from
+        let plan = selector(&tracker, &[]).choose_prefill(engines, Stage::Prefill, prompt);
+        plan.expect("an engine").fetch_from
     };
     assert_eq!(fetch(&engines[..1], &prompt(5)), None, "nobody else");
     let mut own = prompt(5);
@@ -217,26 +218,26 @@
 #[test]
 fn generator_of_its_stage() {
     let engines = fleet(&[Stage::Prefill, Stage::Decode, Stage::Whole]);
-    let book = LoadTracker::new();
-    let chooser = chooser(&book, &[]);
-    let picked = [Stage::Decode, Stage::Whole].map(|s| chooser.choose_decode(&engines, s).map(|e| e.key));
+    let tracker = LoadTracker::new();
+    let selector = selector(&tracker, &[]);
+    let picked = [Stage::Decode, Stage::Whole].map(|s| selector.choose_decode(&engines, s).map(|e| e.key));
     assert_eq!(picked, [Some(EngineKey(1)), Some(EngineKey(2))]);
-    assert_eq!(chooser.choose_decode(&engines[..1], Stage::Decode), None);
+    assert_eq!(selector.choose_decode(&engines[..1], Stage::Decode), None);
 }
 
 #[test]
 fn plain_untried_and_sound() {
     let engines = fleet(&[Stage::Whole; 3]);
-    let mut book = LoadTracker::new();
-    book.on_attempt_end(Time::ZERO, EngineKey(0), End::Broken);
+    let mut tracker = LoadTracker::new();
+    tracker.on_attempt_end(Time::ZERO, EngineKey(0), End::Broken);
     let tried = [EngineKey(1)];
-    let picked = chooser(&book, &tried).least_loaded(&engines).map(|e| e.key);
+    let picked = selector(&tracker, &tried).least_loaded(&engines).map(|e| e.key);
     assert_eq!(picked, Some(EngineKey(2)));
     let tried = [EngineKey(1), EngineKey(2)];
-    let picked = chooser(&book, &tried).least_loaded(&engines).map(|e| e.key);
+    let picked = selector(&tracker, &tried).least_loaded(&engines).map(|e| e.key);
     assert_eq!(picked, Some(EngineKey(0)), "an unsound one is better than none");
     let tried = [EngineKey(0), EngineKey(1), EngineKey(2)];
-    assert_eq!(chooser(&book, &tried).least_loaded(&engines), None);
+    assert_eq!(selector(&tracker, &tried).least_loaded(&engines), None);
 }
 
 /// An engine fails half of its requests while its status check is good. Order: it is never avoided, since every other
@@ -244,14 +245,14 @@
 #[test]
 fn plain_avoids_failing() {
     let engines = fleet(&[Stage::Whole; 2]);
-    let mut book = LoadTracker::new();
+    let mut tracker = LoadTracker::new();
     for _ in 0..20 {
-        book.on_attempt_end(Time::ZERO, EngineKey(0), End::Failed);
-        book.on_attempt_end(Time::ZERO, EngineKey(0), End::Answered);
-        book.on_attempt_end(Time::ZERO, EngineKey(1), End::Answered);
+        tracker.on_attempt_end(Time::ZERO, EngineKey(0), End::Failed);
+        tracker.on_attempt_end(Time::ZERO, EngineKey(0), End::Answered);
+        tracker.on_attempt_end(Time::ZERO, EngineKey(1), End::Answered);
     }
-    book.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
-    let picked = chooser(&book, &[]).least_loaded(&engines).map(|e| e.key);
+    tracker.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
+    let picked = selector(&tracker, &[]).least_loaded(&engines).map(|e| e.key);
     assert_eq!(picked, Some(EngineKey(1)));
 }
 
@@ -260,32 +261,32 @@
 #[test]
 fn plain_forgives_failing() {
     let engines = fleet(&[Stage::Whole; 2]);
-    let mut book = LoadTracker::new();
+    let mut tracker = LoadTracker::new();
     for _ in 0..40 {
-        book.on_attempt_end(Time::ZERO, EngineKey(0), End::Failed);
-        book.on_attempt_end(Time::ZERO, EngineKey(1), End::Answered);
+        tracker.on_attempt_end(Time::ZERO, EngineKey(0), End::Failed);
+        tracker.on_attempt_end(Time::ZERO, EngineKey(1), End::Answered);
     }
-    book.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
-    let mut chooser = chooser(&book, &[]);
-    assert_eq!(chooser.least_loaded(&engines).map(|e| e.key), Some(EngineKey(1)));
-    chooser.now = Time::from_millis(6_000);
-    assert_eq!(chooser.least_loaded(&engines).map(|e| e.key), Some(EngineKey(0)));
+    tracker.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
+    let mut selector = selector(&tracker, &[]);
+    assert_eq!(selector.least_loaded(&engines).map(|e| e.key), Some(EngineKey(1)));
+    selector.now = Time::from_millis(6_000);
+    assert_eq!(selector.least_loaded(&engines).map(|e| e.key), Some(EngineKey(0)));
 }
 
 #[test]
 fn plain_near_before_far() {
     let mut engines = fleet(&[Stage::Whole; 2]);
     engines[0].entry.zone = "b".to_string();
-    let mut book = LoadTracker::new();
+    let mut tracker = LoadTracker::new();
     assert_eq!(
-        chooser(&book, &[]).least_loaded(&engines).map(|e| e.key),
+        selector(&tracker, &[]).least_loaded(&engines).map(|e| e.key),
         Some(EngineKey(1))
     );
     for _ in 0..3 {
-        book.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
+        tracker.begin(Time::ZERO, EngineKey(1), Duration::ZERO);
     }
     assert_eq!(
-        chooser(&book, &[]).least_loaded(&engines).map(|e| e.key),
+        selector(&tracker, &[]).least_loaded(&engines).map(|e| e.key),
         Some(EngineKey(0))
     );
 }
@@ -293,11 +294,11 @@
 #[test]
 fn full_by_part() {
     let engines = fleet(&[Stage::Decode]);
-    let mut book = LoadTracker::new();
+    let mut tracker = LoadTracker::new();
     for _ in 0..12 {
-        book.begin(Time::ZERO, EngineKey(0), Duration::ZERO);
+        tracker.begin(Time::ZERO, EngineKey(0), Duration::ZERO);
     }
-    let full = [0.5, 0.75, 1.0].map(|part| chooser(&book, &[]).is_full(&engines[0], part));
+    let full = [0.5, 0.75, 1.0].map(|part| selector(&tracker, &[]).is_full(&engines[0], part));
     assert_eq!(full, [true, true, false]);
 }
 
@@ -307,20 +308,20 @@
 #[test]
 fn generator_under_old_news() {
     let engines = fleet(&[Stage::Decode; 20]);
-    let mut book = LoadTracker::new();
-    book.begin(Time::ZERO, engines[19].key, Duration::ZERO);
-    let chosen = |turns: usize, draw: u64| {
-        let chooser = EngineSelector {
+    let mut tracker = LoadTracker::new();
+    tracker.begin(Time::ZERO, engines[19].key, Duration::ZERO);
+    let chosen = |turns: usize, tie_breaker: u64| {
+        let selector = EngineSelector {
             report_turns: turns,
-            tie_breaker: draw.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            ..chooser(&book, &[])
+            tie_breaker: tie_breaker.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            ..selector(&tracker, &[])
         };
-        chooser.choose_decode(&engines, Stage::Decode).expect("one").key
+        selector.choose_decode(&engines, Stage::Decode).expect("one").key
     };
     let mut counts: BTreeMap<EngineKey, u32> = BTreeMap::new();
-    for draw in 0..1_000 {
-        assert_eq!(chosen(1, draw), engines[0].key);
-        *counts.entry(chosen(5, draw)).or_default() += 1;
+    for tie_breaker in 0..1_000 {
+        assert_eq!(chosen(1, tie_breaker), engines[0].key);
+        *counts.entry(chosen(5, tie_breaker)).or_default() += 1;
     }
     assert_eq!(counts.len(), 19, "{counts:?}");
     assert!(
--- a/tests/testsuite/relay/proofs.rs
+++ b/tests/testsuite/relay/proofs.rs
@@ -53,56 +53,56 @@
 
 #[test]
 fn asks_by_age() {
-    let mut reach = SyncState::default();
-    assert_eq!(reach.proof_peers(LIMIT, at(0)), ProofPeers::All);
-    reach.on_proof(at(0));
-    assert_eq!(reach.proof_peers(LIMIT, at(1_500)), ProofPeers::Nobody);
-    assert_eq!(reach.proof_peers(LIMIT, at(1_700)), ProofPeers::Watchers);
-    assert_eq!(reach.proof_peers(LIMIT, at(2_300)), ProofPeers::All);
-    let seat = FleetRank { rank: 5, members: 10 };
-    assert_eq!(reach.store_proof_due(seat, LIMIT), at(3_200));
+    let mut state = SyncState::default();
+    assert_eq!(state.proof_peers(LIMIT, at(0)), ProofPeers::All);
+    state.on_proof(at(0));
+    assert_eq!(state.proof_peers(LIMIT, at(1_500)), ProofPeers::Nobody);
+    assert_eq!(state.proof_peers(LIMIT, at(1_700)), ProofPeers::Watchers);
+    assert_eq!(state.proof_peers(LIMIT, at(2_300)), ProofPeers::All);
+    let rank = FleetRank { rank: 5, members: 10 };
+    assert_eq!(state.store_proof_due(rank, LIMIT), at(3_200));
 }
 
 /// The answer to a question that left long ago makes what is known seem new.
 #[test]
 fn peer_proof_counts_from_question() {
-    let mut reach = SyncState::default();
-    let word = |revision, age| SyncStatus::new(revision, age);
-    assert!(reach.on_peer_proof(at(0), word(3, 10)), "the peer knows more");
-    assert_eq!(reach.proof_age(at(0)), None);
-    reach.on_peer_changes(at(0), word(3, 10));
-    assert!(!reach.on_peer_proof(at(100), word(3, 10)));
-    assert_eq!(reach.proof_age(at(5_000)), Some(Duration::from_millis(4_910)));
+    let mut state = SyncState::default();
+    let status = |revision, age| SyncStatus::new(revision, age);
+    assert!(state.on_peer_proof(at(0), status(3, 10)), "the peer knows more");
+    assert_eq!(state.proof_age(at(0)), None);
+    state.on_peer_changes(at(0), status(3, 10));
+    assert!(!state.on_peer_proof(at(100), status(3, 10)));
+    assert_eq!(state.proof_age(at(5_000)), Some(Duration::from_millis(4_910)));
     assert!(
-        !reach.on_peer_proof(at(50), word(2, 10)),
+        !state.on_peer_proof(at(50), status(2, 10)),
         "an older answer changes nothing"
     );
-    assert_eq!(reach.proof_age(at(5_000)), Some(Duration::from_millis(4_910)));
+    assert_eq!(state.proof_age(at(5_000)), Some(Duration::from_millis(4_910)));
 }
 
 /// What arrives at an instance.
 #[derive(Debug, Clone, Copy)]
 enum Message {
     /// A question of another, and when it left.
-    Question(usize, Time),
+    Request(usize, Time),
     /// The answer to a question that left then, and what its sender had told of.
-    Answer(Time, SyncStatus),
+    Response(Time, SyncStatus),
     /// The store's answer to a watch: when it was sent, whether nothing had happened, and up to which revision it goes.
-    Watched(Time, bool, u64),
+    WatchAnswer(Time, bool, u64),
 }
 
 struct World {
     rng: ChaCha8Rng,
     /// When each change came; the first at revision 1.
     changes: Vec<Time>,
-    reaches: Vec<SyncState>,
+    states: Vec<SyncState>,
     paused: Vec<Time>,
     watching: Vec<bool>,
-    mail: BTreeMap<(Time, u64), (usize, Message)>,
+    messages: BTreeMap<(Time, u64), (usize, Message)>,
     count: u64,
 }
 
-const WAIT: Duration = Duration::from_millis(1_500);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl World {
     fn new(seed: u64) -> World {
@@ -111,19 +111,19 @@
         World {
             rng,
             changes: Vec::new(),
-            reaches: vec![SyncState::default(); count],
+            states: vec![SyncState::default(); count],
             paused: vec![Time::ZERO; count],
             watching: vec![false; count],
-            mail: BTreeMap::new(),
+            messages: BTreeMap::new(),
             count: 0,
         }
     }
 
-    fn post(&mut self, from: Time, to: usize, message: Message) {
-        let most = if self.rng.random_bool(0.2) { 6_000 } else { 30 };
-        let late = Duration::from_millis(self.rng.random_range(0..most));
+    fn send(&mut self, from: Time, to: usize, message: Message) {
+        let max_delay = if self.rng.random_bool(0.2) { 6_000 } else { 30 };
+        let delay = Duration::from_millis(self.rng.random_range(0..max_delay));
         self.count += 1;
-        self.mail.insert((from + late, self.count), (to, message));
+        self.messages.insert((from + delay, self.count), (to, message));
     }
 
     fn revision(&self, now: Time) -> u64 {
@@ -132,53 +132,53 @@
 
     /// A watch that leaves now is answered when something happens, or when its wait is over.
     fn watch(&mut self, now: Time, index: usize) {
-        let known = self.reaches[index].revision();
+        let known = self.states[index].revision();
         let next = self.changes.get(usize::try_from(known).expect("few")).copied();
-        let end = now + WAIT;
+        let end = now + WATCH_TIMEOUT;
         let (answered, is_quiet) = match next {
             Some(change) if change <= end => (change.max(now), false),
             _ => (end, true),
         };
         let revision = self.revision(answered);
         self.watching[index] = true;
-        self.post(answered, index, Message::Watched(now, is_quiet, revision));
+        self.send(answered, index, Message::WatchAnswer(now, is_quiet, revision));
     }
 
-    fn take(&mut self, now: Time, index: usize, message: Message) {
+    fn handle(&mut self, now: Time, index: usize, message: Message) {
         match message {
-            Message::Question(from, sent) => {
-                let word = self.reaches[index].proof_status(now);
-                let word = word.map(|word| SyncStatus::new(word.revision, word.age_millis() + 1));
-                if let Some(word) = word {
-                    self.post(now, from, Message::Answer(sent, word));
+            Message::Request(from, sent) => {
+                let status = self.states[index].proof_status(now);
+                let status = status.map(|status| SyncStatus::new(status.revision, status.age_millis() + 1));
+                if let Some(status) = status {
+                    self.send(now, from, Message::Response(sent, status));
                 }
             }
-            Message::Answer(sent, word) => {
-                if self.reaches[index].on_peer_proof(sent, word) {
-                    self.reaches[index].on_peer_changes(now, word);
+            Message::Response(sent, status) => {
+                if self.states[index].on_peer_proof(sent, status) {
+                    self.states[index].on_peer_changes(now, status);
                 }
             }
-            Message::Watched(sent, is_quiet, revision) => {
+            Message::WatchAnswer(sent, is_quiet, revision) => {
                 self.watching[index] = false;
-                self.reaches[index].on_store_answer(now, sent, WAIT, revision);
-                self.reaches[index].on_proof(proven_until(now, sent, WAIT, is_quiet));
+                self.states[index].on_store_answer(now, sent, WATCH_TIMEOUT, revision);
+                self.states[index].on_proof(proven_until(now, sent, WATCH_TIMEOUT, is_quiet));
             }
         }
     }
 
-    fn turn(&mut self, now: Time) {
-        while let Some(entry) = self.mail.first_entry().filter(|entry| entry.key().0 <= now) {
+    fn step(&mut self, now: Time) {
+        while let Some(entry) = self.messages.first_entry().filter(|entry| entry.key().0 <= now) {
             let (to, message) = entry.remove();
             match now < self.paused[to] {
                 // What comes to one that stands still is read when it goes on.
                 true => {
                     self.count += 1;
-                    self.mail.insert((self.paused[to], self.count), (to, message));
+                    self.messages.insert((self.paused[to], self.count), (to, message));
                 }
-                false => self.take(now, to, message),
+                false => self.handle(now, to, message),
             }
         }
-        for index in 0..self.reaches.len() {
+        for index in 0..self.states.len() {
             if now < self.paused[index] {
                 continue;
             }
@@ -186,22 +186,22 @@
                 self.paused[index] = now + Duration::from_millis(self.rng.random_range(500..6_000));
             } else if index < 2 && !self.watching[index] {
                 self.watch(now, index);
-            } else if self.reaches[index].proof_peers(LIMIT, now) != ProofPeers::Nobody
+            } else if self.states[index].proof_peers(LIMIT, now) != ProofPeers::Nobody
                 && self.rng.random_bool(0.1)
             {
-                let peer = self.rng.random_range(0..self.reaches.len());
-                self.post(now, peer, Message::Question(index, now));
+                let peer = self.rng.random_range(0..self.states.len());
+                self.send(now, peer, Message::Request(index, now));
             }
         }
     }
 
     fn check(&self, now: Time) {
-        for (index, reach) in self.reaches.iter().enumerate() {
-            let Some(age) = reach.proof_age(now) else { continue };
+        for (index, state) in self.states.iter().enumerate() {
+            let Some(age) = state.proof_age(now) else { continue };
             let proven = now - age;
             assert!(
-                self.revision(proven) <= reach.revision(),
-                "instance {index} at {now}: {reach:?} holds up to {proven}, revision {}",
+                self.revision(proven) <= state.revision(),
+                "instance {index} at {now}: {state:?} holds up to {proven}, revision {}",
                 self.revision(proven)
             );
         }
@@ -222,12 +222,12 @@
         }
         for step in 0..2_000 {
             let now = at(0) + STEP * step;
-            world.turn(now);
+            world.step(now);
             world.check(now);
         }
         let now = at(0) + STEP * 2_000;
-        let held = |reach: &SyncState| reach.proof_age(now).is_some_and(|age| age < LIMIT);
-        proven += world.reaches.iter().filter(|reach| held(reach)).count();
+        let is_recent = |state: &SyncState| state.proof_age(now).is_some_and(|age| age < LIMIT);
+        proven += world.states.iter().filter(|state| is_recent(state)).count();
     }
     assert!(proven > 0, "some may let requests in at the end");
 }
--- a/tests/testsuite/relay/seeded.rs
+++ b/tests/testsuite/relay/seeded.rs
@@ -33,37 +33,37 @@
 const STEP: Duration = Duration::from_millis(50);
 
 /// Steps with faults.
-const FAULTY: u32 = 1_200;
+const FAULT_STEPS: u32 = 1_200;
 
 /// Steps after them: a lapse in the last one, the store's absence, an engine's registration and its way take 150 (seed
 /// 12548).
-const QUIET: u32 = 200;
+const QUIET_STEPS: u32 = 200;
 
 /// Seeds that showed something: the run was wrong each time, see docs/design/seeded-runs.md.
-const SHOWED: [u64; 2] = [1_091, 12_548];
+const REGRESSION_SEEDS: [u64; 2] = [1_091, 12_548];
 
 const INSTANCES: usize = 5;
 const IDS: u32 = 8;
 
 /// Time between two messages about load, which carry word of crashes too.
-const MESSAGE: Duration = Duration::from_millis(25);
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Messages for which an instance hears nothing: two seconds.
-const DEAF: u32 = 80;
+const DEAF_MESSAGES: u32 = 80;
 
 /// By when all must know of a crash, counted from the moment since which all have heard: the rules allow three seconds.
-const KNOWN: Duration = Duration::from_millis(2_900);
+const SPREAD_LIMIT: Duration = Duration::from_millis(2_900);
 
 /// Steps for which an engine's words are on their way to the store at most.
-const LATE: u32 = 30;
+const MAX_DELAY_STEPS: u32 = 30;
 
-type Truth = BTreeMap<String, (u64, Entry)>;
+type StoreItems = BTreeMap<String, (u64, Entry)>;
 
 /// The store: what it holds, and all that happened there.
 #[derive(Debug, Default)]
 struct Store {
     revision: u64,
-    items: Truth,
+    items: StoreItems,
     log: Vec<(u64, EngineUpdate)>,
 }
 
@@ -92,37 +92,37 @@
 
     fn since(&self, revision: u64) -> Vec<EngineUpdate> {
         let later = self.log.iter().filter(|(at, _)| *at > revision);
-        later.map(|(_, news)| news.clone()).collect()
+        later.map(|(_, update)| update.clone()).collect()
     }
 
-    fn all(&self) -> Vec<(u64, Entry)> {
+    fn snapshot(&self) -> Vec<(u64, Entry)> {
         self.items.values().cloned().collect()
     }
 }
 
 /// What an engine does with its id: each word is counted, in all of its lives.
 #[derive(Debug, Default)]
-struct Words {
+struct SimulatedEngine {
     sequence: u64,
     leaving: bool,
     alive: bool,
     due: Vec<(u32, Entry)>,
 }
 
-impl Words {
-    fn say(&mut self, random: &mut ChaCha8Rng, step: u32, id: &str, leaving: bool) {
+impl SimulatedEngine {
+    fn write_entry(&mut self, random: &mut ChaCha8Rng, step: u32, id: &str, leaving: bool) {
         self.sequence += 1;
-        let said = Entry {
+        let entry = Entry {
             sequence: self.sequence,
             leaving,
             ..entry(id, Stage::Whole)
         };
-        let late = if random.random_bool(0.2) {
-            random.random_range(1..LATE)
+        let delay = if random.random_bool(0.2) {
+            random.random_range(1..MAX_DELAY_STEPS)
         } else {
             0
         };
-        self.due.push((step + late, said));
+        self.due.push((step + delay, entry));
     }
 }
 
@@ -130,14 +130,14 @@
 #[derive(Debug, Default)]
 struct Instance {
     engines: Engines,
-    known: u64,
-    items: Truth,
+    revision: u64,
+    items: StoreItems,
     /// Up to which revision each engine's news was taken in.
-    seen: BTreeMap<String, u64>,
+    applied: BTreeMap<String, u64>,
     /// The last word of each engine's that it leaves, of those that were taken in here.
-    left: BTreeMap<String, u64>,
+    last_leaving: BTreeMap<String, u64>,
     /// When the removal of an id was taken in, and the last word before it.
-    gone: BTreeMap<String, (Time, u64)>,
+    removed: BTreeMap<String, (Time, u64)>,
     keys: BTreeMap<EngineKey, (String, u64)>,
     paused: u32,
     cut: u32,
@@ -145,25 +145,25 @@
 }
 
 impl Instance {
-    fn note(&mut self, now: Time, news: &EngineUpdate) {
-        let (EngineUpdate::Entry(at, Entry { id, .. }) | EngineUpdate::Removed(at, id)) = news;
-        let seen = self.seen.entry(id.clone()).or_default();
-        if *at <= *seen {
+    fn note(&mut self, now: Time, update: &EngineUpdate) {
+        let (EngineUpdate::Entry(at, Entry { id, .. }) | EngineUpdate::Removed(at, id)) = update;
+        let applied = self.applied.entry(id.clone()).or_default();
+        if *at <= *applied {
             return;
         }
-        *seen = *at;
-        match news {
+        *applied = *at;
+        match update {
             EngineUpdate::Entry(_, entry) if entry.leaving => {
-                let left = self.left.entry(entry.id.clone()).or_default();
-                *left = entry.sequence.max(*left);
+                let last_leaving = self.last_leaving.entry(entry.id.clone()).or_default();
+                *last_leaving = entry.sequence.max(*last_leaving);
             }
             EngineUpdate::Entry(..) => {}
             EngineUpdate::Removed(_, id) => {
                 let last = self.items.get(id).map_or(0, |(_, e)| e.sequence);
-                self.gone.insert(id.clone(), (now, last));
+                self.removed.insert(id.clone(), (now, last));
             }
         }
-        match news {
+        match update {
             EngineUpdate::Entry(at, entry) => {
                 self.items.insert(entry.id.clone(), (*at, entry.clone()));
             }
@@ -173,56 +173,56 @@
         }
     }
 
-    fn on_watch(&mut self, now: Time, revision: u64, news: Vec<EngineUpdate>) {
-        for news in news {
-            self.note(now, &news);
-            self.engines.on_update(now, news);
+    fn on_watch(&mut self, now: Time, revision: u64, updates: Vec<EngineUpdate>) {
+        for update in updates {
+            self.note(now, &update);
+            self.engines.on_update(now, update);
         }
-        self.known = revision;
+        self.revision = revision;
     }
 
-    fn on_all(&mut self, now: Time, revision: u64, entries: Vec<(u64, Entry)>) {
+    fn on_snapshot(&mut self, now: Time, revision: u64, entries: Vec<(u64, Entry)>) {
         let named: BTreeSet<&String> = entries.iter().map(|(_, e)| &e.id).collect();
         let absent = self.items.keys().filter(|id| !named.contains(id));
-        let gone: Vec<EngineUpdate> = absent
+        let removed: Vec<EngineUpdate> = absent
             .map(|id| EngineUpdate::Removed(revision, id.clone()))
             .collect();
         let put = entries
             .iter()
             .map(|(at, entry)| EngineUpdate::Entry(*at, entry.clone()));
-        for news in gone.into_iter().chain(put) {
-            self.note(now, &news);
+        for update in removed.into_iter().chain(put) {
+            self.note(now, &update);
         }
         self.engines.on_snapshot(now, revision, entries);
-        self.known = revision;
+        self.revision = revision;
         self.started = true;
     }
 
-    fn open(&self) -> BTreeMap<String, (EngineKey, Entry)> {
+    fn available(&self) -> BTreeMap<String, (EngineKey, Entry)> {
         let services = self.engines.available();
         let engines = services.into_values().flatten();
         engines.map(|e| (e.entry.id.clone(), (e.key, e.entry))).collect()
     }
 
     fn check(&mut self, now: Time) {
-        for (id, (key, entry)) in self.open() {
-            let left = self.left.get(&id).copied().unwrap_or_default();
+        for (id, (key, entry)) in self.available() {
+            let last_leaving = self.last_leaving.get(&id).copied().unwrap_or_default();
             assert!(
-                entry.sequence > left,
-                "{id} has left with word {left}, and gets work by {entry:?}"
+                entry.sequence > last_leaving,
+                "{id} has left with word {last_leaving}, and gets work by {entry:?}"
             );
-            if let Some((at, last)) = self.gone.get(&id) {
-                let kept = now.since(*at) <= REREGISTRATION_GRACE + STEP;
+            if let Some((at, last)) = self.removed.get(&id) {
+                let is_in_grace = now.since(*at) <= REREGISTRATION_GRACE + STEP;
                 assert!(
-                    kept || entry.sequence > *last,
+                    is_in_grace || entry.sequence > *last,
                     "{id} is gone since {at}, and gets work at {now}"
                 );
             }
-            let life = self
+            let owner = self
                 .keys
                 .entry(key)
                 .or_insert((id.clone(), entry.create_revision));
-            assert_eq!(*life, (id, entry.create_revision), "a key of two engines");
+            assert_eq!(*owner, (id, entry.create_revision), "a key of two engines");
         }
     }
 }
@@ -230,21 +230,21 @@
 struct World {
     random: ChaCha8Rng,
     store: Store,
-    words: BTreeMap<String, Words>,
+    engines: BTreeMap<String, SimulatedEngine>,
     instances: Vec<Instance>,
-    out: u32,
+    outage: u32,
     step: u32,
 }
 
 impl World {
     fn new(seed: u64) -> World {
-        let ids = (0..IDS).map(|n| (format!("e{n}"), Words::default()));
+        let ids = (0..IDS).map(|n| (format!("e{n}"), SimulatedEngine::default()));
         World {
             random: ChaCha8Rng::seed_from_u64(seed),
             store: Store::default(),
-            words: ids.collect(),
+            engines: ids.collect(),
             instances: (0..INSTANCES).map(|_| Instance::default()).collect(),
-            out: 0,
+            outage: 0,
             step: 0,
         }
     }
@@ -254,65 +254,71 @@
     }
 
     fn run(mut self) {
-        for _ in 0..FAULTY {
-            self.act();
+        for _ in 0..FAULT_STEPS {
+            self.simulate_events();
             self.deliver();
-            self.follow(true);
+            self.follow_store(true);
         }
-        self.out = 0;
-        for _ in 0..QUIET {
+        self.outage = 0;
+        for _ in 0..QUIET_STEPS {
             self.deliver();
-            self.follow(false);
+            self.follow_store(false);
         }
         let ready = self.store.items.values().filter(|(_, e)| !e.leaving);
         let expected: BTreeMap<String, u64> = ready.map(|(_, e)| (e.id.clone(), e.sequence)).collect();
         for (index, instance) in self.instances.iter().enumerate() {
-            let open = instance.open().into_iter();
-            let open: BTreeMap<String, u64> = open.map(|(id, (_, e))| (id, e.sequence)).collect();
+            let available = instance.available().into_iter();
+            let available: BTreeMap<String, u64> = available.map(|(id, (_, e))| (id, e.sequence)).collect();
             // An earlier word that came last shows an engine as ready that has said that it leaves.
-            let believed = expected.iter().filter(|(id, sequence)| {
-                let words = &self.words[*id];
-                !(words.leaving && **sequence < words.sequence)
+            let required = expected.iter().filter(|(id, sequence)| {
+                let engine = &self.engines[*id];
+                !(engine.leaving && **sequence < engine.sequence)
             });
-            let believed: BTreeMap<String, u64> = believed.map(|(id, s)| (id.clone(), *s)).collect();
-            let missing = believed.keys().find(|id| !open.contains_key(*id));
-            assert_eq!(missing, None, "instance {index}: {open:?}, expected {believed:?}");
-            let surplus = open.keys().find(|id| !expected.contains_key(*id));
-            assert_eq!(surplus, None, "instance {index}: {open:?}, expected {expected:?}");
+            let required: BTreeMap<String, u64> = required.map(|(id, s)| (id.clone(), *s)).collect();
+            let missing = required.keys().find(|id| !available.contains_key(*id));
+            assert_eq!(
+                missing, None,
+                "instance {index}: {available:?}, expected {required:?}"
+            );
+            let surplus = available.keys().find(|id| !expected.contains_key(*id));
+            assert_eq!(
+                surplus, None,
+                "instance {index}: {available:?}, expected {expected:?}"
+            );
         }
     }
 
     /// What engines, the store and those who pull plugs do.
-    fn act(&mut self) {
-        self.out = self.out.saturating_sub(1);
+    fn simulate_events(&mut self) {
+        self.outage = self.outage.saturating_sub(1);
         if self.random.random_bool(0.004) {
-            self.out = self.random.random_range(5..80);
+            self.outage = self.random.random_range(5..80);
             // Leases lapse while the store is out.
             if self.random.random_bool(0.5) {
-                self.lapse();
+                self.expire_leases();
             }
         }
-        let ids: Vec<String> = self.words.keys().cloned().collect();
+        let ids: Vec<String> = self.engines.keys().cloned().collect();
         let id = &ids[self.random.random_range(0..ids.len())];
         let chance = self.random.random_range(0..100);
-        let words = self.words.get_mut(id).expect("a known id");
+        let engine = self.engines.get_mut(id).expect("a known id");
         match chance {
-            0..4 if !words.alive => {
-                (words.alive, words.leaving) = (true, false);
-                words.say(&mut self.random, self.step, id, false);
+            0..4 if !engine.alive => {
+                (engine.alive, engine.leaving) = (true, false);
+                engine.write_entry(&mut self.random, self.step, id, false);
             }
-            4..6 if words.alive && !words.leaving => {
-                words.leaving = true;
-                words.say(&mut self.random, self.step, id, true);
+            4..6 if engine.alive && !engine.leaving => {
+                engine.leaving = true;
+                engine.write_entry(&mut self.random, self.step, id, true);
             }
             // Registered anew after its entry lapsed, or said once more.
-            6..14 if words.alive => {
-                let leaving = words.leaving;
-                words.say(&mut self.random, self.step, id, leaving);
+            6..14 if engine.alive => {
+                let leaving = engine.leaving;
+                engine.write_entry(&mut self.random, self.step, id, leaving);
             }
-            14..16 if words.alive => {
-                words.alive = false;
-                words.due.clear();
+            14..16 if engine.alive => {
+                engine.alive = false;
+                engine.due.clear();
                 self.store.remove(id);
             }
             _ => {}
@@ -328,29 +334,29 @@
 
     /// All leases end. Engines that live register anew within two seconds of the store's return, with a word of their own:
     /// seed 1091 showed that without it an earlier word, come last, is rightly not believed.
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let ids: Vec<String> = self.store.items.keys().cloned().collect();
         ids.iter().for_each(|id| self.store.remove(id));
-        for (id, words) in self.words.iter_mut().filter(|(_, words)| words.alive) {
-            let back = self.step + self.out + self.random.random_range(1..40);
-            words.say(&mut self.random, back, id, words.leaving);
+        for (id, engine) in self.engines.iter_mut().filter(|(_, engine)| engine.alive) {
+            let back = self.step + self.outage + self.random.random_range(1..40);
+            engine.write_entry(&mut self.random, back, id, engine.leaving);
         }
     }
 
     /// Words that have arrived at the store. Every other time the later one comes first.
     fn deliver(&mut self) {
         self.step += 1;
-        for words in self.words.values_mut() {
+        for engine in self.engines.values_mut() {
             let step = self.step;
-            let (arrived, on_way): (Vec<_>, Vec<_>) = words.due.drain(..).partition(|(at, _)| *at <= step);
-            words.due = on_way;
+            let (arrived, on_way): (Vec<_>, Vec<_>) = engine.due.drain(..).partition(|(at, _)| *at <= step);
+            engine.due = on_way;
             for (_, entry) in arrived {
                 self.store.put(entry);
             }
         }
     }
 
-    fn follow(&mut self, faulty: bool) {
+    fn follow_store(&mut self, faulty: bool) {
         let now = self.now();
         for index in 0..INSTANCES {
             let instance = &mut self.instances[index];
@@ -359,20 +365,25 @@
                 continue;
             }
             instance.cut = instance.cut.saturating_sub(1);
-            let away = faulty && (self.out > 0 || instance.cut > 0 || self.random.random_bool(0.02));
-            if away {
+            let is_unreachable =
+                faulty && (self.outage > 0 || instance.cut > 0 || self.random.random_bool(0.02));
+            if is_unreachable {
                 instance.engines.on_store_failure(now);
                 self.ask_peer(index, now);
             } else if !self.instances[index].started || self.random.random_bool(0.05) {
-                let (revision, all) = (self.store.revision, self.store.all());
-                self.instances[index].on_all(now, revision, all);
+                let (revision, all) = (self.store.revision, self.store.snapshot());
+                self.instances[index].on_snapshot(now, revision, all);
             } else {
                 // An answer that was lost is asked for again: the same changes come twice.
-                let again = faulty && self.random.random_bool(0.1);
+                let is_repeated = faulty && self.random.random_bool(0.1);
                 let instance = &mut self.instances[index];
-                let back = if again { self.random.random_range(0..4) } else { 0 };
-                let news = self.store.since(instance.known.saturating_sub(back));
-                instance.on_watch(now, self.store.revision, news);
+                let back = if is_repeated {
+                    self.random.random_range(0..4)
+                } else {
+                    0
+                };
+                let updates = self.store.since(instance.revision.saturating_sub(back));
+                instance.on_watch(now, self.store.revision, updates);
             }
             let instance = &mut self.instances[index];
             instance.engines.on_tick(now);
@@ -383,12 +394,12 @@
     /// Takes what a peer knows that is further ahead.
     fn ask_peer(&mut self, index: usize, now: Time) {
         let peer = self.random.random_range(0..INSTANCES);
-        if self.instances[peer].known <= self.instances[index].known || !self.instances[peer].started {
+        if self.instances[peer].revision <= self.instances[index].revision || !self.instances[peer].started {
             return;
         }
-        let revision = self.instances[peer].known;
+        let revision = self.instances[peer].revision;
         let all: Vec<(u64, Entry)> = self.instances[peer].items.values().cloned().collect();
-        self.instances[index].on_all(now, revision, all);
+        self.instances[index].on_snapshot(now, revision, all);
     }
 }
 
@@ -400,7 +411,7 @@
         STORE_FAILURE_WINDOW < REREGISTRATION_GRACE,
         "the quiet time at the end covers both"
     );
-    for seed in seeds_or(SEEDS).chain(SHOWED) {
+    for seed in seeds_or(SEEDS).chain(REGRESSION_SEEDS) {
         let _failing = Failing(seed);
         World::new(seed).run();
     }
@@ -417,21 +428,21 @@
         let mut instances = vec![Suspects::new(); INSTANCES];
         let mut deaf = [0; INSTANCES];
         let mut heard = [Time::ZERO; INSTANCES];
-        let mut broken: BTreeMap<u64, BTreeMap<u64, Time>> = BTreeMap::new();
+        let mut crashes: BTreeMap<u64, BTreeMap<u64, Time>> = BTreeMap::new();
         let mut now = Time::from_millis(1_000);
         for _ in 0..1_200 {
-            now = now + MESSAGE;
+            now = now + MESSAGE_INTERVAL;
             if random.random_bool(0.02) {
                 let note = CrashNote {
                     request: random.random_range(0..6),
                     engine: random.random_range(0..8),
                 };
                 instances[random.random_range(0..INSTANCES)].on_engine_broke(now, note);
-                let engines = broken.entry(note.request).or_default();
+                let engines = crashes.entry(note.request).or_default();
                 engines.entry(note.engine).or_insert(now);
             }
             if random.random_bool(0.01) {
-                deaf[random.random_range(0..INSTANCES)] = DEAF;
+                deaf[random.random_range(0..INSTANCES)] = DEAF_MESSAGES;
             }
             for from in 0..INSTANCES {
                 let notes = instances[from].notes(now);
@@ -448,19 +459,19 @@
                 *deaf = deaf.saturating_sub(1);
             }
             let all_heard = heard.iter().max().copied().unwrap_or(Time::ZERO);
-            for (request, engines) in &broken {
+            for (request, engines) in &crashes {
                 let mut times: Vec<Time> = engines.values().copied().collect();
                 times.sort();
                 let third = times.get(MIN_CRASHES - 1).copied();
                 for instance in &instances {
-                    let is_convicted = instance.is_blocked(now, *request);
+                    let is_blocked = instance.is_blocked(now, *request);
                     assert!(
-                        third.is_some() || !is_convicted,
+                        third.is_some() || !is_blocked,
                         "request {request} has {engines:?}"
                     );
-                    let told = third.is_some_and(|at| now.since(at.max(all_heard)) > KNOWN);
+                    let is_due = third.is_some_and(|at| now.since(at.max(all_heard)) > SPREAD_LIMIT);
                     assert!(
-                        !told || is_convicted,
+                        !is_due || is_blocked,
                         "request {request} has {engines:?} at {now}"
                     );
                 }
--- a/tests/testsuite/relay/stages.rs
+++ b/tests/testsuite/relay/stages.rs
@@ -10,9 +10,9 @@
 use super::fleet;
 
 /// `readers` engines that read, then `generators` that generate, over three zones.
-fn split(readers: usize, generators: usize) -> Vec<Engine> {
-    let mut stages = vec![Stage::Prefill; readers];
-    stages.extend(vec![Stage::Decode; generators]);
+fn split(prefill_engines: usize, decode_engines: usize) -> Vec<Engine> {
+    let mut stages = vec![Stage::Prefill; prefill_engines];
+    stages.extend(vec![Stage::Decode; decode_engines]);
     let mut engines = fleet(&stages);
     for (index, engine) in engines.iter_mut().enumerate() {
         engine.entry.zone = format!("z{}", index % 3);
@@ -21,9 +21,13 @@
 }
 
 /// Stages after the orders were carried out.
-fn ordered(engines: &[Engine], before: &BTreeMap<String, Stage>, readers: f64) -> BTreeMap<String, Stage> {
+fn apply_orders(
+    engines: &[Engine],
+    before: &BTreeMap<String, Stage>,
+    prefill_fraction: f64,
+) -> BTreeMap<String, Stage> {
     let mut after = before.clone();
-    for order in plan_orders(engines, before, readers) {
+    for order in plan_orders(engines, before, prefill_fraction) {
         let second = after.insert(order.engine, order.stage);
         assert_eq!(second, None, "an engine gets one order in its life");
     }
@@ -39,10 +43,10 @@
         ((6, 3), 0.55, 1),
         ((0, 3), 0.9, 1),
     ];
-    for ((readers, generators), part, orders) in cases {
-        let engines = split(readers, generators);
-        let planned = plan_orders(&engines, &BTreeMap::new(), part);
-        assert_eq!(planned.len(), orders, "{readers}:{generators}");
+    for ((prefill_engines, decode_engines), fraction, orders) in cases {
+        let engines = split(prefill_engines, decode_engines);
+        let planned = plan_orders(&engines, &BTreeMap::new(), fraction);
+        assert_eq!(planned.len(), orders, "{prefill_engines}:{decode_engines}");
     }
 }
 
@@ -57,14 +61,20 @@
         ((3, 6), 2_000, 0.65),
         ((0, 4), 0, 0.65),
     ];
-    for ((readers, generators), capacity, expected) in cases {
-        let engines = split(readers, generators);
+    for ((prefill_engines, decode_engines), capacity, expected) in cases {
+        let engines = split(prefill_engines, decode_engines);
         let limited = limit_prefill_fraction(&engines, &BTreeMap::new(), 0.65, capacity);
-        assert_eq!(limited, expected, "{readers}:{generators} at {capacity}");
+        assert_eq!(
+            limited, expected,
+            "{prefill_engines}:{decode_engines} at {capacity}"
+        );
     }
     let engines = split(36, 54);
-    let readers = limit_prefill_fraction(&engines, &BTreeMap::new(), 0.65, 1_000);
-    assert_eq!(plan_orders(&engines, &BTreeMap::new(), readers), Vec::new());
+    let prefill_fraction = limit_prefill_fraction(&engines, &BTreeMap::new(), 0.65, 1_000);
+    assert_eq!(
+        plan_orders(&engines, &BTreeMap::new(), prefill_fraction),
+        Vec::new()
+    );
 }
 
 #[test]
@@ -79,28 +89,28 @@
 #[test]
 fn plan_one_order_each() {
     let engines = split(3, 8);
-    let mut given = BTreeMap::new();
-    for readers in [0.55, 0.2, 0.8, 0.0, 0.7] {
-        given = ordered(&engines, &given, readers);
+    let mut ordered = BTreeMap::new();
+    for prefill_fraction in [0.55, 0.2, 0.8, 0.0, 0.7] {
+        ordered = apply_orders(&engines, &ordered, prefill_fraction);
     }
-    assert!(given.len() <= engines.len());
+    assert!(ordered.len() <= engines.len());
 }
 
 #[test]
 fn plan_counts_orders_on_their_way() {
     let engines = split(3, 6);
-    let given = ordered(&engines, &BTreeMap::new(), 0.55);
-    assert_eq!(plan_orders(&engines, &given, 0.55), Vec::new());
+    let ordered = apply_orders(&engines, &BTreeMap::new(), 0.55);
+    assert_eq!(plan_orders(&engines, &ordered, 0.55), Vec::new());
 }
 
 #[test]
 fn plan_keeps_small_difference() {
     let engines = split(3, 6);
-    let given = ordered(&engines, &BTreeMap::new(), 0.55);
-    let mut left = engines.clone();
-    left.remove(0);
+    let ordered = apply_orders(&engines, &BTreeMap::new(), 0.55);
+    let mut remaining = engines.clone();
+    remaining.remove(0);
     assert_eq!(
-        plan_orders(&left, &given, 0.55),
+        plan_orders(&remaining, &ordered, 0.55),
         Vec::new(),
         "one lost engine is not worth an order"
     );
--- a/tests/testsuite/relay/store.rs
+++ b/tests/testsuite/relay/store.rs
@@ -22,11 +22,11 @@
 
 /// What happens to a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteOutcome {
     /// It is done, and its answer is lost.
-    DoneUnanswered,
+    AppliedUnanswered,
     /// It is not done, and gets no answer.
-    LostUnanswered,
+    DroppedUnanswered,
     /// It is refused.
     Refused,
 }
@@ -35,7 +35,7 @@
 struct State {
     items: RefCell<BTreeMap<String, Item>>,
     changes: RefCell<Vec<Change>>,
-    fates: RefCell<VecDeque<Fate>>,
+    outcomes: RefCell<VecDeque<WriteOutcome>>,
     down: Cell<bool>,
     compacted: Cell<u64>,
     page_size: Cell<Option<usize>>,
@@ -128,8 +128,8 @@
     }
 
     /// What happens to the next write.
-    pub fn next_write(&self, fate: Fate) {
-        self.state.fates.borrow_mut().push_back(fate);
+    pub fn set_next_write(&self, outcome: WriteOutcome) {
+        self.state.outcomes.borrow_mut().push_back(outcome);
     }
 
     /// How often it was called.
@@ -218,14 +218,14 @@
                 return Err(StoreError::Compacted);
             }
             let changes = self.state.changes.borrow();
-            let later: Vec<&Change> = changes.iter().filter(|change| at(change) > after).collect();
-            let limit = self.state.batch_size.get().unwrap_or(later.len());
-            let revision = match later.len() > limit {
-                true => at(later[limit - 1]),
+            let newer: Vec<&Change> = changes.iter().filter(|change| at(change) > after).collect();
+            let limit = self.state.batch_size.get().unwrap_or(newer.len());
+            let revision = match newer.len() > limit {
+                true => at(newer[limit - 1]),
                 false => *self.revision.borrow(),
             };
             Ok(Changes {
-                changes: later.into_iter().take(limit).cloned().collect(),
+                changes: newer.into_iter().take(limit).cloned().collect(),
                 revision,
             })
         }
@@ -241,16 +241,16 @@
             });
             self.check()?;
             let unknown = || StoreError::Unknown("no answer".to_string());
-            let fate = self.state.fates.borrow_mut().pop_front();
-            match fate {
+            let outcome = self.state.outcomes.borrow_mut().pop_front();
+            match outcome {
                 None => self.apply(write),
-                Some(Fate::DoneUnanswered) => Err(self.apply(write).err().unwrap_or_else(unknown)),
-                Some(Fate::LostUnanswered) => {
+                Some(WriteOutcome::AppliedUnanswered) => Err(self.apply(write).err().unwrap_or_else(unknown)),
+                Some(WriteOutcome::DroppedUnanswered) => {
                     // From here on nobody can find out what became of it.
                     self.state.down.set(true);
                     Err(unknown())
                 }
-                Some(Fate::Refused) => Err(StoreError::Refused(429)),
+                Some(WriteOutcome::Refused) => Err(StoreError::Refused(429)),
             }
         }
         .boxed_local()
--- a/tests/testsuite/relay/watchers.rs
+++ b/tests/testsuite/relay/watchers.rs
@@ -33,28 +33,28 @@
 const FANOUT: usize = 16;
 
 /// A peer not heard of for so long doesn't count as a neighbour.
-const SILENT: Duration = Duration::from_millis(1_800);
+const SILENCE_LIMIT: Duration = Duration::from_millis(1_800);
 
 /// Within which time a change must be in force, on the strictest sheet.
-const BOUND: ApplyLimit = ApplyLimit(Duration::from_secs(2));
+const LIMIT: ApplyLimit = ApplyLimit(Duration::from_secs(2));
 
 /// How long a watcher waits after changes before it watches again.
-const REST: Duration = Duration::from_millis(800);
+const BATCH_DELAY: Duration = Duration::from_millis(800);
 
 /// How long an instance must have been without trouble of its own until it is held to that.
-const STABLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// How often an instance works out its place among its neighbours.
-const SEAT: Duration = Duration::from_millis(400);
+const RANK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time for a call that the store answers at once.
-const CALL: Duration = Duration::from_millis(25);
+const CALL_TIME: Duration = Duration::from_millis(25);
 
 fn at(millis: u64) -> Time {
     Time::from_millis(10_000 + millis)
 }
 
-fn word(revision: u64, millis: u64) -> SyncStatus {
+fn status(revision: u64, millis: u64) -> SyncStatus {
     let age = Duration::from_millis(millis);
     SyncStatus { revision, age }
 }
@@ -114,39 +114,39 @@
 
 #[test]
 fn duty_listens_while_confirmed() {
-    let seat = FleetRank { rank: 4, members: 8 };
-    let mut reach = SyncState::default();
+    let rank = FleetRank { rank: 4, members: 8 };
+    let mut state = SyncState::default();
     assert_eq!(
-        reach.watch_action(seat, BOUND, at(0)),
+        state.watch_action(rank, LIMIT, at(0)),
         WatchAction::Watch,
         "nothing is known yet"
     );
-    reach.on_store_answer(at(10), at(0), Duration::ZERO, 7);
+    state.on_store_answer(at(10), at(0), Duration::ZERO, 7);
     assert_eq!(
-        reach.watch_action(seat, BOUND, at(10)),
+        state.watch_action(rank, LIMIT, at(10)),
         WatchAction::Listen(at(1_500))
     );
-    assert!(!reach.on_peer_status(at(900), word(7, 300)));
+    assert!(!state.on_peer_status(at(900), status(7, 300)));
     assert_eq!(
-        reach.watch_action(seat, BOUND, at(1_500)),
+        state.watch_action(rank, LIMIT, at(1_500)),
         WatchAction::Listen(at(2_100))
     );
-    assert_eq!(reach.watch_action(seat, BOUND, at(2_100)), WatchAction::Watch);
+    assert_eq!(state.watch_action(rank, LIMIT, at(2_100)), WatchAction::Watch);
     let watcher = FleetRank { rank: 1, members: 8 };
-    assert_eq!(reach.watch_action(watcher, BOUND, at(10)), WatchAction::Watch);
+    assert_eq!(state.watch_action(watcher, LIMIT, at(10)), WatchAction::Watch);
 }
 
 /// Work goes to an engine that has left. Order: a peer knows of its leaving, and its word passes for a confirmation of
 /// what is known here.
 #[test]
 fn word_ahead_confirms_nothing() {
-    let mut reach = SyncState::default();
-    reach.on_store_answer(at(0), at(0), Duration::ZERO, 7);
-    assert!(reach.on_peer_status(at(1_000), word(8, 0)));
-    assert_eq!(reach.age(at(1_000)), Some(Duration::from_secs(1)));
-    reach.on_peer_changes(at(1_010), word(8, 5));
+    let mut state = SyncState::default();
+    state.on_store_answer(at(0), at(0), Duration::ZERO, 7);
+    assert!(state.on_peer_status(at(1_000), status(8, 0)));
+    assert_eq!(state.age(at(1_000)), Some(Duration::from_secs(1)));
+    state.on_peer_changes(at(1_010), status(8, 5));
     assert_eq!(
-        (reach.revision(), reach.age(at(1_010))),
+        (state.revision(), state.age(at(1_010))),
         (8, Some(Duration::from_millis(5)))
     );
 }
@@ -155,23 +155,23 @@
 /// the instance is paused, the answer waits in its socket, it goes on.
 #[test]
 fn answer_after_pause_is_old() {
-    let mut reach = SyncState::default();
-    reach.on_store_answer(at(11_000), at(1_000), BOUND.watch_timeout(), 7);
-    assert_eq!(reach.age(at(11_000)), Some(Duration::from_secs(9)));
+    let mut state = SyncState::default();
+    state.on_store_answer(at(11_000), at(1_000), LIMIT.watch_timeout(), 7);
+    assert_eq!(state.age(at(11_000)), Some(Duration::from_secs(9)));
 }
 
 /// The same for messages of peers that waited meanwhile: they say what was so when they were sent.
 #[test]
 fn word_after_pause_not_believed() {
-    let mut reach = SyncState::default();
-    reach.on_tick(at(0));
-    reach.on_store_answer(at(0), at(0), Duration::ZERO, 7);
-    reach.on_tick(at(10_000));
-    assert!(!reach.on_peer_status(at(10_001), word(7, 20)));
-    assert_eq!(reach.age(at(10_001)), Some(Duration::from_millis(10_001)));
-    reach.on_tick(at(10_025));
-    reach.on_peer_status(at(10_400), word(7, 20));
-    assert_eq!(reach.age(at(10_400)), Some(Duration::from_millis(20)));
+    let mut state = SyncState::default();
+    state.on_tick(at(0));
+    state.on_store_answer(at(0), at(0), Duration::ZERO, 7);
+    state.on_tick(at(10_000));
+    assert!(!state.on_peer_status(at(10_001), status(7, 20)));
+    assert_eq!(state.age(at(10_001)), Some(Duration::from_millis(10_001)));
+    state.on_tick(at(10_025));
+    state.on_peer_status(at(10_400), status(7, 20));
+    assert_eq!(state.age(at(10_400)), Some(Duration::from_millis(20)));
 }
 
 /// What an instance does at the store.
@@ -185,29 +185,29 @@
         revision: u64,
     },
     /// The last call failed; the next begins then.
-    Pause(Time),
+    Backoff(Time),
     /// None until then.
     Listening(Time),
     /// A watch returned changes; the next one begins at this time, and later changes are batched.
-    Resting(Time),
+    Batching(Time),
 }
 
 #[derive(Debug)]
 struct Instance {
     zone: usize,
-    reach: SyncState,
+    state: SyncState,
     call: Call,
     /// When each peer was last heard.
     heard: Vec<Option<Time>>,
     turn: usize,
     /// Paused or dead until then.
-    gone: Time,
+    paused: Time,
     /// The store doesn't answer it until then.
-    away: Time,
+    unreachable: Time,
     /// A watch that is open falls silent.
     silent: bool,
     /// Since when nothing of its own went wrong.
-    sound: Time,
+    healthy_since: Time,
 }
 
 struct World {
@@ -228,20 +228,20 @@
     fn new(seed: u64) -> World {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         // Mostly fleets of today, now and then one of hundreds.
-        let most = if seed.is_multiple_of(8) { 400 } else { 60 };
-        let size = random.random_range(1..=most);
+        let max_size = if seed.is_multiple_of(8) { 400 } else { 60 };
+        let size = random.random_range(1..=max_size);
         let zones = random.random_range(1..=12);
         let now = at(0);
         let instance = |index: usize| Instance {
             zone: index % zones,
-            reach: SyncState::default(),
+            state: SyncState::default(),
             call: Call::None,
             heard: vec![None; size],
             turn: index,
-            gone: now,
-            away: now,
+            paused: now,
+            unreachable: now,
             silent: false,
-            sound: now,
+            healthy_since: now,
         };
         World {
             random,
@@ -265,52 +265,52 @@
                 self.changed.push(self.now);
             }
             if self.random.random_bool(0.02) {
-                self.trouble();
+                self.inject_fault();
             }
-            self.exchange();
+            self.exchange_messages();
             for index in 0..self.instances.len() {
-                self.follow(index);
+                self.follow_store(index);
             }
             if step > 80 {
-                self.check();
+                self.check_lag();
             }
         }
-        self.calm();
+        self.check_call_rate();
     }
 
     /// Ten seconds without trouble.
-    fn rest(&mut self) {
+    fn run_quiet(&mut self) {
         let later = self.now + Duration::from_secs(10);
         while self.now < later {
             self.now = self.now + STEP;
-            self.exchange();
+            self.exchange_messages();
             for index in 0..self.instances.len() {
-                self.follow(index);
+                self.follow_store(index);
             }
         }
     }
 
     /// After all trouble: the store is called by the watchers only.
-    fn calm(mut self) {
-        self.rest();
+    fn check_call_rate(mut self) {
+        self.run_quiet();
         let watchers = watcher_count(self.instances.len());
         let before = self.calls;
-        self.rest();
+        self.run_quiet();
         let calls = self.calls - before;
         // A watch a second each, and one that was about to begin.
-        let most = u64::try_from(watchers * 11).expect("few calls");
+        let max_calls = u64::try_from(watchers * 11).expect("few calls");
         assert!(
-            calls <= most,
+            calls <= max_calls,
             "{calls} calls in ten seconds by {watchers} watchers"
         );
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let now = self.now;
-        let long = Duration::from_millis(self.random.random_range(200..6_000));
+        let length = Duration::from_millis(self.random.random_range(200..6_000));
         let size = self.instances.len();
         let zone = self.random.random_range(0..self.cut.len());
-        let part = *[1, 1, 2, size.div_ceil(2), size]
+        let count = *[1, 1, 2, size.div_ceil(2), size]
             .iter()
             .choose(&mut self.random)
             .expect("some");
@@ -319,38 +319,38 @@
         if kind >= 6 {
             // The store turns away just those that watch, everywhere or in a zone that hears nobody else.
             let zones = self.cut.len();
-            self.cut[zone] = now + long;
+            self.cut[zone] = now + length;
             for index in (0..size.min(3 * zones)).filter(|index| kind == 6 || index % zones == zone) {
                 let instance = &mut self.instances[index];
-                instance.away = instance.away.max(now + long);
-                instance.sound = instance.sound.max(now + long);
+                instance.unreachable = instance.unreachable.max(now + length);
+                instance.healthy_since = instance.healthy_since.max(now + length);
             }
             return;
         }
         if kind == 5 {
             // Cut off from the other zones, not from the store: no trouble that excuses an instance.
-            self.cut[zone] = now + long;
+            self.cut[zone] = now + length;
             return;
         }
         let chosen = (0..size).filter(|index| !zonal || self.instances[*index].zone == zone);
-        let chosen = chosen.sample(&mut self.random, part);
+        let chosen = chosen.sample(&mut self.random, count);
         for index in chosen {
             let instance = &mut self.instances[index];
             // Troubles overlap: the later one may end first.
-            let sound = if kind == 4 { now } else { now + long };
-            instance.sound = instance.sound.max(sound);
+            let healthy_since = if kind == 4 { now } else { now + length };
+            instance.healthy_since = instance.healthy_since.max(healthy_since);
             match kind {
                 // Paused: goes on with what it had, its calls and its messages.
-                0 => instance.gone = instance.gone.max(now + long),
+                0 => instance.paused = instance.paused.max(now + length),
                 // Killed, and started anew.
                 1 => {
-                    instance.gone = instance.gone.max(now + long);
-                    instance.reach = SyncState::default();
+                    instance.paused = instance.paused.max(now + length);
+                    instance.state = SyncState::default();
                     instance.call = Call::None;
                     instance.heard.fill(None);
                 }
                 // The store turns it away or says nothing.
-                2 | 3 => instance.away = instance.away.max(now + long),
+                2 | 3 => instance.unreachable = instance.unreachable.max(now + length),
                 // Its open connection to the store falls silent for good; new ones work.
                 _ => instance.silent = true,
             }
@@ -358,7 +358,7 @@
     }
 
     fn is_up(&self, index: usize) -> bool {
-        self.instances[index].gone <= self.now
+        self.instances[index].paused <= self.now
     }
 
     fn hears(&self, from: usize, to: usize) -> bool {
@@ -366,12 +366,12 @@
         from == to || [from, to].iter().all(|zone| self.cut[*zone] <= self.now)
     }
 
-    fn exchange(&mut self) {
+    fn exchange_messages(&mut self) {
         let now = self.now;
         let size = self.instances.len();
         for from in (0..size).filter(|index| self.is_up(*index)).collect::<Vec<_>>() {
-            self.instances[from].reach.on_tick(now);
-            let word = self.instances[from].reach.sync_status(now);
+            self.instances[from].state.on_tick(now);
+            let status = self.instances[from].state.sync_status(now);
             let turn = self.instances[from].turn;
             self.instances[from].turn += 1;
             for next in 0..FANOUT.min(size - 1) {
@@ -381,55 +381,55 @@
                     continue;
                 }
                 self.instances[to].heard[from] = Some(now);
-                let Some(word) = word else { continue };
-                if self.instances[to].reach.on_peer_status(now, word) {
-                    self.instances[to].reach.on_peer_changes(now, word);
+                let Some(status) = status else { continue };
+                if self.instances[to].state.on_peer_status(now, status) {
+                    self.instances[to].state.on_peer_changes(now, status);
                 }
             }
         }
     }
 
-    fn seat(&self, index: usize) -> FleetRank {
+    fn rank(&self, index: usize) -> FleetRank {
         let own = &self.instances[index];
-        let heard = |peer: &usize| own.heard[*peer].is_some_and(|at| self.now.since(at) <= SILENT);
+        let heard = |peer: &usize| own.heard[*peer].is_some_and(|at| self.now.since(at) <= SILENCE_LIMIT);
         let members = (0..self.instances.len()).filter(|peer| *peer == index || heard(peer));
         let candidates =
             members.map(|peer| candidate(&self.zones[self.instances[peer].zone], 1, &self.names[peer]));
         FleetRank::among(&rank_candidates(candidates.collect()), &self.names[index])
     }
 
-    fn follow(&mut self, index: usize) {
+    fn follow_store(&mut self, index: usize) {
         if !self.is_up(index) {
             return;
         }
         let now = self.now;
-        let seat = match self.instances[index].call {
+        let rank = match self.instances[index].call {
             Call::Waiting { .. } => FleetRank::default(),
-            Call::Pause(until) | Call::Listening(until) | Call::Resting(until) if now < until => {
+            Call::Backoff(until) | Call::Listening(until) | Call::Batching(until) if now < until => {
                 FleetRank::default()
             }
-            Call::None | Call::Pause(_) | Call::Listening(_) | Call::Resting(_) => self.seat(index),
+            Call::None | Call::Backoff(_) | Call::Listening(_) | Call::Batching(_) => self.rank(index),
         };
         let instance = &mut self.instances[index];
-        let reached = instance.away <= now;
+        let is_reachable = instance.unreachable <= now;
         match instance.call {
-            Call::Pause(until) | Call::Listening(until) | Call::Resting(until) if now < until => {}
-            Call::None | Call::Pause(_) | Call::Listening(_) | Call::Resting(_) => {
-                let is_rested = matches!(instance.call, Call::Resting(_));
-                let failed = matches!(instance.call, Call::Pause(_));
-                if let WatchAction::Listen(until) = instance.reach.watch_action(seat, BOUND, now) {
+            Call::Backoff(until) | Call::Listening(until) | Call::Batching(until) if now < until => {}
+            Call::None | Call::Backoff(_) | Call::Listening(_) | Call::Batching(_) => {
+                let is_after_batch = matches!(instance.call, Call::Batching(_));
+                let failed = matches!(instance.call, Call::Backoff(_));
+                if let WatchAction::Listen(until) = instance.state.watch_action(rank, LIMIT, now) {
                     // Looks again then, or when its seat may have changed.
-                    instance.call = Call::Listening(until.min(now + SEAT));
+                    instance.call = Call::Listening(until.min(now + RANK_INTERVAL));
                     return;
                 }
                 self.calls += 1;
-                let read = failed || instance.reach.revision() == 0;
-                let wait = match (read, is_rested) {
+                let read = failed || instance.state.revision() == 0;
+                let wait = match (read, is_after_batch) {
                     (true, _) => Duration::ZERO,
-                    (false, true) => BOUND.watch_timeout() - REST,
-                    (false, false) => BOUND.watch_timeout(),
+                    (false, true) => LIMIT.watch_timeout() - BATCH_DELAY,
+                    (false, false) => LIMIT.watch_timeout(),
                 };
-                let revision = instance.reach.revision();
+                let revision = instance.state.revision();
                 // Silence strikes connections that are open, not new ones.
                 instance.silent = false;
                 instance.call = Call::Waiting {
@@ -439,41 +439,43 @@
                 };
             }
             Call::Waiting { sent, wait, revision } => {
-                let due = now.since(sent) >= CALL && (self.revision > revision || now.since(sent) >= wait);
-                if due && reached && !instance.silent {
+                let due =
+                    now.since(sent) >= CALL_TIME && (self.revision > revision || now.since(sent) >= wait);
+                if due && is_reachable && !instance.silent {
                     instance
-                        .reach
-                        .on_store_answer(now, sent, wait.max(CALL), self.revision);
+                        .state
+                        .on_store_answer(now, sent, wait.max(CALL_TIME), self.revision);
                     instance.call = match self.revision > revision && revision > 0 {
-                        true => Call::Resting(now + REST),
+                        true => Call::Batching(now + BATCH_DELAY),
                         false => Call::None,
                     };
                 } else if now.since(sent) >= wait + ANSWER {
-                    instance.call = Call::Pause(now + Duration::from_millis(100));
+                    instance.call = Call::Backoff(now + Duration::from_millis(100));
                 }
             }
         }
     }
 
     /// Nobody that is in touch lags behind the store by more than the bound, whoever its watchers are.
-    fn check(&self) {
+    fn check_lag(&self) {
         let now = self.now;
         for (index, instance) in self.instances.iter().enumerate() {
-            let sound = now.since(Time::ZERO) > STABLE && instance.sound + STABLE <= now;
-            if !sound || !self.is_up(index) {
+            let is_stable =
+                now.since(Time::ZERO) > SETTLE_TIME && instance.healthy_since + SETTLE_TIME <= now;
+            if !is_stable || !self.is_up(index) {
                 continue;
             }
-            let missed = usize::try_from(instance.reach.revision()).expect("a few");
+            let missed = usize::try_from(instance.state.revision()).expect("a few");
             let lag = self
                 .changed
                 .get(missed)
                 .map_or(Duration::ZERO, |at| now.since(*at));
             assert!(
-                lag <= BOUND.0,
+                lag <= LIMIT.0,
                 "instance {index} of {} lags by {lag:?} at {now}: {:?}, {:?}",
                 self.instances.len(),
                 instance.call,
-                instance.reach
+                instance.state
             );
         }
     }
