--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -1,4 +1,4 @@
-//! Keeping up with the store, through its own answers and through peers.
+//! Following the store, through its own answers and through peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,9 +28,7 @@
 
 async fn start_with_fleet(options: Options, store: &FakeStore) -> (Arc<Shared>, Fleet) {
     let shared = shared(options);
-    let sockets = peers::Sockets::bind(&shared)
-        .await
-        .expect("an address of its own");
+    let sockets = peers::Sockets::bind(&shared).await.expect("a free address");
     let replica = StoreReplica::new();
     let fleet = peers::start(shared.clone(), sockets, replica.clone());
     let store = Rc::new(store.clone());
@@ -38,7 +36,7 @@
     (shared, fleet)
 }
 
-/// Three instances of a zone: two watch `served`, the third listens to them and has a store of its own.
+/// Starts three instances of a zone: two watch `served`, the third listens to them and has the store `own` to itself.
 async fn start_zone(served: &FakeStore, own: &FakeStore, limit: Duration) -> [(Arc<Shared>, Fleet); 3] {
     let named = |name: &str| {
         let mut options = options();
@@ -105,9 +103,9 @@
     until(|| engines(&shared).is_empty()).await;
 }
 
-/// The store turns away a fleet that starts. Order: 140 engines register within seconds, each ends the watch of each of
-/// 84 instances that don't hear each other yet. All watchers together begin no more than some hundred watches a second;
-/// few need not wait.
+/// Guards against the store refusing the calls of a starting fleet. Sequence: 140 engines register within seconds, and
+/// each registration ends the watch of each of 84 instances that don't hear each other yet. All watchers together start
+/// at most a few hundred watches per second; a small number of watchers need not wait.
 #[test]
 fn rest_by_fleet() {
     let millis = [0, 1, 8, 84, 350, 1_000_000].map(|watchers| follow::batch_delay(watchers).as_millis());
@@ -130,8 +128,9 @@
     until(|| engines(&shared).len() == 4_000).await;
 }
 
-/// An engine leaves while nobody hears of it. Order: watches are cut and the history is dropped; the engine's leaving is
-/// in what was dropped. Cause: a watch goes on from now instead of reading everything.
+/// Guards against missing that an engine leaves. Sequence: watches are cut and the history is dropped, and with it the
+/// change that says that the engine leaves. Cause: a watch continues from the current revision instead of reading
+/// everything.
 #[actix_web::test]
 async fn history_dropped() {
     let store = FakeStore::new();
@@ -147,7 +146,8 @@
     until(|| engines(&shared).is_empty() && version(&shared) == 9).await;
 }
 
-/// A configuration is taken back. Order: an older version is written over a newer one. Versions never go back.
+/// Guards against a return to an earlier configuration. Sequence: an older version is written over a newer one.
+/// Versions never decrease.
 #[actix_web::test]
 async fn version_never_back() {
     let store = FakeStore::new();
@@ -160,7 +160,7 @@
     assert_eq!(version(&shared), 9);
 }
 
-/// One entry that nobody can read stops all others, or the configuration in force is lost.
+/// Guards against one unreadable entry blocking all others, and against losing the configuration in force.
 #[actix_web::test]
 async fn unreadable_passed_over() {
     let store = FakeStore::new();
@@ -178,12 +178,12 @@
     assert_eq!(version(&shared), 3);
     assert!(
         shared.view.load().orders.stages().contains_key("e2"),
-        "an order that can't be read was given"
+        "an unreadable record counts as an order that was sent"
     );
 }
 
-/// Work goes to an engine that has left, at one instance only. Order: the store turns that instance away and serves the
-/// others. It learns from a peer what it can't ask.
+/// Guards against one instance sending requests to an engine that has left. Sequence: the store refuses the calls of
+/// that instance and serves the others. The instance learns from a peer what it can't get from the store.
 #[actix_web::test]
 async fn turned_away_asks_peer() {
     let (served, silent) = (FakeStore::new(), FakeStore::new());
@@ -210,8 +210,8 @@
     until(|| version(&second) == 8 && engines(&second).is_empty()).await;
 }
 
-/// Records of orders pile up in the store for as long as the deployment lives. Order: the engine of one is gone for good, that
-/// of another is there.
+/// Guards against records of orders accumulating in the store for the lifetime of the deployment. Of two records, the
+/// engine of one is gone for good, that of the other is present.
 #[actix_web::test]
 async fn record_of_gone_engine_removed() {
     let store = FakeStore::new();
@@ -230,8 +230,8 @@
     assert!(store.has("orders/e1") && !store.has("orders/gone"));
 }
 
-/// Callers are sent to instances that they can't reach, or to none. Two instances find each other by the store and name
-/// each other while they hear each other.
+/// Guards against callers being sent to instances that they can't reach, or to none. Two instances find each other
+/// through the store and list each other while they hear each other.
 #[actix_web::test]
 async fn instances_named() {
     let store = FakeStore::new();
@@ -292,12 +292,12 @@
     until(|| version(&shared) == 3 && engines(&shared).len() == 8).await;
 }
 
-/// The store is called by every instance of a fleet of hundreds, for every change. One that others watch for hears of
-/// changes from them, large ones too, and calls the store only for what peers don't tell.
+/// Guards against every instance of a fleet of hundreds calling the store for every change. An instance that others
+/// watch for learns of changes from them, large ones too, and calls the store only for what peers don't send.
 #[actix_web::test]
 async fn listener_hears_of_changes() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
-    // So long that the instance need not watch by itself, however slow the test's machine is.
+    // Long enough that the instance need not watch by itself, however slow the test machine is.
     let [_, _, (listener, _)] = start_zone(&served, &own, Duration::from_secs(60)).await;
     served.put("engines/e2", "chat 127.0.0.1:9 ready 1");
     served.remove("engines/e1");
@@ -310,8 +310,8 @@
     assert_eq!(own.calls().watches, watches);
 }
 
-/// Nobody tells an instance of a change. Order: the watchers of its zone live, and the store turns them away. It asks the
-/// store itself once what it knows is too old.
+/// Guards against an instance that never learns of a change. Sequence: the watchers of its zone are alive, but the
+/// store refuses their calls. The instance calls the store itself once the last confirmation is too old.
 #[actix_web::test]
 async fn listener_unconfirmed_watches() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
@@ -321,8 +321,9 @@
     until(|| engines(&listener) == ["e1", "e2"]).await;
 }
 
-/// Every request is refused for seconds after an outage of the store. Order: the store is away for all, entries lapse, it
-/// is back before the engines have registered anew; a watcher hears of it first, and tells the others what vanished.
+/// Guards against every request being refused for seconds after an outage of the store. Sequence: no instance can reach
+/// the store, entries expire, and the store is back before the engines have registered again; a watcher sees it first
+/// and reports the missing entries to the others.
 #[actix_web::test]
 async fn lapse_told_in_doubt() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
@@ -428,8 +429,9 @@
     assert_eq!(store.calls().writes, 2);
 }
 
-/// The store is asked by all of a fleet that starts, and every registration ends every watch. An instance that has just
-/// started leaves the watching to those that the store lists, and does it itself if it hears none of them.
+/// Guards against the store being called by all instances of a starting fleet, while every registration ends every
+/// watch. An instance that has just started leaves watching to those that the store lists, and watches itself if it
+/// hears none of them.
 #[actix_web::test]
 async fn start_leaves_watching_to_listed() {
     let store = FakeStore::new();
@@ -445,9 +447,10 @@
     until(|| version(&shared) == 5).await;
 }
 
-/// A request reaches an engine over two seconds after it has said that it leaves. Order: a watcher was cut off from the store
-/// alone, and is back when the engine's entry vanishes; an instance that was never cut off hears of it from that watcher.
-/// Cause: the watcher's doubt, whether the store itself was away, passes for the instance's own.
+/// Guards against a request reaching an engine more than two seconds after the engine has announced that it leaves.
+/// Sequence: only a watcher was cut off from the store, and it is back when the engine's entry disappears; an instance
+/// that was never cut off learns of that from this watcher. Cause: the watcher's uncertainty whether the store itself
+/// was down is taken over by the instance.
 #[actix_web::test]
 async fn leaving_told_by_one_cut_off() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
@@ -461,9 +464,9 @@
     assert_eq!(engines(&listener), Vec::<String>::new());
 }
 
-/// A fleet serves nothing for half a minute after all of it was killed. Order: hundreds of instances register, one change
-/// after the other; each instance asks a peer at once for each of them, and each answer is a list as long as the fleet to
-/// take in. What comes next is fetched together.
+/// Guards against a fleet serving nothing for half a minute after all of it was killed. Sequence: hundreds of instances
+/// register, one change after the other; each instance asks a peer at once for each change, and each answer is a list
+/// as long as the fleet that it has to apply. Changes that follow soon are fetched together.
 #[actix_web::test]
 async fn listener_rests_between_questions() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
@@ -475,7 +478,7 @@
     }
     let [(first, _), (second, _), (listener, _)] = start_zone(&served, &own, Duration::from_secs(60)).await;
     until(|| listener.view.load().instances > 100).await;
-    // With work they tell of it, and of what they know of the store, forty times a second.
+    // With load they report it, and the store revision that they know, forty times a second.
     for watcher in [&first, &second] {
         watcher
             .traffic()
--- a/tests/testsuite/relay/known.rs
+++ b/tests/testsuite/relay/known.rs
@@ -1,4 +1,4 @@
-//! What an instance tells peers of the store.
+//! The replica of the store, and what an instance sends to peers from it.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Knows two engines as of revision 10.
+/// A replica that contains two engines as of revision 10.
 fn replica() -> StoreReplica {
     let replica = StoreReplica::new();
     replica.on_snapshot(&keys(), 10, &[item("engines/a", 3, 1), item("engines/b", 7, 1)]);
@@ -41,7 +41,8 @@
     Change::Removed { key, revision }
 }
 
-/// What is told after a revision: revisions written, keys removed, large items.
+/// What is sent to a peer that knows `revision`: revisions of the items written since, keys removed, revisions of large
+/// items.
 fn reported(replica: &StoreReplica, revision: u64) -> Option<(Vec<u64>, Vec<String>, Vec<u64>)> {
     let changes = replica.changes_since(NOW, revision)?;
     let items = changes.items.iter().map(|item| item.revision).collect();
@@ -67,8 +68,8 @@
     assert_eq!(reported(&replica, 13), Some((vec![], vec![], vec![])));
 }
 
-/// Work goes to an engine that is gone. Order: an instance lags behind what its peer has read of removals, and takes what
-/// the peer tells for all that happened.
+/// Guards against requests going to an engine that is gone. Sequence: an instance lags further behind than its peer's
+/// history of removals reaches, and takes what the peer sends for all changes since.
 #[test]
 fn tell_since_before_it_knew() {
     let replica = replica();
@@ -78,12 +79,12 @@
     }
     replica.on_store_answer(NOW, NOW, Duration::ZERO, 2_100);
     assert_eq!(reported(&replica, 10), None);
-    let (_, removed, _) = reported(&replica, 2_000).expect("a short while ago");
+    let (_, removed, _) = reported(&replica, 2_000).expect("a recent revision");
     assert_eq!(removed.len(), 99);
 }
 
-/// Each listener is told everything after each failed call of its watcher. Cause: a read of everything passes for a new
-/// beginning, though what went since can be worked out.
+/// Guards against sending everything to each listener after each failed call of its watcher. Cause: reading everything
+/// counts as a new beginning, although the removals since can be derived from it.
 #[test]
 fn tell_since_across_a_read() {
     let replica = replica();
@@ -97,7 +98,7 @@
 fn tell_ages() {
     let replica = replica();
     let later = NOW + Duration::from_millis(300);
-    let changes = replica.changes_since(later, 10).expect("all that happened");
+    let changes = replica.changes_since(later, 10).expect("the full history");
     assert_eq!((changes.age, replica.page(later, "").age), (300, 300));
     let status = SyncStatus {
         revision: 10,
@@ -141,12 +142,12 @@
     }
     replica.on_change(&keys(), &removal("engines/a", 62));
     replica.on_store_answer(NOW, NOW, Duration::ZERO, 62);
-    let first = replica.changes_since(NOW, 10).expect("a short while ago");
+    let first = replica.changes_since(NOW, 10).expect("a recent revision");
     assert_eq!((first.items.len(), first.revision, first.age), (27, 37, u32::MAX));
     assert_eq!(first.removed, []);
     let second = replica
         .changes_since(NOW, first.revision)
-        .expect("a short while ago");
+        .expect("a recent revision");
     assert_eq!((second.items.len(), second.revision, second.age), (23, 62, 0));
     assert_eq!(second.removed, [(62, "engines/a".to_string())]);
 }
--- a/tests/testsuite/relay/lead.rs
+++ b/tests/testsuite/relay/lead.rs
@@ -1,5 +1,6 @@
-//! Who acts for all. The seeded run draws pauses, outages for some, lost answers and slow ways, and judges the calls as the
-//! other side gets them. `SEQUOIASTREAM_SEEDS=1000..5000` runs others.
+//! The lease of the leader, the one instance that acts for the fleet. The seeded runs draw pauses, outages for some
+//! instances, lost answers and slow links, and check the calls in the order in which the API receives them.
+//! `SEQUOIASTREAM_SEEDS=1000..5000` runs other seeds.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,7 +17,7 @@
 
 const LEASE: Duration = Duration::from_secs(3);
 
-/// Time of a step of the run.
+/// Simulated time per step of a run.
 const STEP: Duration = Duration::from_millis(20);
 
 fn at(millis: u64) -> Time {
@@ -35,11 +36,11 @@
     assert_eq!(
         third.next_action(at(800), true, 2),
         LeaseAction::Wait,
-        "its turn comes anew"
+        "its delay starts again"
     );
 }
 
-/// The first call of a holder crosses the last one of the holder before it.
+/// Guards against the first call of a holder overtaking the last call of the holder before it.
 #[test]
 fn fence_after_a_lease() {
     let mut leader = LeaderLease::new(LEASE);
@@ -50,7 +51,8 @@
     assert_eq!(leader.fence(at(3_010)), Some(7));
 }
 
-/// A holder is paused, its lease lapses, another takes it, and the first goes on calling.
+/// Guards against two instances acting at once: a holder is paused, its lease expires, another instance acquires it,
+/// and the first one goes on calling.
 #[test]
 fn fence_ends_before_lease() {
     let mut leader = LeaderLease::new(LEASE);
@@ -73,7 +75,7 @@
     assert_eq!(leader.next_action(at(1_400), false, 0), LeaseAction::Renew);
 }
 
-/// A call for the lease on its way.
+/// A call for the lease that is in transit.
 #[derive(Debug, Clone, Copy)]
 enum Call {
     Acquire,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// The lease and the fencing token, or whether the lease has ended.
+    /// Returns the lease and the fencing token. The error says whether the lease has ended.
     fn call(&mut self, now: Time, call: Call) -> Result<(u64, u64), bool> {
         self.revision += 1;
         let until = now + LEASE;
@@ -145,7 +147,7 @@
     rng: ChaCha8Rng,
     store: Store,
     instances: Vec<Instance>,
-    /// Calls to the API on their way: when they arrive, whose they are and under which token.
+    /// Calls to the API in transit: time of arrival, index of the calling instance, fencing token.
     calls: BTreeSet<(Time, usize, u64)>,
     /// Calls in the order in which they arrived.
     arrived: Vec<(Time, usize, u64)>,
@@ -213,7 +215,7 @@
         }
     }
 
-    /// The store gets a call whether or not its sender runs.
+    /// Delivers a call to the store, whether or not its sender is running.
     fn deliver(&mut self, now: Time, index: usize) {
         let instance = &mut self.instances[index];
         let Some(pending) = &mut instance.pending else {
@@ -279,8 +281,9 @@
     }
 }
 
-/// Two instances act at once, or by turns, or a late call comes after a later holder's. Order: pauses, outages for some
-/// instances, lost answers and calls that are up to three seconds on their way, drawn anew for each seed.
+/// Guards against two instances acting at once or alternately, and against a late call that arrives after a call of a
+/// later holder. Sequence: pauses, outages for some instances, lost answers and calls that take up to three seconds to
+/// arrive, drawn for each seed.
 #[test]
 fn fence_never_falls_seeded() {
     let mut acted = 0;
@@ -292,7 +295,7 @@
         check_calls(seed, &run.arrived);
         acted += usize::from(!run.arrived.is_empty());
     }
-    assert!(acted > 0, "somebody acts");
+    assert!(acted > 0, "some instance acts");
 }
 
 fn check_calls(seed: u64, arrived: &[(Time, usize, u64)]) {
@@ -304,7 +307,7 @@
         let is_same = pair[0].1 == pair[1].1;
         assert!(
             is_same || pair[0].2 < pair[1].2,
-            "seed {seed}: two with one fencing token: {pair:?}"
+            "seed {seed}: two instances with the same fencing token: {pair:?}"
         );
     }
     let mut holders: Vec<(Time, Time, usize)> = Vec::new();
@@ -316,11 +319,14 @@
     }
     for terms in holders.windows(3) {
         let is_turn = terms[0].2 == terms[2].2 && terms[2].0.since(terms[0].1) < LEASE;
-        assert!(!is_turn, "seed {seed}: by turns within a lease: {terms:?}");
+        assert!(
+            !is_turn,
+            "seed {seed}: two instances alternate within the duration of a lease: {terms:?}"
+        );
     }
 }
 
-/// Somebody acts again soon after the holder is gone.
+/// Another instance acts soon after the holder is lost.
 #[test]
 fn fence_after_holder_lost() {
     let mut run = Run::new(3);
@@ -343,6 +349,9 @@
         }
         false
     };
-    assert!(acts(&mut run, 0, 500), "the first acts");
-    assert!(acts(&mut run, 1, 500), "the other within ten seconds");
+    assert!(acts(&mut run, 0, 500), "the first instance acts");
+    assert!(
+        acts(&mut run, 1, 500),
+        "the other instance acts within ten seconds"
+    );
 }
--- a/tests/testsuite/relay/orders.rs
+++ b/tests/testsuite/relay/orders.rs
@@ -1,4 +1,4 @@
-//! Giving engines their one order.
+//! Sending each engine its only order to change stage.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use super::store::WriteOutcome;
 use super::until;
 
-/// An instance that knows three generating engines at one address, of which one is to read.
+/// An instance that knows three decode engines at one address, one of which is to compute prefills.
 fn instance(engine: &ScriptedEngine) -> Arc<Shared> {
     let shared = shared(options());
     let engines = (0..3).map(|index| {
@@ -53,7 +53,8 @@
     ScriptedEngine::start(move |_, _| vec![Act::Send(accepted.to_string())]).await
 }
 
-/// An engine gets two orders from two instances. Order: both see the same plan and none sees the other's record yet.
+/// Guards against an engine getting two orders from two instances. Sequence: both compute the same plan, and neither
+/// sees the other's record yet.
 #[actix_web::test]
 async fn two_instances_one_order() {
     let engine = accepting_engine().await;
@@ -72,8 +73,8 @@
     assert_eq!(requests[0].header("x-expect"), Some("e2"));
 }
 
-/// The answer to the write of the record is lost. Order: it has taken effect. Reading back shows whose it is, and the
-/// order is given, once.
+/// The answer to the write of the record is lost, but the write was applied. Reading the record back shows whose it is,
+/// and the order is sent once.
 #[actix_web::test]
 async fn record_answer_lost() {
     let engine = accepting_engine().await;
@@ -84,8 +85,8 @@
     assert!(store.has("orders/e2"));
 }
 
-/// Nobody knows whose record it is. Order: the write gets no answer, and reading back gets none. Nothing is sent, now or
-/// later: the write may still take effect.
+/// Guards against sending an order when it isn't known whose record it is. Sequence: the write gets no answer, and
+/// neither does the attempt to read the record back. No order is sent, now or later: the write may still be applied.
 #[actix_web::test]
 async fn record_unknown_not_sent() {
     let engine = accepting_engine().await;
@@ -95,7 +96,7 @@
     actix_web::rt::spawn(orders::run(shared.clone(), Rc::new(store.clone())));
     until(|| store.calls().ranges == 1).await;
     store.set_down(false);
-    // Another engine is due later: until its order is there, the first one was passed over.
+    // Another engine gets an order later: by the time that this order arrives, the first engine has been skipped.
     let mut engines: Vec<Engine> = shared.view.load().engines()["chat"].clone();
     let late_engine = Entry {
         address: engine.address(),
@@ -113,8 +114,8 @@
     assert!(!expected.contains(&Some("e2".to_string())), "{expected:?}");
 }
 
-/// A service is never split. Order: the store refuses the write of the record once, since its rate is used up. Cause: an
-/// order that was not given is taken for given.
+/// Guards against a service that is never split. Sequence: the store refuses the write of the record once because of
+/// its rate limit. Cause: an order that was not sent counts as sent.
 #[actix_web::test]
 async fn record_refused_tried_again() {
     let engine = accepting_engine().await;
@@ -125,7 +126,8 @@
     assert_eq!(store.calls().writes, 2);
 }
 
-/// An order is sent again though the first may still be carried out. Order: the engine gives no answer.
+/// Guards against sending an order again while the first one may still be carried out. Sequence: the engine gives no
+/// answer.
 #[actix_web::test]
 async fn unanswered_not_repeated() {
     let engine = ScriptedEngine::start(|_, _| vec![Act::Close]).await;
@@ -133,7 +135,8 @@
     let shared = instance(&engine);
     actix_web::rt::spawn(orders::run(shared.clone(), Rc::new(store.clone())));
     engine.wait_for(|log| log.requests.len() == 1).await;
-    // Three looks later there is still one: the plan is looked at again when the readers' part changes.
+    // There is still only one after the plan was computed again, which happens when the fraction of prefill engines
+    // changes.
     let mut reloadable = (*shared.reloadable()).clone();
     reloadable.prefill_fraction = 0.3;
     shared.reload(reloadable);
@@ -168,8 +171,9 @@
     }
 }
 
-/// An engine that is about to change its stage gets work. Order: a read of everything that lags behind doesn't show its
-/// record yet. Only a later one takes a record out; one that was made anew has its new revision.
+/// Guards against sending requests to an engine that is about to change its stage. Sequence: a snapshot that lags
+/// behind doesn't contain the engine's record yet. Only a later snapshot removes a record; a record that was created
+/// again has its new revision.
 #[test]
 fn records_as_of_revision() {
     let translate = TestDialect::new();
--- a/tests/testsuite/relay/proofs.rs
+++ b/tests/testsuite/relay/proofs.rs
@@ -1,6 +1,6 @@
-//! Proofs that nothing happened in the store that an instance does not know. The seeded run draws when the store changes, how
-//! long each message and each answer of the store is held up, and which instances stand still.
-//! `SEQUOIASTREAM_SEEDS=1000..5000` runs others.
+//! Proofs that an instance has read all changes of the store. The seeded run draws when the store changes, how long
+//! each message and each answer of the store is delayed, and which instances are paused.
+//! `SEQUOIASTREAM_SEEDS=1000..5000` runs other seeds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,22 +32,22 @@
     assert_eq!(
         proven_until(at(1_510), at(0), wait, true),
         at(1_500),
-        "it was quiet for the whole wait"
+        "there was no change during the whole wait"
     );
     assert_eq!(
         proven_until(at(9_000), at(0), wait, true),
         at(1_500),
-        "and was held up then"
+        "the answer was delayed afterwards"
     );
     assert_eq!(
         proven_until(at(1_510), at(0), wait, false),
         at(0),
-        "it may have left at once"
+        "the answer may have been sent at once"
     );
     assert_eq!(
         proven_until(at(700), at(0), wait, true),
         at(0),
-        "it was cut short"
+        "the watch ended early"
     );
 }
 
@@ -63,7 +63,7 @@
     assert_eq!(state.store_proof_due(rank, LIMIT), at(3_200));
 }
 
-/// The answer to a question that left long ago makes what is known seem new.
+/// Guards against the answer to a request that was sent long ago making the data appear recent.
 #[test]
 fn peer_proof_counts_from_question() {
     let mut state = SyncState::default();
@@ -80,20 +80,21 @@
     assert_eq!(state.proof_age(at(5_000)), Some(Duration::from_millis(4_910)));
 }
 
-/// What arrives at an instance.
+/// A message to an instance.
 #[derive(Debug, Clone, Copy)]
 enum Message {
-    /// A question of another, and when it left.
+    /// A peer's request for a proof: the peer and the time at which it sent the request.
     Request(usize, Time),
-    /// The answer to a question that left then, and what its sender had told of.
+    /// A peer's response: the time at which the request was sent, and the status that the peer reported.
     Response(Time, SyncStatus),
-    /// The store's answer to a watch: when it was sent, whether nothing had happened, and up to which revision it goes.
+    /// The store's answer to a watch: the time at which the watch was sent, whether there was no change, and the
+    /// revision that the answer reaches.
     WatchAnswer(Time, bool, u64),
 }
 
 struct World {
     rng: ChaCha8Rng,
-    /// When each change came; the first at revision 1.
+    /// Time of each change; the first one has revision 1.
     changes: Vec<Time>,
     states: Vec<SyncState>,
     paused: Vec<Time>,
@@ -130,7 +131,7 @@
         self.changes.iter().filter(|change| **change <= now).count() as u64
     }
 
-    /// A watch that leaves now is answered when something happens, or when its wait is over.
+    /// Starts a watch. It is answered when there is a change, or when its timeout is over.
     fn watch(&mut self, now: Time, index: usize) {
         let known = self.states[index].revision();
         let next = self.changes.get(usize::try_from(known).expect("few")).copied();
@@ -170,7 +171,7 @@
         while let Some(entry) = self.messages.first_entry().filter(|entry| entry.key().0 <= now) {
             let (to, message) = entry.remove();
             match now < self.paused[to] {
-                // What comes to one that stands still is read when it goes on.
+                // A paused instance reads its messages when it resumes.
                 true => {
                     self.count += 1;
                     self.messages.insert((self.paused[to], self.count), (to, message));
@@ -201,14 +202,15 @@
             let proven = now - age;
             assert!(
                 self.revision(proven) <= state.revision(),
-                "instance {index} at {now}: {state:?} holds up to {proven}, revision {}",
+                "instance {index} at {now}: {state:?} is proven up to {proven}, revision {}",
                 self.revision(proven)
             );
         }
     }
 }
 
-/// A key that was taken away works for longer than allowed, since an instance takes what it knows for newer than it is.
+/// Guards against a revoked key working for longer than allowed because an instance takes its data for more recent than
+/// it is.
 #[test]
 fn proof_never_too_new() {
     let mut proven = 0;
@@ -229,5 +231,5 @@
         let is_recent = |state: &SyncState| state.proof_age(now).is_some_and(|age| age < LIMIT);
         proven += world.states.iter().filter(|state| is_recent(state)).count();
     }
-    assert!(proven > 0, "some may let requests in at the end");
+    assert!(proven > 0, "some instances have a recent proof at the end");
 }
--- a/tests/testsuite/relay/store.rs
+++ b/tests/testsuite/relay/store.rs
@@ -1,4 +1,4 @@
-//! A store in this process that loses answers, refuses and forgets as a test says.
+//! An in-memory store that loses answers, refuses writes and drops its history as a test demands.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,14 +20,14 @@
 use sequoiastream_kv::store::Write;
 use tokio::sync::watch;
 
-/// What happens to a write.
+/// The outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is done, and its answer is lost.
+    /// It is applied, and its answer is lost.
     AppliedUnanswered,
-    /// It is not done, and gets no answer.
+    /// It is not applied and gets no answer; the store stops answering.
     DroppedUnanswered,
-    /// It is refused.
+    /// It is refused with status 429.
     Refused,
 }
 
@@ -43,7 +43,7 @@
     calls: Cell<Calls>,
 }
 
-/// How often the store was called.
+/// Number of calls to the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Calls {
     /// Reads of ranges.
@@ -54,7 +54,7 @@
     pub watches: u32,
 }
 
-/// The store; cheap to clone, stays on one thread.
+/// The store. Cheap to clone; stays on one thread.
 #[derive(Debug, Clone)]
 pub struct FakeStore {
     state: Rc<State>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Puts a value, as others do.
+    /// Puts a value, as another client would.
     pub fn put(&self, key: &str, value: &str) {
         let revision = *self.revision.borrow() + 1;
         let created = self
@@ -93,7 +93,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// Removes a key, as others do.
+    /// Removes a key, as another client would.
     pub fn remove(&self, key: &str) {
         let revision = *self.revision.borrow() + 1;
         self.state.items.borrow_mut().remove(key);
@@ -105,7 +105,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// Forgets the history up to now, and cuts the watches.
+    /// Drops the history of changes up to now and ends the watches.
     pub fn compact(&self) {
         self.state.compacted.set(*self.revision.borrow());
         self.revision.send_modify(|_| {});
@@ -121,18 +121,18 @@
         self.state.batch_size.set(Some(limit));
     }
 
-    /// Whether no call is answered.
+    /// Sets whether the store is down: no call is answered.
     pub fn set_down(&self, down: bool) {
         self.state.down.set(down);
         self.revision.send_modify(|_| {});
     }
 
-    /// What happens to the next write.
+    /// Sets the outcome of the next write. Several calls set those of successive writes.
     pub fn set_next_write(&self, outcome: WriteOutcome) {
         self.state.outcomes.borrow_mut().push_back(outcome);
     }
 
-    /// How often it was called.
+    /// Number of calls so far.
     pub fn calls(&self) -> Calls {
         self.state.calls.get()
     }
@@ -144,7 +144,7 @@
 
     fn check(&self) -> Result<(), StoreError> {
         match self.state.down.get() {
-            true => Err(StoreError::Unknown("it is down".to_string())),
+            true => Err(StoreError::Unknown("the store is down".to_string())),
             false => Ok(()),
         }
     }
@@ -246,7 +246,7 @@
                 None => self.apply(write),
                 Some(WriteOutcome::AppliedUnanswered) => Err(self.apply(write).err().unwrap_or_else(unknown)),
                 Some(WriteOutcome::DroppedUnanswered) => {
-                    // From here on nobody can find out what became of it.
+                    // From here on, no one can find out whether the write was applied.
                     self.state.down.set(true);
                     Err(unknown())
                 }
--- a/tests/testsuite/relay/watchers.rs
+++ b/tests/testsuite/relay/watchers.rs
@@ -1,7 +1,7 @@
-//! Who watches the store, and how old what the others act on may be.
+//! Which instances watch the store, and how old the data of the others may be.
 //!
-//! The seeded runs draw fleets of 1 to 400 instances in 1 to 12 availability zones. `SEQUOIASTREAM_SEEDS=1000..5000 cargo
-//! test --release --test testsuite relay::watchers` runs others for as long as one likes.
+//! The seeded runs draw fleets of 1 to 400 instances in 1 to 12 availability zones. `SEQUOIASTREAM_SEEDS=1000..5000
+//! cargo test --release --test testsuite relay::watchers` runs other seeds, as many as wanted.
 
 use std::time::Duration;
 
@@ -29,25 +29,25 @@
 /// Time between two messages of an instance.
 const STEP: Duration = Duration::from_millis(25);
 
-/// Peers that get each message.
+/// Number of peers that get each message.
 const FANOUT: usize = 16;
 
-/// A peer not heard of for so long doesn't count as a neighbour.
+/// A peer that has not been heard for longer than this doesn't count as a neighbour.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1_800);
 
-/// Within which time a change must be in force, on the strictest sheet.
+/// Time within which a change must be applied, with the strictest configuration.
 const LIMIT: ApplyLimit = ApplyLimit(Duration::from_secs(2));
 
 /// How long a watcher waits after changes before it watches again.
 const BATCH_DELAY: Duration = Duration::from_millis(800);
 
-/// How long an instance must have been without trouble of its own until it is held to that.
+/// How long an instance must have been without faults of its own before the limit applies to it.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// How often an instance works out its place among its neighbours.
+/// Interval at which an instance computes its rank among its neighbours.
 const RANK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for a call that the store answers at once.
+/// Duration of a call that the store answers at once.
 const CALL_TIME: Duration = Duration::from_millis(25);
 
 fn at(millis: u64) -> Time {
@@ -101,8 +101,9 @@
     }
 }
 
-/// A change is in force on the last of three hundred instances after 0.7 s. Order: all that listen hear from the same two dozen
-/// who knows it, and all ask the same one of them.
+/// Guards against a change being applied on the last of three hundred instances only after 0.7 s. Sequence: all
+/// instances without a watch learn from the same two dozen peers which of them have the change, and all ask the same
+/// one of them.
 #[test]
 fn furthest_one_of_several() {
     let known = [7, 9, 3, 9, 9];
@@ -136,8 +137,8 @@
     assert_eq!(state.watch_action(watcher, LIMIT, at(10)), WatchAction::Watch);
 }
 
-/// Work goes to an engine that has left. Order: a peer knows of its leaving, and its word passes for a confirmation of
-/// what is known here.
+/// Guards against requests going to an engine that has left. Sequence: a peer knows that the engine leaves, and the
+/// peer's status counts as a confirmation of the older data here.
 #[test]
 fn word_ahead_confirms_nothing() {
     let mut state = SyncState::default();
@@ -151,8 +152,9 @@
     );
 }
 
-/// An instance acts on news of ten seconds ago and tells its zone that they are of now. Order: its watch waits for a second,
-/// the instance is paused, the answer waits in its socket, it goes on.
+/// Guards against an instance that acts on data that is ten seconds old and reports it to its zone as current.
+/// Sequence: its watch waits for a second, the instance is paused, the answer waits in its socket, the instance
+/// resumes.
 #[test]
 fn answer_after_pause_is_old() {
     let mut state = SyncState::default();
@@ -160,7 +162,8 @@
     assert_eq!(state.age(at(11_000)), Some(Duration::from_secs(9)));
 }
 
-/// The same for messages of peers that waited meanwhile: they say what was so when they were sent.
+/// Guards against the same failure with messages of peers that waited during a pause: they report the state at the time
+/// at which they were sent.
 #[test]
 fn word_after_pause_not_believed() {
     let mut state = SyncState::default();
@@ -174,19 +177,19 @@
     assert_eq!(state.age(at(10_400)), Some(Duration::from_millis(20)));
 }
 
-/// What an instance does at the store.
+/// State of an instance's calls to the store.
 #[derive(Debug, Clone, Copy)]
 enum Call {
     None,
-    /// A watch that began then, or a read if the wait is nothing.
+    /// A watch, or a read if `wait` is zero, that was sent at `sent`.
     Waiting {
         sent: Time,
         wait: Duration,
         revision: u64,
     },
-    /// The last call failed; the next begins then.
+    /// The last call failed; the next one begins at this time.
     Backoff(Time),
-    /// None until then.
+    /// No call until this time.
     Listening(Time),
     /// A watch returned changes; the next one begins at this time, and later changes are batched.
     Batching(Time),
@@ -197,16 +200,16 @@
     zone: usize,
     state: SyncState,
     call: Call,
-    /// When each peer was last heard.
+    /// Time at which each peer was last heard.
     heard: Vec<Option<Time>>,
     turn: usize,
-    /// Paused or dead until then.
+    /// Paused or stopped until this time.
     paused: Time,
-    /// The store doesn't answer it until then.
+    /// The store doesn't answer it until this time.
     unreachable: Time,
-    /// A watch that is open falls silent.
+    /// Whether its open watch never gets an answer.
     silent: bool,
-    /// Since when nothing of its own went wrong.
+    /// Time since which it has had no fault of its own.
     healthy_since: Time,
 }
 
@@ -214,12 +217,12 @@
     random: ChaCha8Rng,
     now: Time,
     revision: u64,
-    /// When each revision came, from the first.
+    /// Time of each revision, from the first one.
     changed: Vec<Time>,
     instances: Vec<Instance>,
     names: Vec<String>,
     zones: Vec<String>,
-    /// Zones that hear nobody elsewhere, until then.
+    /// Time until which each zone hears no other zone.
     cut: Vec<Time>,
     calls: u64,
 }
@@ -227,7 +230,7 @@
 impl World {
     fn new(seed: u64) -> World {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        // Mostly fleets of today, now and then one of hundreds.
+        // Most runs have up to 60 instances, as today's fleets do; one in eight has up to 400.
         let max_size = if seed.is_multiple_of(8) { 400 } else { 60 };
         let size = random.random_range(1..=max_size);
         let zones = random.random_range(1..=12);
@@ -278,7 +281,7 @@
         self.check_call_rate();
     }
 
-    /// Ten seconds without trouble.
+    /// Runs ten seconds without new faults.
     fn run_quiet(&mut self) {
         let later = self.now + Duration::from_secs(10);
         while self.now < later {
@@ -290,14 +293,14 @@
         }
     }
 
-    /// After all trouble: the store is called by the watchers only.
+    /// Checks that after all faults only the watchers call the store.
     fn check_call_rate(mut self) {
         self.run_quiet();
         let watchers = watcher_count(self.instances.len());
         let before = self.calls;
         self.run_quiet();
         let calls = self.calls - before;
-        // A watch a second each, and one that was about to begin.
+        // One watch per second each, and one that was about to begin.
         let max_calls = u64::try_from(watchers * 11).expect("few calls");
         assert!(
             calls <= max_calls,
@@ -317,7 +320,8 @@
         let zonal = self.random.random_bool(0.3);
         let kind = self.random.random_range(0..8);
         if kind >= 6 {
-            // The store turns away just those that watch, everywhere or in a zone that hears nobody else.
+            // The store refuses the calls of just those instances that watch, everywhere or in a zone that hears no
+            // other zone.
             let zones = self.cut.len();
             self.cut[zone] = now + length;
             for index in (0..size.min(3 * zones)).filter(|index| kind == 6 || index % zones == zone) {
@@ -328,7 +332,8 @@
             return;
         }
         if kind == 5 {
-            // Cut off from the other zones, not from the store: no trouble that excuses an instance.
+            // Cut off from the other zones but not from the store: a fault that doesn't exempt an instance from the
+            // limit.
             self.cut[zone] = now + length;
             return;
         }
@@ -336,22 +341,22 @@
         let chosen = chosen.sample(&mut self.random, count);
         for index in chosen {
             let instance = &mut self.instances[index];
-            // Troubles overlap: the later one may end first.
+            // Faults overlap: the later one may end first.
             let healthy_since = if kind == 4 { now } else { now + length };
             instance.healthy_since = instance.healthy_since.max(healthy_since);
             match kind {
-                // Paused: goes on with what it had, its calls and its messages.
+                // Paused: resumes with its state, its calls and its messages.
                 0 => instance.paused = instance.paused.max(now + length),
-                // Killed, and started anew.
+                // Killed and restarted.
                 1 => {
                     instance.paused = instance.paused.max(now + length);
                     instance.state = SyncState::default();
                     instance.call = Call::None;
                     instance.heard.fill(None);
                 }
-                // The store turns it away or says nothing.
+                // The store refuses its calls or doesn't answer.
                 2 | 3 => instance.unreachable = instance.unreachable.max(now + length),
-                // Its open connection to the store falls silent for good; new ones work.
+                // Its open connection to the store never gets an answer again; new connections work.
                 _ => instance.silent = true,
             }
         }
@@ -376,7 +381,8 @@
             self.instances[from].turn += 1;
             for next in 0..FANOUT.min(size - 1) {
                 let to = (from + 1 + (turn * FANOUT + next) % (size - 1)) % size;
-                // One in ten is lost. What comes to a paused instance is read when it goes on: lost is as good here.
+                // One in ten messages is lost. A paused instance would read its messages on resuming; here they are
+                // lost, which serves the test as well.
                 if !self.is_up(to) || !self.hears(from, to) || self.random.random_bool(0.1) {
                     continue;
                 }
@@ -418,7 +424,7 @@
                 let is_after_batch = matches!(instance.call, Call::Batching(_));
                 let failed = matches!(instance.call, Call::Backoff(_));
                 if let WatchAction::Listen(until) = instance.state.watch_action(rank, LIMIT, now) {
-                    // Looks again then, or when its seat may have changed.
+                    // Decides again at that time, or when its rank may have changed.
                     instance.call = Call::Listening(until.min(now + RANK_INTERVAL));
                     return;
                 }
@@ -430,7 +436,7 @@
                     (false, false) => LIMIT.watch_timeout(),
                 };
                 let revision = instance.state.revision();
-                // Silence strikes connections that are open, not new ones.
+                // Only open connections go silent, not new ones.
                 instance.silent = false;
                 instance.call = Call::Waiting {
                     sent: now,
@@ -456,7 +462,8 @@
         }
     }
 
-    /// Nobody that is in touch lags behind the store by more than the bound, whoever its watchers are.
+    /// Checks that no instance that is in contact with others lags behind the store by more than the limit, whichever
+    /// instances are its watchers.
     fn check_lag(&self) {
         let now = self.now;
         for (index, instance) in self.instances.iter().enumerate() {
@@ -481,9 +488,9 @@
     }
 }
 
-/// Work goes to engines that have left, by routes no longer in force. Order: any mix of watchers that are killed, paused
-/// and woken with old news, turned away by the store or left without an answer on a connection that looks alive; half of
-/// the fleet at once; zones cut off from each other.
+/// Guards against requests going to engines that have left, by routes that are no longer in force. Sequence: any mix of
+/// watchers that are killed, that are paused and resume with old data, whose calls the store refuses, or that get no
+/// answer on a connection that looks alive; faults of half of the fleet at once; zones cut off from each other.
 #[test]
 fn lag_within_bound() {
     for seed in seeds_or(SEEDS) {
