--- a/tests/testsuite/relay/book.rs
+++ b/tests/testsuite/relay/book.rs
@@ -49,9 +49,9 @@
     assert_eq!(tracker.work(Time::from_millis(1_100), ENGINE), work(1, 10));
 }
 
-/// Every check is refused for minutes though engines are free. Order: links are slow for a while, the mean time of a
-/// hand-over grows beyond what any check can wait, none is sent any more. Cause: a mean that only those correct who
-/// are let in by it.
+/// Guards against every check being refused for minutes although engines are free. Sequence: links are slow for a
+/// while, the mean time of a hand-over grows beyond what any check can wait, and no more checks are sent. Cause: a mean
+/// that is corrected only by requests that were admitted because of it.
 #[test]
 fn handover_forgotten() {
     let mut tracker = LoadTracker::new();
@@ -65,8 +65,8 @@
     assert_eq!(tracker.handover(Time::ZERO, EngineKey(4)), usual);
 }
 
-/// One engine draws all requests and serves none. Order: it declines whatever comes, so it has no work. Cause: the
-/// engine with the least work is the best choice.
+/// Guards against one engine attracting all requests and serving none. Sequence: it declines every request, so it has
+/// no work. Cause: the engine with the least work is the best choice.
 #[test]
 fn avoid_declining() {
     let mut tracker = LoadTracker::new();
@@ -91,7 +91,7 @@
     assert!(!tracker.is_avoided(Time::ZERO, ENGINE));
 }
 
-/// What an engine was seen to read, alone, in so many milliseconds.
+/// Records a prefill that took `millis` milliseconds on an engine without other work.
 fn record_prefill(tracker: &mut LoadTracker, now: Time, engine: &Engine, millis: u64) {
     let engines = [engine.clone()];
     let selector = EngineSelector {
@@ -115,8 +115,8 @@
     tracker.on_prefill(now, &plan, Duration::from_millis(millis));
 }
 
-/// One engine of a service turns slow, and is well again later. Order: its prompts take four times as long, it counts as slow;
-/// nothing is sent to it any more. What was seen is forgotten, so that it is tried again.
+/// An engine of a service becomes slow and later recovers. Sequence: its prompts take four times as long, it counts as
+/// slow, and no more requests are sent to it. The observation expires, so that the engine is tried again.
 #[test]
 fn slow_engine_seen_and_forgotten() {
     let engines = fleet(&[Stage::Prefill; 2]);
--- a/tests/testsuite/relay/digest.rs
+++ b/tests/testsuite/relay/digest.rs
@@ -1,4 +1,4 @@
-//! Whom an instance tells about its load.
+//! The recipients of messages about load, and the size of these messages.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,7 +28,8 @@
     assert_eq!(round_robin(&[], 3, 16), Vec::new());
 }
 
-/// In a large fleet most instances never hear of the others' load. Cause: the first so many by name are told.
+/// Guards against most instances of a large fleet never learning of the others' load. Cause: a fixed number of peers,
+/// the first ones by name, get all messages.
 #[test]
 fn part_goes_round() {
     let peers = peers(349);
@@ -42,9 +43,9 @@
     assert!(counts.values().all(|count| *count == 16));
 }
 
-/// Guards against a thousand small instances spending all their time on messages about each other's load. Idle instances
-/// get messages from few peers at any fleet size, and every instance reaches all peers eventually; busy instances of one
-/// zone get each other's messages as in a small fleet.
+/// Guards against a thousand small instances spending all their time on messages about each other's load. Idle
+/// instances get messages from few peers at any fleet size, and every instance reaches all peers eventually; busy
+/// instances of one zone get each other's messages as in a small fleet.
 #[test]
 fn recipients_by_fleet_size() {
     let few = peers(16);
@@ -77,8 +78,9 @@
     }
 }
 
-/// Nobody hears of the work of the busiest instance. Order: it has work at 200 engines, its message is longer than a datagram may be
-/// and is not sent. Cut to what fits, it tells of the engines where it has most.
+/// Guards against the load of the busiest instance being unknown to all others. Sequence: it has work at 200 engines,
+/// so its message is longer than a datagram may be and is not sent. Trimmed to the limit, the message reports the
+/// engines on which the instance has most work.
 #[test]
 fn trim_keeps_most_work() {
     let work = |index: u32| Work {
@@ -92,10 +94,14 @@
         tokens: 1,
     });
     let message = LoadMessage::new(all.collect(), Vec::new(), reads.collect());
-    let full_length = postcard::to_allocvec(&message).expect("written").len();
+    let full_length = postcard::to_allocvec(&message)
+        .expect("a serializable message")
+        .len();
     assert!(full_length > MAX_DATAGRAM, "{full_length}");
     let trimmed = message.trim(MAX_DATAGRAM as f64 / full_length as f64 * 0.8);
-    let length = postcard::to_allocvec(&trimmed).expect("written").len();
+    let length = postcard::to_allocvec(&trimmed)
+        .expect("a serializable message")
+        .len();
     assert!((600..MAX_DATAGRAM - 120).contains(&length), "{length}");
     assert!(
         trimmed
@@ -104,5 +110,5 @@
             .all(|share| share.requests > 200 - trimmed.shares.len() as u32)
     );
     let parts: Vec<u64> = trimmed.reads.iter().map(|read| read.part).collect();
-    assert_eq!(parts.last(), Some(&9), "the latest stay: {parts:?}");
+    assert_eq!(parts.last(), Some(&9), "the latest are kept: {parts:?}");
 }
--- a/tests/testsuite/relay/engines.rs
+++ b/tests/testsuite/relay/engines.rs
@@ -1,4 +1,4 @@
-//! Knowing the engines.
+//! The table of known engines.
 
 use std::time::Duration;
 
@@ -32,8 +32,9 @@
     engines.available().values().flatten().count()
 }
 
-/// Work goes to an engine that ends under it. Order: the engine says that it leaves, then an earlier word of it, which
-/// was on its way, is written over that. Cause: the store's revision alone decides which word is the last.
+/// Guards against requests going to an engine that stops while they run. Sequence: the engine announces that it leaves,
+/// then an earlier write of it that was still on its way replaces that. Cause: the store's revision alone decides which
+/// write is the latest.
 #[test]
 fn leaving_older_word_late() {
     let mut engines = Engines::new();
@@ -44,8 +45,8 @@
     assert_eq!(available_count(&engines), 0);
 }
 
-/// Work goes to an engine that has left. Order: its entry is removed, then a word from before creates it anew. Cause:
-/// what is known of an engine is forgotten with its entry.
+/// Guards against requests going to an engine that has left. Sequence: its entry is removed, then an earlier write
+/// creates it again. Cause: what is known of an engine is discarded together with its entry.
 #[test]
 fn gone_older_word_late() {
     let mut engines = Engines::new();
@@ -66,8 +67,9 @@
     assert_eq!((engines.len(), available_count(&engines)), (1, 0));
 }
 
-/// Everybody is refused though all engines live. Order: the store is away, all entries lapse meanwhile, it comes back
-/// and shows none. Cause: an entry that is missing is taken for an engine that is gone.
+/// Guards against every request being refused although all engines are running. Sequence: the store is down, all
+/// entries expire meanwhile, and the store is back without any. Cause: a missing entry is taken for an engine that is
+/// gone.
 #[test]
 fn lapse_with_outage() {
     let mut engines = Engines::new();
@@ -94,8 +96,9 @@
     assert!(!engines.has_missing());
 }
 
-/// An engine that left without a word gets work for too long. Order: a call to the store fails, a while later the
-/// engine's entry is removed. Cause: one failed call makes all that follows doubtful.
+/// Guards against sending requests for too long to an engine that left without an announcement. Sequence: a call to the
+/// store fails, and some time later the engine's entry is removed. Cause: one failed call makes everything that follows
+/// uncertain.
 #[test]
 fn gone_long_after_failure() {
     let mut engines = Engines::new();
@@ -105,8 +108,8 @@
     assert_eq!(available_count(&engines), 0);
 }
 
-/// What was known of an engine's load is taken for that of another. Order: an engine comes back under its id. Cause:
-/// the id is the key.
+/// Guards against taking the known load of an engine for that of another. Sequence: an engine comes back under its id.
+/// Cause: the id is the key.
 #[test]
 fn key_new_with_birth() {
     let mut engines = Engines::new();
--- a/tests/testsuite/relay/pace.rs
+++ b/tests/testsuite/relay/pace.rs
@@ -1,4 +1,4 @@
-//! What reading takes, learned from readings.
+//! The time that prefills take, learned from completed prefills.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use sequoiastream_core::relay::prefill_time::PrefillWork;
 use sequoiastream_core::relay::prompt::Prompt;
 
-/// An engine: milliseconds of a reading, of a thousand tokens, of a million pairs.
+/// Speed of an engine: milliseconds per prefill, per thousand tokens, and per million pairs of tokens.
 type EngineSpeed = (f64, f64, f64);
 
-/// Engines that read 112 tokens a millisecond, with long contexts.
+/// Engines that process 112 tokens per millisecond, with long contexts.
 const SLOW: EngineSpeed = (36.0, 10.5, 0.25);
 
-/// Engines that read 409 tokens a millisecond.
+/// Engines that process 409 tokens per millisecond.
 const FAST: EngineSpeed = (8.0, 2.6, 0.04);
 
 fn prompt(input: u32) -> Prompt {
@@ -24,7 +24,7 @@
     }
 }
 
-/// How long the last `tokens` of `input` take.
+/// Time for a prefill of the last `tokens` of `input` tokens.
 fn prefill_time(speed: EngineSpeed, input: u32, tokens: u32) -> Duration {
     let (own, context) = (f64::from(tokens), f64::from(input - tokens));
     let pairs = own * context + own * own / 2.0;
@@ -32,7 +32,8 @@
     Duration::from_secs_f64((fixed + token * own / 1e3 + pair * pairs / 1e6) / 1e3)
 }
 
-/// Sizes as three kinds of requests have them: a long history, a file, a question.
+/// Input tokens, and those that aren't shared, of three kinds of requests in turn: with a long history, with a file,
+/// with a question only.
 fn size(turn: u32) -> (u32, u32) {
     let own = [3_720, 2_890, 1_110][turn as usize % 3] * (1 + turn % 5) / 2;
     let shared = [13_300, 6_300, 350][turn as usize % 3];
@@ -49,7 +50,7 @@
     }
 }
 
-/// By how much the expected time is off, for all sizes, as a part of the true one.
+/// Largest error of the expected time over all sizes, as a fraction of the true time.
 fn max_error(model: &PrefillModel, speed: EngineSpeed) -> f64 {
     let sizes = (0..15).map(size).chain([(17_000, 17_000), (40_000, 20_000)]);
     let errors = sizes.map(|(input, own)| {
@@ -60,9 +61,9 @@
     errors.fold(0.0, f64::max)
 }
 
-/// Half of what a deployment could earn is lost. Order: its engines read four times as slowly as others and take 36 ms for the
-/// shortest prompt; every prompt is expected within a few milliseconds, so that queues grow until all is late. Cause: a
-/// speed that was measured elsewhere.
+/// Guards against losing half of what a deployment could earn. Sequence: its engines process prompts four times as
+/// slowly as others and take 36 ms for the shortest one; every prefill is expected to take a few milliseconds, so
+/// queues grow until all answers are late. Cause: a speed that was measured elsewhere.
 #[test]
 fn pace_of_any_engine() {
     for speed in [SLOW, FAST] {
@@ -73,8 +74,9 @@
     }
 }
 
-/// Every request is refused for good. Order: a reading waits in the network for seconds, all are expected to take as long, none
-/// is let in that could correct it. One reading moves the line by a part of what was expected.
+/// Guards against refusing every request forever. Sequence: the answer of one prefill is delayed in the network for
+/// seconds, all prefills are then expected to take as long, and no request is admitted that could correct this. One
+/// prefill changes the model only by a fraction of the expected time.
 #[test]
 fn pace_one_wild_reading() {
     let mut model = PrefillModel::default();
@@ -86,8 +88,8 @@
     assert!(max_error(&model, SLOW) < 0.15);
 }
 
-/// Readings are expected to take twice what they take. Cause: one in seven had to read shared parts that were thought to
-/// be kept, and counts as a slow engine.
+/// Guards against expecting prefills to take twice their time. Cause: one in seven had to compute shared parts that
+/// were assumed to be cached, and this counts as a slow engine.
 #[test]
 fn pace_parts_lost_now_and_then() {
     let mut model = PrefillModel::default();
@@ -117,7 +119,8 @@
     assert!(error < 0.25, "{error}");
 }
 
-/// A service that asks for one size only, for hours: the line stays where it is, and nothing grows without end.
+/// A service whose requests all have the same size, for hours: the model stays where it is, and nothing grows without
+/// limit.
 #[test]
 fn pace_one_size_for_hours() {
     let mut model = PrefillModel::default();
--- a/tests/testsuite/relay/parts.rs
+++ b/tests/testsuite/relay/parts.rs
@@ -1,4 +1,4 @@
-//! Which engine keeps which shared parts.
+//! Estimating which engine has which shared parts cached.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const ENGINE: EngineKey = EngineKey(2);
 
-/// Tokens that an engine's memory holds.
+/// Number of tokens that an engine's memory holds.
 const MEMORY_TOKENS: Option<u64> = Some(100_000);
 
 fn record(part: u64, tokens: u32) -> PrefillRecord {
@@ -20,9 +20,10 @@
     }
 }
 
-/// A prompt is expected to be read at once, and takes ten times as long. Order: its shared parts were read at an engine, others
-/// were read behind them until the memory was full, the engine dropped what was used longest ago. Cause: what was read once
-/// counts as kept for ever. The load: more sessions than the engines' memory holds.
+/// Guards against a prefill that is expected to take no time and takes ten times as long. Sequence: its shared parts
+/// were computed at an engine, others were computed after them until the memory was full, and the engine evicted the
+/// least recently used ones. Cause: what was computed once counts as cached forever. Typical load: more sessions than
+/// the engines' memory holds.
 #[test]
 fn kept_until_memory_needed() {
     let mut cached = CachedParts::default();
@@ -51,7 +52,7 @@
     assert!(is_cached(9_900) && !is_cached(10_100));
 }
 
-/// An engine that restarted is thought to keep what it had. Its key is another one; the old one is forgotten.
+/// Guards against assuming that a restarted engine still has its cache. It gets a new key; the old one is forgotten.
 #[test]
 fn kept_no_more_when_gone() {
     let mut cached = CachedParts::default();
@@ -60,7 +61,8 @@
     assert!(!cached.is_cached(Time::ZERO, ENGINE, 1, MEMORY_TOKENS));
 }
 
-/// Each own reading goes out in as many messages as it takes to reach all peers, and no more; what peers told isn't passed on.
+/// Each own prefill is sent in as many messages as it takes to reach all peers, and in no more; what peers reported is
+/// not passed on.
 #[test]
 fn told_in_turns() {
     let mut cached = CachedParts::default();
@@ -74,7 +76,7 @@
     assert_eq!(cached.records_to_send(3), []);
 }
 
-/// Neither memory nor messages grow without end, however much is read.
+/// Neither memory nor messages grow without limit, however many prefills there are.
 #[test]
 fn parts_bounded() {
     let mut cached = CachedParts::default();
--- a/tests/testsuite/relay/place.rs
+++ b/tests/testsuite/relay/place.rs
@@ -1,4 +1,4 @@
-//! Choosing engines.
+//! Selecting engines for requests.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     }
 }
 
-/// A prompt of a session with 6,000 tokens shared and 3,000 of its own.
+/// A prompt of a session with 6,000 shared tokens and 3,000 tokens of its own.
 fn prompt(session: u64) -> Prompt {
     let part = |id, tokens| Part { id, tokens };
     Prompt {
@@ -60,8 +60,8 @@
     plan.expect("an engine").engine.key
 }
 
-/// Shared parts are read again and again. Order: the requests of one session come to all instances in turn. Cause:
-/// each instance sends them to another engine.
+/// Guards against computing shared parts again and again. Sequence: the requests of one session arrive at all instances
+/// in turn. Cause: each instance sends them to a different engine.
 #[test]
 fn reader_same_everywhere() {
     let engines = fleet(&[Stage::Prefill; 7]);
@@ -88,16 +88,16 @@
     }
 }
 
-/// Notes that an engine was sent a prompt of a session.
+/// Records that a prompt of a session was sent to an engine.
 fn record_sent(tracker: &mut LoadTracker, engines: &[Engine], key: EngineKey, session: u64) {
     let only: Vec<Engine> = engines.iter().filter(|e| e.key == key).cloned().collect();
     let plan = selector(tracker, &[]).choose_prefill(&only, Stage::Prefill, &prompt(session));
     tracker.on_prefill_sent(Time::ZERO, &plan.expect("an engine"), session);
 }
 
-/// Calls queue at one engine while others idle. Cause: a session's home is kept whatever the wait there. Where no engine keeps
-/// the shared parts, the home is left when the wait exceeds twelve times what reading them takes; where it does, twelve
-/// times what fetching them takes, besides that fetching.
+/// Guards against calls queueing at one engine while others are idle. Cause: a session keeps its home engine however
+/// long the wait there. If no engine has the shared parts cached, the home is left when the wait exceeds twelve times
+/// the time to compute them; if the home has them, twelve times the time to fetch them, in addition to that fetch.
 #[test]
 fn reader_leaves_long_queue() {
     let engines = fleet(&[Stage::Prefill; 3]);
@@ -115,15 +115,15 @@
         assert_eq!(
             chosen_engine(&tracker, &engines, 5),
             key,
-            "cheaper for all: {is_cached}"
+            "waiting costs all requests less; cached: {is_cached}"
         );
         tracker.begin(Time::ZERO, key, worth_waiting.mul_f64(0.1));
-        assert_ne!(chosen_engine(&tracker, &engines, 5), key, "{is_cached}");
+        assert_ne!(chosen_engine(&tracker, &engines, 5), key, "cached: {is_cached}");
     }
 }
 
-/// Parts are read at their home though another engine keeps them. Order: the home had a long queue, another engine read them;
-/// the queue is gone.
+/// Guards against computing parts at their home although another engine has them cached. Sequence: the home had a long
+/// queue, another engine computed the parts, and the queue is gone.
 #[test]
 fn reader_where_parts_are() {
     let engines = fleet(&[Stage::Prefill; 3]);
@@ -134,11 +134,11 @@
     assert_eq!(chosen_engine(&tracker, &engines, 5), other);
     record_sent(&mut tracker, &engines, key, 5);
     tracker.begin(Time::ZERO, other, Duration::from_millis(1));
-    assert_eq!(chosen_engine(&tracker, &engines, 5), key, "both keep them");
+    assert_eq!(chosen_engine(&tracker, &engines, 5), key, "both have them cached");
 }
 
-/// What is expected of a reading: the fixed time, the work before it and its own. Parts that the engine keeps cost nothing;
-/// others are read, or fetched where that is faster.
+/// The expected time of a prefill is the fixed latency, plus the queue and the prefill's own work. Parts that the
+/// engine has cached cost nothing; others are computed, or fetched if that is faster.
 #[test]
 fn reader_counts_time() {
     let engines = fleet(&[Stage::Prefill, Stage::Prefill, Stage::Decode]);
@@ -168,8 +168,9 @@
     }
 }
 
-/// Parts of 6,000 tokens are read again though an engine beside keeps them. Order: their home has a long queue, the request
-/// goes elsewhere. The load: sessions with long histories, each asked for every few seconds, on engines that read slowly.
+/// Guards against computing parts of 6,000 tokens again although a nearby engine has them cached. Sequence: their home
+/// has a long queue, so the request goes elsewhere. Typical load: sessions with long histories, each with a request
+/// every few seconds, on engines with slow prefills.
 #[test]
 fn reader_fetches_from_home() {
     let engines = addressed(&[Stage::Prefill; 5]);
@@ -182,8 +183,8 @@
     assert_eq!(plan.fetch_from, Some(address(key.0)));
 }
 
-/// Parts are read again by their new home. Order: an engine is added and is the home of some parts from now on. The one that
-/// was before keeps them still.
+/// Guards against parts being computed again by their new home. Sequence: an engine is added and becomes the home of
+/// some parts. The previous home still has them cached.
 #[test]
 fn reader_fetches_from_last_home() {
     let engines = addressed(&[Stage::Prefill; 5]);
@@ -209,10 +210,10 @@
         let plan = selector(&tracker, &[]).choose_prefill(engines, Stage::Prefill, prompt);
         plan.expect("an engine").fetch_from
     };
-    assert_eq!(fetch(&engines[..1], &prompt(5)), None, "nobody else");
+    assert_eq!(fetch(&engines[..1], &prompt(5)), None, "no other engine");
     let mut own = prompt(5);
     own.parts.drain(..2);
-    assert_eq!(fetch(&engines, &own), None, "nothing shared");
+    assert_eq!(fetch(&engines, &own), None, "no shared parts");
 }
 
 #[test]
@@ -235,13 +236,13 @@
     assert_eq!(picked, Some(EngineKey(2)));
     let tried = [EngineKey(1), EngineKey(2)];
     let picked = selector(&tracker, &tried).least_loaded(&engines).map(|e| e.key);
-    assert_eq!(picked, Some(EngineKey(0)), "an unsound one is better than none");
+    assert_eq!(picked, Some(EngineKey(0)), "a failing engine is better than none");
     let tried = [EngineKey(0), EngineKey(1), EngineKey(2)];
     assert_eq!(selector(&tracker, &tried).least_loaded(&engines), None);
 }
 
-/// An engine fails half of its requests while its status check is good. Order: it is never avoided, since every other
-/// answer is whole. Cause: only the last attempt counts.
+/// Guards against never avoiding an engine that fails half of its requests while its status check succeeds. Sequence:
+/// every other answer is complete. Cause: only the last attempt counts.
 #[test]
 fn plain_avoids_failing() {
     let engines = fleet(&[Stage::Whole; 2]);
@@ -256,8 +257,8 @@
     assert_eq!(picked, Some(EngineKey(1)));
 }
 
-/// An engine that failed for a while gets nothing for ever. Order: it fails, others are chosen, it is sound again. Cause:
-/// a rate of failures that only new attempts correct.
+/// Guards against never again sending requests to an engine that failed for a while. Sequence: it fails, other engines
+/// are selected, it recovers. Cause: a failure rate that is corrected only by new attempts.
 #[test]
 fn plain_forgives_failing() {
     let engines = fleet(&[Stage::Whole; 2]);
@@ -302,9 +303,10 @@
     assert_eq!(full, [true, true, false]);
 }
 
-/// One engine has seventeen requests for six slots while others are idle. Order: a burst comes to 73 instances, each hears of the
-/// others' choices only after five messages, and all send to the first of those that were idle when they last heard. None gets
-/// more than twice its part; an engine that is busy gets none, and where all hear at once, the first gets the next.
+/// Guards against one engine getting seventeen requests for six slots while others are idle. Sequence: a burst arrives
+/// at 73 instances, each learns of the others' choices only after five messages, and all select the first of the
+/// engines that were idle by their last messages. No engine may get more than twice its share; a busy engine gets none,
+/// and if all instances learn of choices at once, the first engine gets the next request.
 #[test]
 fn generator_under_old_news() {
     let engines = fleet(&[Stage::Decode; 20]);
--- a/tests/testsuite/relay/seeded.rs
+++ b/tests/testsuite/relay/seeded.rs
@@ -1,9 +1,9 @@
-//! Seeded runs of what several instances believe of engines and of poisonous requests.
+//! Seeded runs of what several instances know of engines and of requests that crash engines.
 //!
-//! Engines register, leave, lapse and come back under their id; what they write reaches the store late and out of order.
-//! Instances watch the store or read all of it, lose answers and get the same changes twice, are cut off and told by a
-//! peer, are paused and killed. Time is simulated. `SEQUOIASTREAM_SEEDS=1000..100000 cargo test --release --test testsuite
-//! relay::seeded` runs others for as long as one likes.
+//! Engines register, leave, expire and come back under their id; their writes reach the store late and out of order.
+//! Instances watch the store or read all of it, lose answers and get the same changes twice, are cut off and get the
+//! data of a peer, are paused and killed. Time is simulated. `SEQUOIASTREAM_SEEDS=1000..100000 cargo test --release
+//! --test testsuite relay::seeded` runs other seeds, as many as wanted.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,34 +32,35 @@
 
 const STEP: Duration = Duration::from_millis(50);
 
-/// Steps with faults.
+/// Number of steps with faults.
 const FAULT_STEPS: u32 = 1_200;
 
-/// Steps after them: a lapse in the last one, the store's absence, an engine's registration and its way take 150 (seed
-/// 12548).
+/// Number of steps after the faults. Expired leases in the last step with faults, the outage of the store, an engine's
+/// registration and its delay take 150 (seed 12548).
 const QUIET_STEPS: u32 = 200;
 
-/// Seeds that showed something: the run was wrong each time, see docs/design/seeded-runs.md.
+/// Seeds that failed because the run itself was wrong, see docs/design/seeded-runs.md.
 const REGRESSION_SEEDS: [u64; 2] = [1_091, 12_548];
 
 const INSTANCES: usize = 5;
 const IDS: u32 = 8;
 
-/// Time between two messages about load, which carry word of crashes too.
+/// Time between two messages about load, which carry notes of crashes too.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Messages for which an instance hears nothing: two seconds.
+/// Number of message intervals for which an instance hears nothing: two seconds.
 const DEAF_MESSAGES: u32 = 80;
 
-/// By when all must know of a crash, counted from the moment since which all have heard: the rules allow three seconds.
+/// Time within which all instances must know of a crash, counted from the moment since which all have heard each other:
+/// the rules allow three seconds.
 const SPREAD_LIMIT: Duration = Duration::from_millis(2_900);
 
-/// Steps for which an engine's words are on their way to the store at most.
+/// Upper limit of the delay, in steps, with which an engine's write reaches the store.
 const MAX_DELAY_STEPS: u32 = 30;
 
 type StoreItems = BTreeMap<String, (u64, Entry)>;
 
-/// The store: what it holds, and all that happened there.
+/// The store: its items, and all changes.
 #[derive(Debug, Default)]
 struct Store {
     revision: u64,
@@ -100,7 +101,7 @@
     }
 }
 
-/// What an engine does with its id: each word is counted, in all of its lives.
+/// The engines that use an id, one after the other. Writes are numbered across all of their lives.
 #[derive(Debug, Default)]
 struct SimulatedEngine {
     sequence: u64,
@@ -126,17 +127,18 @@
     }
 }
 
-/// One instance, and what it can be held to.
+/// An instance, and the record of the updates that it applied, against which it is checked.
 #[derive(Debug, Default)]
 struct Instance {
     engines: Engines,
     revision: u64,
     items: StoreItems,
-    /// Up to which revision each engine's news was taken in.
+    /// Revision up to which the updates of each engine were applied.
     applied: BTreeMap<String, u64>,
-    /// The last word of each engine's that it leaves, of those that were taken in here.
+    /// Sequence number of each engine's last entry that says that it leaves, of those that were applied here.
     last_leaving: BTreeMap<String, u64>,
-    /// When the removal of an id was taken in, and the last word before it.
+    /// For each removed id, the time at which the removal was applied, and the sequence number of the last entry before
+    /// it.
     removed: BTreeMap<String, (Time, u64)>,
     keys: BTreeMap<EngineKey, (String, u64)>,
     paused: u32,
@@ -209,20 +211,24 @@
             let last_leaving = self.last_leaving.get(&id).copied().unwrap_or_default();
             assert!(
                 entry.sequence > last_leaving,
-                "{id} has left with word {last_leaving}, and gets work by {entry:?}"
+                "{id} left with sequence number {last_leaving} and is available with {entry:?}"
             );
             if let Some((at, last)) = self.removed.get(&id) {
                 let is_in_grace = now.since(*at) <= REREGISTRATION_GRACE + STEP;
                 assert!(
                     is_in_grace || entry.sequence > *last,
-                    "{id} is gone since {at}, and gets work at {now}"
+                    "{id} was removed at {at} and is still available at {now}"
                 );
             }
             let owner = self
                 .keys
                 .entry(key)
                 .or_insert((id.clone(), entry.create_revision));
-            assert_eq!(*owner, (id, entry.create_revision), "a key of two engines");
+            assert_eq!(
+                *owner,
+                (id, entry.create_revision),
+                "two engines have the same key"
+            );
         }
     }
 }
@@ -269,7 +275,7 @@
         for (index, instance) in self.instances.iter().enumerate() {
             let available = instance.available().into_iter();
             let available: BTreeMap<String, u64> = available.map(|(id, (_, e))| (id, e.sequence)).collect();
-            // An earlier word that came last shows an engine as ready that has said that it leaves.
+            // An earlier write that arrives last makes an engine appear ready that has announced that it leaves.
             let required = expected.iter().filter(|(id, sequence)| {
                 let engine = &self.engines[*id];
                 !(engine.leaving && **sequence < engine.sequence)
@@ -288,12 +294,12 @@
         }
     }
 
-    /// What engines, the store and those who pull plugs do.
+    /// Draws what engines do, and faults of the store and of instances.
     fn simulate_events(&mut self) {
         self.outage = self.outage.saturating_sub(1);
         if self.random.random_bool(0.004) {
             self.outage = self.random.random_range(5..80);
-            // Leases lapse while the store is out.
+            // Leases expire while the store is down.
             if self.random.random_bool(0.5) {
                 self.expire_leases();
             }
@@ -311,7 +317,7 @@
                 engine.leaving = true;
                 engine.write_entry(&mut self.random, self.step, id, true);
             }
-            // Registered anew after its entry lapsed, or said once more.
+            // Registered again after its entry expired, or wrote its entry once more.
             6..14 if engine.alive => {
                 let leaving = engine.leaving;
                 engine.write_entry(&mut self.random, self.step, id, leaving);
@@ -332,8 +338,8 @@
         }
     }
 
-    /// All leases end. Engines that live register anew within two seconds of the store's return, with a word of their own:
-    /// seed 1091 showed that without it an earlier word, come last, is rightly not believed.
+    /// Ends all leases. Running engines register again within two seconds of the store's return, with a new sequence
+    /// number: seed 1091 showed that without a new number, an earlier write that arrives last is rightly ignored.
     fn expire_leases(&mut self) {
         let ids: Vec<String> = self.store.items.keys().cloned().collect();
         ids.iter().for_each(|id| self.store.remove(id));
@@ -343,7 +349,8 @@
         }
     }
 
-    /// Words that have arrived at the store. Every other time the later one comes first.
+    /// Applies the writes that have arrived at the store, in the order in which they were sent; their delays differ, so
+    /// later ones may arrive first.
     fn deliver(&mut self) {
         self.step += 1;
         for engine in self.engines.values_mut() {
@@ -374,7 +381,7 @@
                 let (revision, all) = (self.store.revision, self.store.snapshot());
                 self.instances[index].on_snapshot(now, revision, all);
             } else {
-                // An answer that was lost is asked for again: the same changes come twice.
+                // After a lost answer the call is repeated: the same changes arrive twice.
                 let is_repeated = faulty && self.random.random_bool(0.1);
                 let instance = &mut self.instances[index];
                 let back = if is_repeated {
@@ -391,7 +398,7 @@
         }
     }
 
-    /// Takes what a peer knows that is further ahead.
+    /// Takes over the data of a random peer, if that peer is ahead.
     fn ask_peer(&mut self, index: usize, now: Time) {
         let peer = self.random.random_range(0..INSTANCES);
         if self.instances[peer].revision <= self.instances[index].revision || !self.instances[peer].started {
@@ -403,13 +410,13 @@
     }
 }
 
-/// Requests reach an engine after an instance knew that it leaves, or an engine that serves is forgotten for good. Order:
-/// any of what the module's words name, mixed by the seed.
+/// Guards against requests reaching an engine after an instance knew that it leaves, and against forgetting a serving
+/// engine for good. Sequence: any mix of the events listed at the head of this module, drawn by the seed.
 #[test]
 fn engines_as_the_store_says() {
     assert!(
         STORE_FAILURE_WINDOW < REREGISTRATION_GRACE,
-        "the quiet time at the end covers both"
+        "the steps without faults at the end cover both"
     );
     for seed in seeds_or(SEEDS).chain(REGRESSION_SEEDS) {
         let _failing = Failing(seed);
@@ -417,9 +424,9 @@
     }
 }
 
-/// A request crashes one engine after the other, since each instance saw fewer than three of its crashes; or a harmless
-/// one is run no more. Order: instances lose two in five of each other's messages, get some twice, and are paused or cut
-/// off for two seconds. Cause: a crash is told of for half a second only.
+/// Guards against a request that crashes one engine after the other because each instance saw fewer than three of its
+/// crashes, and against blocking a harmless request. Sequence: instances lose two in five of each other's messages, get
+/// some twice, and are paused or cut off for two seconds. Cause: a crash is reported for half a second only.
 #[test]
 fn poison_known_to_all() {
     for seed in seeds_or(SEEDS) {
--- a/tests/testsuite/relay/stages.rs
+++ b/tests/testsuite/relay/stages.rs
@@ -1,4 +1,4 @@
-//! Splitting a service into engines that read and engines that generate.
+//! Splitting a service into prefill engines and decode engines.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use super::fleet;
 
-/// `readers` engines that read, then `generators` that generate, over three zones.
+/// Prefill engines followed by decode engines, spread over three zones.
 fn split(prefill_engines: usize, decode_engines: usize) -> Vec<Engine> {
     let mut stages = vec![Stage::Prefill; prefill_engines];
     stages.extend(vec![Stage::Decode; decode_engines]);
@@ -20,7 +20,7 @@
     engines
 }
 
-/// Stages after the orders were carried out.
+/// The orders given so far, with those of a new plan added.
 fn apply_orders(
     engines: &[Engine],
     before: &BTreeMap<String, Stage>,
@@ -29,7 +29,7 @@
     let mut after = before.clone();
     for order in plan_orders(engines, before, prefill_fraction) {
         let second = after.insert(order.engine, order.stage);
-        assert_eq!(second, None, "an engine gets one order in its life");
+        assert_eq!(second, None, "an engine gets at most one order in its life");
     }
     after
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Guards against ordering more engines of a large fleet to read than its instances can keep busy.
+/// Guards against ordering more engines of a large fleet to compute prefills than its instances can keep busy.
 #[test]
 fn readers_limited_by_capacity() {
     let cases = [
@@ -84,8 +84,8 @@
     }
 }
 
-/// An engine gets two orders that contradict each other, one of them late. Order: the plan goes back and forth while
-/// engines come and go. Cause: the plan looks at stages only, not at orders given.
+/// Guards against an engine getting two conflicting orders, one of them late. Sequence: the plan alternates while
+/// engines join and leave. Cause: the plan considers only stages, not the orders given.
 #[test]
 fn plan_one_order_each() {
     let engines = split(3, 8);
