--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -26,7 +26,7 @@
 use super::instance::options;
 use super::instance::shared;
 use super::store::FakeStore;
-use super::store::Fate;
+use super::store::WriteOutcome;
 
 /// Starts an instance that is the only one, and therefore the leader, and calls `api`. Engines of its service `chat`
 /// may be ordered; it has `engines` engines in the zone `a`.
@@ -141,7 +141,7 @@
     let shared = start_leader(&api, &store, 0).await;
     let is_leading = || shared.metrics.leads.get() == 1;
     super::wait_until(is_leading).await;
-    store.next_write(Fate::LostUnanswered);
+    store.set_next_write(WriteOutcome::DroppedUnanswered);
     let writes = store.calls().writes;
     shared.on_begun(clock::now(), "huka");
     super::wait_until(|| store.calls().writes > writes).await;
--- a/tests/testsuite/relay/follow.rs
+++ b/tests/testsuite/relay/follow.rs
@@ -1,4 +1,4 @@
-//! Keeping up with the store, through its own answers and through peers.
+//! Following the store, through its own answers and through peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,26 +23,24 @@
 use super::wait_until;
 
 async fn start(options: Options, store: &FakeStore) -> Arc<Shared> {
-    start_seated(options, store).await.0
+    start_with_fleet(options, store).await.0
 }
 
-async fn start_seated(options: Options, store: &FakeStore) -> (Arc<Shared>, Fleet) {
+async fn start_with_fleet(options: Options, store: &FakeStore) -> (Arc<Shared>, Fleet) {
     let shared = shared(options);
-    let sockets = peers::Sockets::bind(&shared)
-        .await
-        .expect("an address of its own");
-    let known = StoreReplica::new();
-    let fleet = peers::start(shared.clone(), sockets, known.clone());
+    let sockets = peers::Sockets::bind(&shared).await.expect("a free address");
+    let replica = StoreReplica::new();
+    let fleet = peers::start(shared.clone(), sockets, replica.clone());
     let store = Rc::new(store.clone());
-    actix_web::rt::spawn(follow::run(shared.clone(), store, fleet.clone(), known));
+    actix_web::rt::spawn(follow::run(shared.clone(), store, fleet.clone(), replica));
     (shared, fleet)
 }
 
-/// Three instances of a zone: two watch `served`, the third listens to them and has a store of its own.
-async fn listener(served: &FakeStore, own: &FakeStore, bound: Duration) -> [(Arc<Shared>, Fleet); 3] {
+/// Starts three instances of a zone: two watch `served`, the third listens to them and has the store `own` to itself.
+async fn start_zone(served: &FakeStore, own: &FakeStore, limit: Duration) -> [(Arc<Shared>, Fleet); 3] {
     let named = |name: &str| {
         let mut options = options();
-        options.reloadable.apply_limit = ApplyLimit(bound);
+        options.reloadable.apply_limit = ApplyLimit(limit);
         options.name = name.parse().expect("a name");
         options
     };
@@ -54,15 +52,15 @@
             name, front, peer, ..
         } in &options
         {
-            let card = format!(r#"{{"zone":"a","front":"{front}","peer":"{peer}"}}"#);
-            store.put(&format!("own/a/{name}"), &card);
+            let record = format!(r#"{{"zone":"a","front":"{front}","peer":"{peer}"}}"#);
+            store.put(&format!("own/a/{name}"), &record);
         }
     }
     let [a, b, c] = options;
     let instances = [
-        start_seated(a, served).await,
-        start_seated(b, served).await,
-        start_seated(c, own).await,
+        start_with_fleet(a, served).await,
+        start_with_fleet(b, served).await,
+        start_with_fleet(c, own).await,
     ];
     let [.., (_, listener)] = &instances;
     wait_until(|| instances.iter().all(|(shared, _)| version(shared) == 3)).await;
@@ -105,9 +103,9 @@
     wait_until(|| engines(&shared).is_empty()).await;
 }
 
-/// The store turns away a fleet that starts. Order: 140 engines register within seconds, each ends the watch of each of
-/// 84 instances that don't hear each other yet. All watchers together begin no more than some hundred watches a second;
-/// few need not wait.
+/// Guards against the store refusing the calls of a starting fleet. Sequence: 140 engines register within seconds, and
+/// each registration ends the watch of each of 84 instances that don't hear each other yet. All watchers together start
+/// at most a few hundred watches per second; a small number of watchers need not wait.
 #[test]
 fn rest_by_fleet() {
     let millis = [0, 1, 8, 84, 350, 1_000_000].map(|watchers| follow::batch_delay(watchers).as_millis());
@@ -130,8 +128,9 @@
     wait_until(|| engines(&shared).len() == 4_000).await;
 }
 
-/// An engine leaves while nobody hears of it. Order: watches are cut and the history is dropped; the engine's leaving is
-/// in what was dropped. Cause: a watch goes on from now instead of reading everything.
+/// Guards against missing that an engine leaves. Sequence: watches are cut and the history is dropped, and with it the
+/// change that says that the engine leaves. Cause: a watch continues from the current revision instead of reading
+/// everything.
 #[actix_web::test]
 async fn history_dropped() {
     let store = FakeStore::new();
@@ -147,7 +146,8 @@
     wait_until(|| engines(&shared).is_empty() && version(&shared) == 9).await;
 }
 
-/// A configuration is taken back. Order: an older version is written over a newer one. Versions never go back.
+/// Guards against a return to an earlier configuration. Sequence: an older version is written over a newer one.
+/// Versions never decrease.
 #[actix_web::test]
 async fn version_never_back() {
     let store = FakeStore::new();
@@ -160,7 +160,7 @@
     assert_eq!(version(&shared), 9);
 }
 
-/// One entry that nobody can read stops all others, or the configuration in force is lost.
+/// Guards against one unreadable entry blocking all others, and against losing the configuration in force.
 #[actix_web::test]
 async fn unreadable_passed_over() {
     let store = FakeStore::new();
@@ -178,31 +178,31 @@
     assert_eq!(version(&shared), 3);
     assert!(
         shared.view.load().orders.stages().contains_key("e2"),
-        "an order that can't be read was given"
+        "an unreadable record counts as an order that was sent"
     );
 }
 
-/// Work goes to an engine that has left, at one instance only. Order: the store turns that instance away and serves the
-/// others. It learns from a peer what it can't ask.
+/// Guards against one instance sending requests to an engine that has left. Sequence: the store refuses the calls of
+/// that instance and serves the others. The instance learns from a peer what it can't get from the store.
 #[actix_web::test]
 async fn turned_away_asks_peer() {
     let (served, silent) = (FakeStore::new(), FakeStore::new());
     silent.set_down(true);
-    let near = options();
-    let mut far = options();
-    far.name = "two".parse().expect("a name");
+    let one = options();
+    let mut two = options();
+    two.name = "two".parse().expect("a name");
     served.put("config", "3 /a/");
     served.put("engines/e1", "chat 127.0.0.1:9 ready 1");
-    let card = |options: &Options| {
+    let record = |options: &Options| {
         format!(
             r#"{{"zone":"a","front":"{}","peer":"{}"}}"#,
             options.front, options.peer
         )
     };
-    served.put("own/one", &card(&near));
-    served.put("own/two", &card(&far));
-    let first = start(near, &served).await;
-    let second = start(far, &silent).await;
+    served.put("own/one", &record(&one));
+    served.put("own/two", &record(&two));
+    let first = start(one, &served).await;
+    let second = start(two, &silent).await;
     wait_until(|| version(&first) == 3).await;
     wait_until(|| version(&second) == 3 && engines(&second) == ["e1"]).await;
     served.put("engines/e1", "chat 127.0.0.1:9 leaving 2");
@@ -210,8 +210,8 @@
     wait_until(|| version(&second) == 8 && engines(&second).is_empty()).await;
 }
 
-/// Records of orders pile up in the store for as long as the deployment lives. Order: the engine of one is gone for good, that
-/// of another is there.
+/// Guards against records of orders accumulating in the store for the lifetime of the deployment. Of two records, the
+/// engine of one is gone for good, that of the other is present.
 #[actix_web::test]
 async fn record_of_gone_engine_removed() {
     let store = FakeStore::new();
@@ -230,18 +230,21 @@
     assert!(store.has("orders/e1") && !store.has("orders/gone"));
 }
 
-/// Callers are sent to instances that they can't reach, or to none. Two instances find each other by the store and name
-/// each other while they hear each other.
+/// Guards against callers being sent to instances that they can't reach, or to none. Two instances find each other
+/// through the store and list each other while they hear each other.
 #[actix_web::test]
 async fn instances_named() {
     let store = FakeStore::new();
     store.put("config", "3 /a/");
-    let near = options();
-    let mut far = options();
-    far.name = "two".parse().expect("a name");
-    let mut both = vec![near.front, far.front];
+    let one = options();
+    let mut two = options();
+    two.name = "two".parse().expect("a name");
+    let mut both = vec![one.front, two.front];
     both.sort();
-    let instances = [start_seated(near, &store).await, start_seated(far, &store).await];
+    let instances = [
+        start_with_fleet(one, &store).await,
+        start_with_fleet(two, &store).await,
+    ];
     let registrations = instances
         .clone()
         .map(|(s, fleet)| register::start(s, Rc::new(store.clone()), fleet));
@@ -265,7 +268,7 @@
             store.put(&format!("engines/e{number}"), "chat 127.0.0.1:9 ready 1");
         }
     }
-    let [_, _, (listener, _)] = listener(&served, &own, Duration::from_secs(60)).await;
+    let [_, _, (listener, _)] = start_zone(&served, &own, Duration::from_secs(60)).await;
     let known: Vec<String> = (1..9).map(|number| format!("e{number}")).collect();
     wait_until(|| engines(&listener) == known).await;
     assert_eq!(
@@ -289,13 +292,13 @@
     wait_until(|| version(&shared) == 3 && engines(&shared).len() == 8).await;
 }
 
-/// The store is called by every instance of a fleet of hundreds, for every change. One that others watch for hears of
-/// changes from them, large ones too, and calls the store only for what peers don't tell.
+/// Guards against every instance of a fleet of hundreds calling the store for every change. An instance that others
+/// watch for learns of changes from them, large ones too, and calls the store only for what peers don't send.
 #[actix_web::test]
 async fn listener_hears_of_changes() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
-    // So long that the instance need not watch by itself, however slow the test's machine is.
-    let [_, _, (listener, _)] = listener(&served, &own, Duration::from_secs(60)).await;
+    // Long enough that the instance need not watch by itself, however slow the test machine is.
+    let [_, _, (listener, _)] = start_zone(&served, &own, Duration::from_secs(60)).await;
     served.put("engines/e2", "chat 127.0.0.1:9 ready 1");
     served.remove("engines/e1");
     served.put("config", "7 /b/");
@@ -307,23 +310,24 @@
     assert_eq!(own.calls().watches, watches);
 }
 
-/// Nobody tells an instance of a change. Order: the watchers of its zone live, and the store turns them away. It asks the
-/// store itself once what it knows is too old.
+/// Guards against an instance that never learns of a change. Sequence: the watchers of its zone are alive, but the
+/// store refuses their calls. The instance calls the store itself once the last confirmation is too old.
 #[actix_web::test]
 async fn listener_unconfirmed_watches() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
-    let [_, _, (listener, _)] = listener(&served, &own, Duration::from_millis(400)).await;
+    let [_, _, (listener, _)] = start_zone(&served, &own, Duration::from_millis(400)).await;
     served.set_down(true);
     own.put("engines/e2", "chat 127.0.0.1:9 ready 1");
     wait_until(|| engines(&listener) == ["e1", "e2"]).await;
 }
 
-/// Every request is refused for seconds after an outage of the store. Order: the store is away for all, entries lapse, it
-/// is back before the engines have registered anew; a watcher hears of it first, and tells the others what vanished.
+/// Guards against every request being refused for seconds after an outage of the store. Sequence: no instance can reach
+/// the store, entries expire, and the store is back before the engines have registered again; a watcher sees it first
+/// and reports the missing entries to the others.
 #[actix_web::test]
 async fn lapse_told_in_doubt() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
-    let [(watcher, _), _, (listener, _)] = listener(&served, &own, Duration::from_millis(400)).await;
+    let [(watcher, _), _, (listener, _)] = start_zone(&served, &own, Duration::from_millis(400)).await;
     served.set_down(true);
     own.set_down(true);
     for shared in [&watcher, &listener] {
@@ -355,8 +359,8 @@
     };
     let (first, second) = (named("one"), named("two"));
     let instances = [
-        start_seated(first, &store).await,
-        start_seated(second, &store).await,
+        start_with_fleet(first, &store).await,
+        start_with_fleet(second, &store).await,
     ];
     let registrations = instances
         .clone()
@@ -373,18 +377,18 @@
 async fn zone_listed_after_many_changes() {
     let store = FakeStore::new();
     store.put("config", "3 /a/");
-    let card = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
+    let record = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
     for name in ["a1", "a2", "a3"] {
-        store.put(&format!("own/a/{name}"), card);
+        store.put(&format!("own/a/{name}"), record);
     }
     let mut options = options();
     options.reloadable.apply_limit = ApplyLimit(Duration::from_secs(60));
-    let (shared, fleet) = start_seated(options, &store).await;
+    let (shared, fleet) = start_with_fleet(options, &store).await;
     wait_until(|| version(&shared) == 3 && !fleet.watch_rank().is_watcher()).await;
     for number in 0..70 {
         store.put(&format!("engines/e{number}"), "chat 127.0.0.1:9 ready 1");
     }
-    store.put("own/a/a4", card);
+    store.put("own/a/a4", record);
     let _registration = register::start(shared, Rc::new(store.clone()), fleet.clone());
     wait_until(|| fleet.listed_zones().keys().any(|name| name.as_str() == "a4")).await;
 }
@@ -400,7 +404,7 @@
     );
     let mut options = options();
     options.reloadable.retention = Duration::from_millis(50);
-    let (shared, fleet) = start_seated(options, &store).await;
+    let (shared, fleet) = start_with_fleet(options, &store).await;
     let _registration = register::start(shared.clone(), Rc::new(store.clone()), fleet.clone());
     wait_until(|| store.has("own/a/one") && fleet.watch_rank().rank == 0).await;
     // Each check of the keys begins with rewriting the instance's own key if it is missing.
@@ -417,7 +421,7 @@
 async fn missing_key_rewritten() {
     let store = FakeStore::new();
     store.put("config", "3 /a/");
-    let (shared, fleet) = start_seated(options(), &store).await;
+    let (shared, fleet) = start_with_fleet(options(), &store).await;
     let _registration = register::start(shared, Rc::new(store.clone()), fleet);
     wait_until(|| store.has("own/a/one")).await;
     store.remove("own/a/one");
@@ -425,30 +429,32 @@
     assert_eq!(store.calls().writes, 2);
 }
 
-/// The store is asked by all of a fleet that starts, and every registration ends every watch. An instance that has just
-/// started leaves the watching to those that the store lists, and does it itself if it hears none of them.
+/// Guards against the store being called by all instances of a starting fleet, while every registration ends every
+/// watch. An instance that has just started leaves watching to those that the store lists, and watches itself if it
+/// hears none of them.
 #[actix_web::test]
 async fn start_leaves_watching_to_listed() {
     let store = FakeStore::new();
     store.put("config", "3 /a/");
     for number in 10..30 {
-        let card = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
-        store.put(&format!("own/a{number}"), card);
+        let record = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
+        store.put(&format!("own/a{number}"), record);
     }
-    let (shared, fleet) = start_seated(options(), &store).await;
+    let (shared, fleet) = start_with_fleet(options(), &store).await;
     wait_until(|| version(&shared) == 3).await;
     assert!(!fleet.watch_rank().is_watcher(), "{:?}", fleet.watch_rank());
     store.put("config", "5 /a/");
     wait_until(|| version(&shared) == 5).await;
 }
 
-/// A request reaches an engine over two seconds after it has said that it leaves. Order: a watcher was cut off from the store
-/// alone, and is back when the engine's entry vanishes; an instance that was never cut off hears of it from that watcher.
-/// Cause: the watcher's doubt, whether the store itself was away, passes for the instance's own.
+/// Guards against a request reaching an engine more than two seconds after the engine has announced that it leaves.
+/// Sequence: only a watcher was cut off from the store, and it is back when the engine's entry disappears; an instance
+/// that was never cut off learns of that from this watcher. Cause: the watcher's uncertainty whether the store itself
+/// was down is taken over by the instance.
 #[actix_web::test]
 async fn leaving_told_by_one_cut_off() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
-    let [(watcher, _), _, (listener, _)] = listener(&served, &own, Duration::from_millis(400)).await;
+    let [(watcher, _), _, (listener, _)] = start_zone(&served, &own, Duration::from_millis(400)).await;
     served.set_down(true);
     wait_until(|| watcher.store_age(clock::now()) > Duration::from_millis(400)).await;
     served.remove("engines/e1");
@@ -458,32 +464,32 @@
     assert_eq!(engines(&listener), Vec::<String>::new());
 }
 
-/// A fleet serves nothing for half a minute after all of it was killed. Order: hundreds of instances register, one change
-/// after the other; each instance asks a peer at once for each of them, and each answer is a list as long as the fleet to
-/// take in. What comes next is fetched together.
+/// Guards against a fleet serving nothing for half a minute after all of it was killed. Sequence: hundreds of instances
+/// register, one change after the other; each instance asks a peer at once for each change, and each answer is a list
+/// as long as the fleet that it has to apply. Changes that follow soon are fetched together.
 #[actix_web::test]
 async fn listener_rests_between_questions() {
     let (served, own) = (FakeStore::new(), FakeStore::new());
     for number in 100..220 {
-        let card = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
+        let record = r#"{"zone":"a","front":"127.0.0.1:1","peer":"127.0.0.1:1"}"#;
         for store in [&served, &own] {
-            store.put(&format!("own/z{number}"), card);
+            store.put(&format!("own/z{number}"), record);
         }
     }
-    let [(first, _), (second, _), (listener, _)] = listener(&served, &own, Duration::from_secs(60)).await;
+    let [(first, _), (second, _), (listener, _)] = start_zone(&served, &own, Duration::from_secs(60)).await;
     wait_until(|| listener.view.load().instances > 100).await;
-    // With work they tell of it, and of what they know of the store, forty times a second.
+    // With load they report it, and the store revision that they know, forty times a second.
     for watcher in [&first, &second] {
         watcher
             .traffic()
             .load
             .begin(clock::now(), EngineKey(0), Duration::ZERO);
     }
-    let begun = clock::now();
+    let started = clock::now();
     for change in 4..9 {
         served.put("config", &format!("{change} /a/"));
         wait_until(|| version(&listener) == change).await;
     }
-    let rests = follow::batch_delay(listener.view.load().instances) * 4;
-    assert!(clock::now().since(begun) >= rests, "{rests:?}");
+    let min_delay = follow::batch_delay(listener.view.load().instances) * 4;
+    assert!(clock::now().since(started) >= min_delay, "{min_delay:?}");
 }
--- a/tests/testsuite/relay/lead.rs
+++ b/tests/testsuite/relay/lead.rs
@@ -1,5 +1,6 @@
-//! Who acts for all. The seeded run draws pauses, outages for some, lost answers and slow ways, and judges the calls as the
-//! other side gets them. `SEQUOIASTREAM_SEEDS=1000..5000` runs others.
+//! The lease of the leader, the one instance that acts for the fleet. The seeded runs draw pauses, outages for some
+//! instances, lost answers and slow links, and check the calls in the order in which the API receives them.
+//! `SEQUOIASTREAM_SEEDS=1000..5000` runs other seeds.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,7 +17,7 @@
 
 const LEASE: Duration = Duration::from_secs(3);
 
-/// Time of a step of the run.
+/// Simulated time per step of a run.
 const STEP: Duration = Duration::from_millis(20);
 
 fn at(millis: u64) -> Time {
@@ -35,48 +36,49 @@
     assert_eq!(
         third.next_action(at(800), true, 2),
         LeaseAction::Wait,
-        "its turn comes anew"
+        "its delay starts again"
     );
 }
 
-/// The first call of a holder crosses the last one of the holder before it.
+/// Guards against the first call of a holder overtaking the last call of the holder before it.
 #[test]
 fn fence_after_a_lease() {
-    let mut lead = LeaderLease::new(LEASE);
-    lead.on_acquired(at(10), at(0), 7);
-    lead.on_renewed(at(1_000));
-    lead.on_renewed(at(2_000));
-    assert_eq!(lead.fence(at(3_009)), None);
-    assert_eq!(lead.fence(at(3_010)), Some(7));
+    let mut leader = LeaderLease::new(LEASE);
+    leader.on_acquired(at(10), at(0), 7);
+    leader.on_renewed(at(1_000));
+    leader.on_renewed(at(2_000));
+    assert_eq!(leader.fence(at(3_009)), None);
+    assert_eq!(leader.fence(at(3_010)), Some(7));
 }
 
-/// A holder is paused, its lease lapses, another takes it, and the first goes on calling.
+/// Guards against two instances acting at once: a holder is paused, its lease expires, another instance acquires it,
+/// and the first one goes on calling.
 #[test]
 fn fence_ends_before_lease() {
-    let mut lead = LeaderLease::new(LEASE);
-    lead.on_acquired(at(10), at(0), 7);
-    lead.on_renewed(at(2_000));
-    assert_eq!(lead.fence(at(4_099)), Some(7));
-    assert_eq!(lead.fence(at(4_100)), None);
-    lead.on_lost(at(4_200));
-    assert!(!lead.is_held());
+    let mut leader = LeaderLease::new(LEASE);
+    leader.on_acquired(at(10), at(0), 7);
+    leader.on_renewed(at(2_000));
+    assert_eq!(leader.fence(at(4_099)), Some(7));
+    assert_eq!(leader.fence(at(4_100)), None);
+    leader.on_lost(at(4_200));
+    assert!(!leader.is_held());
 }
 
 #[test]
 fn step_renews_and_rests_after_failure() {
-    let mut lead = LeaderLease::new(LEASE);
-    lead.on_acquired(at(10), at(0), 7);
-    assert_eq!(lead.next_action(at(900), false, 0), LeaseAction::Wait);
-    assert_eq!(lead.next_action(at(1_000), false, 0), LeaseAction::Renew);
-    lead.on_failure(at(1_000));
-    assert_eq!(lead.next_action(at(1_300), false, 0), LeaseAction::Wait);
-    assert_eq!(lead.next_action(at(1_400), false, 0), LeaseAction::Renew);
+    let mut leader = LeaderLease::new(LEASE);
+    leader.on_acquired(at(10), at(0), 7);
+    assert_eq!(leader.next_action(at(900), false, 0), LeaseAction::Wait);
+    assert_eq!(leader.next_action(at(1_000), false, 0), LeaseAction::Renew);
+    leader.on_failure(at(1_000));
+    assert_eq!(leader.next_action(at(1_300), false, 0), LeaseAction::Wait);
+    assert_eq!(leader.next_action(at(1_400), false, 0), LeaseAction::Renew);
 }
 
-/// A call for the lease on its way.
+/// A call for the lease that is in transit.
 #[derive(Debug, Clone, Copy)]
 enum Call {
-    Take,
+    Acquire,
     Renew(u64),
 }
 
@@ -91,11 +93,11 @@
 
 #[derive(Debug)]
 struct Instance {
-    lead: LeaderLease,
+    leader: LeaderLease,
     lease: Option<u64>,
     pending: Option<Pending>,
     paused: Time,
-    away: Time,
+    unreachable: Time,
     sees_free: bool,
 }
 
@@ -118,13 +120,13 @@
         }
     }
 
-    /// The lease and the fencing token, or whether the lease has ended.
+    /// Returns the lease and the fencing token. The error says whether the lease has ended.
     fn call(&mut self, now: Time, call: Call) -> Result<(u64, u64), bool> {
         self.revision += 1;
         let until = now + LEASE;
         match call {
-            Call::Take if self.record.is_some() => Err(false),
-            Call::Take => {
+            Call::Acquire if self.record.is_some() => Err(false),
+            Call::Acquire => {
                 let lease = self.revision;
                 self.leases.insert(lease, until);
                 self.record = Some((lease, self.revision));
@@ -145,7 +147,7 @@
     rng: ChaCha8Rng,
     store: Store,
     instances: Vec<Instance>,
-    /// Calls to the API on their way: when they arrive, whose they are and under which token.
+    /// Calls to the API in transit: time of arrival, index of the calling instance, fencing token.
     calls: BTreeSet<(Time, usize, u64)>,
     /// Calls in the order in which they arrived.
     arrived: Vec<(Time, usize, u64)>,
@@ -156,11 +158,11 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(1..9);
         let instance = |_| Instance {
-            lead: LeaderLease::new(LEASE),
+            leader: LeaderLease::new(LEASE),
             lease: None,
             pending: None,
             paused: Time::ZERO,
-            away: Time::ZERO,
+            unreachable: Time::ZERO,
             sees_free: true,
         };
         Run {
@@ -172,28 +174,28 @@
         }
     }
 
-    fn delay(&mut self, most: u64) -> Duration {
-        let most = if self.rng.random_bool(0.1) {
-            most
+    fn delay(&mut self, limit: u64) -> Duration {
+        let limit = if self.rng.random_bool(0.1) {
+            limit
         } else {
-            most / 20
+            limit / 20
         };
-        Duration::from_millis(self.rng.random_range(1..=most.max(2)))
+        Duration::from_millis(self.rng.random_range(1..=limit.max(2)))
     }
 
-    fn trouble(&mut self, now: Time) {
+    fn inject_fault(&mut self, now: Time) {
         let length = Duration::from_millis(self.rng.random_range(200..9_000));
         let index = self.rng.random_range(0..self.instances.len());
         match self.rng.random_bool(0.5) {
             true => self.instances[index].paused = now + length,
-            false => self.instances[index].away = now + length,
+            false => self.instances[index].unreachable = now + length,
         }
     }
 
-    fn turn(&mut self, now: Time) {
+    fn step(&mut self, now: Time) {
         self.store.expire(now);
         if self.rng.random_bool(0.02) {
-            self.trouble(now);
+            self.inject_fault(now);
         }
         let due: Vec<_> = self
             .calls
@@ -206,38 +208,38 @@
             self.arrived.push(call);
         }
         for index in 0..self.instances.len() {
-            self.arrive(now, index);
+            self.deliver(now, index);
             if now >= self.instances[index].paused {
-                self.act(now, index);
+                self.run_instance(now, index);
             }
         }
     }
 
-    /// The store gets a call whether or not its sender runs.
-    fn arrive(&mut self, now: Time, index: usize) {
+    /// Delivers a call to the store, whether or not its sender is running.
+    fn deliver(&mut self, now: Time, index: usize) {
         let instance = &mut self.instances[index];
         let Some(pending) = &mut instance.pending else {
             return;
         };
-        if pending.result.is_none() && now >= pending.arrives && now >= instance.away {
+        if pending.result.is_none() && now >= pending.arrives && now >= instance.unreachable {
             pending.result = Some(self.store.call(now, pending.call));
         }
     }
 
-    fn act(&mut self, now: Time, index: usize) {
+    fn run_instance(&mut self, now: Time, index: usize) {
         let is_free = self.store.record.is_none();
-        let looks = self.rng.random_bool(0.3);
+        let refreshes = self.rng.random_bool(0.3);
         let delays = [self.delay(800), self.delay(800), self.delay(3_000)];
         let is_lost = self.rng.random_bool(0.05);
         let instance = &mut self.instances[index];
-        if looks && now >= instance.away {
+        if refreshes && now >= instance.unreachable {
             instance.sees_free = is_free;
         }
-        instance.take_answer(now);
+        instance.handle_answer(now);
         if instance.pending.is_none() {
-            let call = match instance.lead.next_action(now, instance.sees_free, index as u32) {
+            let call = match instance.leader.next_action(now, instance.sees_free, index as u32) {
                 LeaseAction::Wait => None,
-                LeaseAction::Acquire => Some(Call::Take),
+                LeaseAction::Acquire => Some(Call::Acquire),
                 LeaseAction::Renew => instance.lease.map(Call::Renew),
             };
             instance.pending = call.map(|call| Pending {
@@ -248,54 +250,55 @@
                 result: None,
             });
         }
-        if let Some(fence) = instance.lead.fence(now) {
+        if let Some(fence) = instance.leader.fence(now) {
             self.calls.insert((now + delays[2], index, fence));
         }
     }
 }
 
 impl Instance {
-    fn take_answer(&mut self, now: Time) {
+    fn handle_answer(&mut self, now: Time) {
         let Some(pending) = &self.pending else { return };
         let (call, sent) = (pending.call, pending.sent);
         let is_answered = pending.result.is_some() && pending.answers.is_some_and(|at| now >= at);
         if !is_answered {
             if now.since(sent) > Duration::from_secs(2) {
                 self.pending = None;
-                self.lead.on_failure(now);
+                self.leader.on_failure(now);
             }
             return;
         }
         let result = self.pending.take().and_then(|pending| pending.result);
         match (call, result) {
-            (Call::Take, Some(Ok((lease, fence)))) => {
+            (Call::Acquire, Some(Ok((lease, fence)))) => {
                 self.lease = Some(lease);
-                self.lead.on_acquired(now, sent, fence);
+                self.leader.on_acquired(now, sent, fence);
             }
-            (Call::Renew(_), Some(Ok(_))) => self.lead.on_renewed(sent),
-            (Call::Renew(_), Some(Err(true))) => self.lead.on_lost(now),
-            _ => self.lead.on_failure(now),
+            (Call::Renew(_), Some(Ok(_))) => self.leader.on_renewed(sent),
+            (Call::Renew(_), Some(Err(true))) => self.leader.on_lost(now),
+            _ => self.leader.on_failure(now),
         }
     }
 }
 
-/// Two instances act at once, or by turns, or a late call comes after a later holder's. Order: pauses, outages for some
-/// instances, lost answers and calls that are up to three seconds on their way, drawn anew for each seed.
+/// Guards against two instances acting at once or alternately, and against a late call that arrives after a call of a
+/// later holder. Sequence: pauses, outages for some instances, lost answers and calls that take up to three seconds to
+/// arrive, drawn for each seed.
 #[test]
 fn fence_never_falls_seeded() {
     let mut acted = 0;
     for seed in seeds_or(0..48) {
         let mut run = Run::new(seed);
         for step in 0..4_000 {
-            run.turn(at(0) + STEP * step);
+            run.step(at(0) + STEP * step);
         }
-        judge(seed, &run.arrived);
+        check_calls(seed, &run.arrived);
         acted += usize::from(!run.arrived.is_empty());
     }
-    assert!(acted > 0, "somebody acts");
+    assert!(acted > 0, "some instance acts");
 }
 
-fn judge(seed: u64, arrived: &[(Time, usize, u64)]) {
+fn check_calls(seed: u64, arrived: &[(Time, usize, u64)]) {
     for pair in arrived.windows(2) {
         assert!(
             pair[0].2 <= pair[1].2,
@@ -304,7 +307,7 @@
         let is_same = pair[0].1 == pair[1].1;
         assert!(
             is_same || pair[0].2 < pair[1].2,
-            "seed {seed}: two with one fencing token: {pair:?}"
+            "seed {seed}: two instances with the same fencing token: {pair:?}"
         );
     }
     let mut holders: Vec<(Time, Time, usize)> = Vec::new();
@@ -314,13 +317,16 @@
             _ => holders.push((*time, *time, *index)),
         }
     }
-    for three in holders.windows(3) {
-        let is_turn = three[0].2 == three[2].2 && three[2].0.since(three[0].1) < LEASE;
-        assert!(!is_turn, "seed {seed}: by turns within a lease: {three:?}");
+    for terms in holders.windows(3) {
+        let is_turn = terms[0].2 == terms[2].2 && terms[2].0.since(terms[0].1) < LEASE;
+        assert!(
+            !is_turn,
+            "seed {seed}: two instances alternate within the duration of a lease: {terms:?}"
+        );
     }
 }
 
-/// Somebody acts again soon after the holder is gone.
+/// Another instance acts soon after the holder is lost.
 #[test]
 fn fence_after_holder_lost() {
     let mut run = Run::new(3);
@@ -329,20 +335,23 @@
         run.instances.push(Run::new(4).instances.remove(0));
     }
     let mut now = at(0);
-    let mut acts = |run: &mut Run, index: usize, most: u32| {
-        for _ in 0..most {
+    let mut acts = |run: &mut Run, index: usize, limit: u32| {
+        for _ in 0..limit {
             now = now + STEP;
             for (other, instance) in run.instances.iter_mut().enumerate() {
                 instance.paused = if other == index { Time::ZERO } else { now + STEP };
-                instance.away = Time::ZERO;
+                instance.unreachable = Time::ZERO;
             }
-            run.turn(now);
-            if run.instances[index].lead.fence(now).is_some() {
+            run.step(now);
+            if run.instances[index].leader.fence(now).is_some() {
                 return true;
             }
         }
         false
     };
-    assert!(acts(&mut run, 0, 500), "the first acts");
-    assert!(acts(&mut run, 1, 500), "the other within ten seconds");
+    assert!(acts(&mut run, 0, 500), "the first instance acts");
+    assert!(
+        acts(&mut run, 1, 500),
+        "the other instance acts within ten seconds"
+    );
 }
--- a/tests/testsuite/relay/store.rs
+++ b/tests/testsuite/relay/store.rs
@@ -1,4 +1,4 @@
-//! A store in this process that loses answers, refuses and forgets as a test says.
+//! An in-memory store that loses answers, refuses writes and drops its history as a test demands.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,14 +20,14 @@
 use sequoiastream_kv::store::Write;
 use tokio::sync::watch;
 
-/// What happens to a write.
+/// The outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It is done, and its answer is lost.
-    DoneUnanswered,
-    /// It is not done, and gets no answer.
-    LostUnanswered,
-    /// It is refused.
+pub enum WriteOutcome {
+    /// It is applied, and its answer is lost.
+    AppliedUnanswered,
+    /// It is not applied and gets no answer; the store stops answering.
+    DroppedUnanswered,
+    /// It is refused with status 429.
     Refused,
 }
 
@@ -35,7 +35,7 @@
 struct State {
     items: RefCell<BTreeMap<String, Item>>,
     changes: RefCell<Vec<Change>>,
-    fates: RefCell<VecDeque<Fate>>,
+    outcomes: RefCell<VecDeque<WriteOutcome>>,
     down: Cell<bool>,
     compacted: Cell<u64>,
     page_size: Cell<Option<usize>>,
@@ -43,7 +43,7 @@
     calls: Cell<Calls>,
 }
 
-/// How often the store was called.
+/// Number of calls to the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Calls {
     /// Reads of ranges.
@@ -54,7 +54,7 @@
     pub watches: u32,
 }
 
-/// The store; cheap to clone, stays on one thread.
+/// The store. Cheap to clone; stays on one thread.
 #[derive(Debug, Clone)]
 pub struct FakeStore {
     state: Rc<State>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Puts a value, as others do.
+    /// Puts a value, as another client would.
     pub fn put(&self, key: &str, value: &str) {
         let revision = *self.revision.borrow() + 1;
         let created = self
@@ -93,7 +93,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// Removes a key, as others do.
+    /// Removes a key, as another client would.
     pub fn remove(&self, key: &str) {
         let revision = *self.revision.borrow() + 1;
         self.state.items.borrow_mut().remove(key);
@@ -105,7 +105,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// Forgets the history up to now, and cuts the watches.
+    /// Drops the history of changes up to now and ends the watches.
     pub fn compact(&self) {
         self.state.compacted.set(*self.revision.borrow());
         self.revision.send_modify(|_| {});
@@ -121,18 +121,18 @@
         self.state.batch_size.set(Some(limit));
     }
 
-    /// Whether no call is answered.
+    /// Sets whether the store is down: no call is answered.
     pub fn set_down(&self, down: bool) {
         self.state.down.set(down);
         self.revision.send_modify(|_| {});
     }
 
-    /// What happens to the next write.
-    pub fn next_write(&self, fate: Fate) {
-        self.state.fates.borrow_mut().push_back(fate);
+    /// Sets the outcome of the next write. Several calls set those of successive writes.
+    pub fn set_next_write(&self, outcome: WriteOutcome) {
+        self.state.outcomes.borrow_mut().push_back(outcome);
     }
 
-    /// How often it was called.
+    /// Number of calls so far.
     pub fn calls(&self) -> Calls {
         self.state.calls.get()
     }
@@ -144,7 +144,7 @@
 
     fn check(&self) -> Result<(), StoreError> {
         match self.state.down.get() {
-            true => Err(StoreError::Unknown("it is down".to_string())),
+            true => Err(StoreError::Unknown("the store is down".to_string())),
             false => Ok(()),
         }
     }
@@ -218,14 +218,14 @@
                 return Err(StoreError::Compacted);
             }
             let changes = self.state.changes.borrow();
-            let later: Vec<&Change> = changes.iter().filter(|change| at(change) > after).collect();
-            let limit = self.state.batch_size.get().unwrap_or(later.len());
-            let revision = match later.len() > limit {
-                true => at(later[limit - 1]),
+            let newer: Vec<&Change> = changes.iter().filter(|change| at(change) > after).collect();
+            let limit = self.state.batch_size.get().unwrap_or(newer.len());
+            let revision = match newer.len() > limit {
+                true => at(newer[limit - 1]),
                 false => *self.revision.borrow(),
             };
             Ok(Changes {
-                changes: later.into_iter().take(limit).cloned().collect(),
+                changes: newer.into_iter().take(limit).cloned().collect(),
                 revision,
             })
         }
@@ -241,16 +241,16 @@
             });
             self.check()?;
             let unknown = || StoreError::Unknown("no answer".to_string());
-            let fate = self.state.fates.borrow_mut().pop_front();
-            match fate {
+            let outcome = self.state.outcomes.borrow_mut().pop_front();
+            match outcome {
                 None => self.apply(write),
-                Some(Fate::DoneUnanswered) => Err(self.apply(write).err().unwrap_or_else(unknown)),
-                Some(Fate::LostUnanswered) => {
-                    // From here on nobody can find out what became of it.
+                Some(WriteOutcome::AppliedUnanswered) => Err(self.apply(write).err().unwrap_or_else(unknown)),
+                Some(WriteOutcome::DroppedUnanswered) => {
+                    // From here on, no one can find out whether the write was applied.
                     self.state.down.set(true);
                     Err(unknown())
                 }
-                Some(Fate::Refused) => Err(StoreError::Refused(429)),
+                Some(WriteOutcome::Refused) => Err(StoreError::Refused(429)),
             }
         }
         .boxed_local()
--- a/tests/testsuite/relay/watchers.rs
+++ b/tests/testsuite/relay/watchers.rs
@@ -1,7 +1,7 @@
-//! Who watches the store, and how old what the others act on may be.
+//! Which instances watch the store, and how old the data of the others may be.
 //!
-//! The seeded runs draw fleets of 1 to 400 instances in 1 to 12 availability zones. `SEQUOIASTREAM_SEEDS=1000..5000 cargo
-//! test --release --test testsuite relay::watchers` runs others for as long as one likes.
+//! The seeded runs draw fleets of 1 to 400 instances in 1 to 12 availability zones. `SEQUOIASTREAM_SEEDS=1000..5000
+//! cargo test --release --test testsuite relay::watchers` runs other seeds, as many as wanted.
 
 use std::time::Duration;
 
@@ -29,32 +29,32 @@
 /// Time between two messages of an instance.
 const STEP: Duration = Duration::from_millis(25);
 
-/// Peers that get each message.
+/// Number of peers that get each message.
 const FANOUT: usize = 16;
 
-/// A peer not heard of for so long doesn't count as a neighbour.
-const SILENT: Duration = Duration::from_millis(1_800);
+/// A peer that has not been heard for longer than this doesn't count as a neighbour.
+const SILENCE_LIMIT: Duration = Duration::from_millis(1_800);
 
-/// Within which time a change must be in force, on the strictest sheet.
-const BOUND: ApplyLimit = ApplyLimit(Duration::from_secs(2));
+/// Time within which a change must be applied, with the strictest configuration.
+const LIMIT: ApplyLimit = ApplyLimit(Duration::from_secs(2));
 
 /// How long a watcher waits after changes before it watches again.
-const REST: Duration = Duration::from_millis(800);
+const BATCH_DELAY: Duration = Duration::from_millis(800);
 
-/// How long an instance must have been without trouble of its own until it is held to that.
-const STABLE: Duration = Duration::from_secs(3);
+/// How long an instance must have been without faults of its own before the limit applies to it.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// How often an instance works out its place among its neighbours.
-const SEAT: Duration = Duration::from_millis(400);
+/// Interval at which an instance computes its rank among its neighbours.
+const RANK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for a call that the store answers at once.
-const CALL: Duration = Duration::from_millis(25);
+/// Duration of a call that the store answers at once.
+const CALL_TIME: Duration = Duration::from_millis(25);
 
 fn at(millis: u64) -> Time {
     Time::from_millis(10_000 + millis)
 }
 
-fn word(revision: u64, millis: u64) -> SyncStatus {
+fn status(revision: u64, millis: u64) -> SyncStatus {
     let age = Duration::from_millis(millis);
     SyncStatus { revision, age }
 }
@@ -101,8 +101,9 @@
     }
 }
 
-/// A change is in force on the last of three hundred instances after 0.7 s. Order: all that listen hear from the same two dozen
-/// who knows it, and all ask the same one of them.
+/// Guards against a change being applied on the last of three hundred instances only after 0.7 s. Sequence: all
+/// instances without a watch learn from the same two dozen peers which of them have the change, and all ask the same
+/// one of them.
 #[test]
 fn furthest_one_of_several() {
     let known = [7, 9, 3, 9, 9];
@@ -114,112 +115,114 @@
 
 #[test]
 fn duty_listens_while_confirmed() {
-    let seat = FleetRank { rank: 4, members: 8 };
-    let mut reach = SyncState::default();
+    let rank = FleetRank { rank: 4, members: 8 };
+    let mut state = SyncState::default();
     assert_eq!(
-        reach.watch_action(seat, BOUND, at(0)),
+        state.watch_action(rank, LIMIT, at(0)),
         WatchAction::Watch,
         "nothing is known yet"
     );
-    reach.on_store_answer(at(10), at(0), Duration::ZERO, 7);
+    state.on_store_answer(at(10), at(0), Duration::ZERO, 7);
     assert_eq!(
-        reach.watch_action(seat, BOUND, at(10)),
+        state.watch_action(rank, LIMIT, at(10)),
         WatchAction::Listen(at(1_500))
     );
-    assert!(!reach.on_peer_status(at(900), word(7, 300)));
+    assert!(!state.on_peer_status(at(900), status(7, 300)));
     assert_eq!(
-        reach.watch_action(seat, BOUND, at(1_500)),
+        state.watch_action(rank, LIMIT, at(1_500)),
         WatchAction::Listen(at(2_100))
     );
-    assert_eq!(reach.watch_action(seat, BOUND, at(2_100)), WatchAction::Watch);
+    assert_eq!(state.watch_action(rank, LIMIT, at(2_100)), WatchAction::Watch);
     let watcher = FleetRank { rank: 1, members: 8 };
-    assert_eq!(reach.watch_action(watcher, BOUND, at(10)), WatchAction::Watch);
+    assert_eq!(state.watch_action(watcher, LIMIT, at(10)), WatchAction::Watch);
 }
 
-/// Work goes to an engine that has left. Order: a peer knows of its leaving, and its word passes for a confirmation of
-/// what is known here.
+/// Guards against requests going to an engine that has left. Sequence: a peer knows that the engine leaves, and the
+/// peer's status counts as a confirmation of the older data here.
 #[test]
 fn word_ahead_confirms_nothing() {
-    let mut reach = SyncState::default();
-    reach.on_store_answer(at(0), at(0), Duration::ZERO, 7);
-    assert!(reach.on_peer_status(at(1_000), word(8, 0)));
-    assert_eq!(reach.age(at(1_000)), Some(Duration::from_secs(1)));
-    reach.on_peer_changes(at(1_010), word(8, 5));
+    let mut state = SyncState::default();
+    state.on_store_answer(at(0), at(0), Duration::ZERO, 7);
+    assert!(state.on_peer_status(at(1_000), status(8, 0)));
+    assert_eq!(state.age(at(1_000)), Some(Duration::from_secs(1)));
+    state.on_peer_changes(at(1_010), status(8, 5));
     assert_eq!(
-        (reach.revision(), reach.age(at(1_010))),
+        (state.revision(), state.age(at(1_010))),
         (8, Some(Duration::from_millis(5)))
     );
 }
 
-/// An instance acts on news of ten seconds ago and tells its zone that they are of now. Order: its watch waits for a second,
-/// the instance is paused, the answer waits in its socket, it goes on.
+/// Guards against an instance that acts on data that is ten seconds old and reports it to its zone as current.
+/// Sequence: its watch waits for a second, the instance is paused, the answer waits in its socket, the instance
+/// resumes.
 #[test]
 fn answer_after_pause_is_old() {
-    let mut reach = SyncState::default();
-    reach.on_store_answer(at(11_000), at(1_000), BOUND.watch_timeout(), 7);
-    assert_eq!(reach.age(at(11_000)), Some(Duration::from_secs(9)));
+    let mut state = SyncState::default();
+    state.on_store_answer(at(11_000), at(1_000), LIMIT.watch_timeout(), 7);
+    assert_eq!(state.age(at(11_000)), Some(Duration::from_secs(9)));
 }
 
-/// The same for messages of peers that waited meanwhile: they say what was so when they were sent.
+/// Guards against the same failure with messages of peers that waited during a pause: they report the state at the time
+/// at which they were sent.
 #[test]
 fn word_after_pause_not_believed() {
-    let mut reach = SyncState::default();
-    reach.on_tick(at(0));
-    reach.on_store_answer(at(0), at(0), Duration::ZERO, 7);
-    reach.on_tick(at(10_000));
-    assert!(!reach.on_peer_status(at(10_001), word(7, 20)));
-    assert_eq!(reach.age(at(10_001)), Some(Duration::from_millis(10_001)));
-    reach.on_tick(at(10_025));
-    reach.on_peer_status(at(10_400), word(7, 20));
-    assert_eq!(reach.age(at(10_400)), Some(Duration::from_millis(20)));
+    let mut state = SyncState::default();
+    state.on_tick(at(0));
+    state.on_store_answer(at(0), at(0), Duration::ZERO, 7);
+    state.on_tick(at(10_000));
+    assert!(!state.on_peer_status(at(10_001), status(7, 20)));
+    assert_eq!(state.age(at(10_001)), Some(Duration::from_millis(10_001)));
+    state.on_tick(at(10_025));
+    state.on_peer_status(at(10_400), status(7, 20));
+    assert_eq!(state.age(at(10_400)), Some(Duration::from_millis(20)));
 }
 
-/// What an instance does at the store.
+/// State of an instance's calls to the store.
 #[derive(Debug, Clone, Copy)]
 enum Call {
     None,
-    /// A watch that began then, or a read if the wait is nothing.
+    /// A watch, or a read if `wait` is zero, that was sent at `sent`.
     Waiting {
         sent: Time,
         wait: Duration,
         revision: u64,
     },
-    /// The last call failed; the next begins then.
-    Pause(Time),
-    /// None until then.
+    /// The last call failed; the next one begins at this time.
+    Backoff(Time),
+    /// No call until this time.
     Listening(Time),
     /// A watch returned changes; the next one begins at this time, and later changes are batched.
-    Resting(Time),
+    Batching(Time),
 }
 
 #[derive(Debug)]
 struct Instance {
     zone: usize,
-    reach: SyncState,
+    state: SyncState,
     call: Call,
-    /// When each peer was last heard.
+    /// Time at which each peer was last heard.
     heard: Vec<Option<Time>>,
     turn: usize,
-    /// Paused or dead until then.
-    gone: Time,
-    /// The store doesn't answer it until then.
-    away: Time,
-    /// A watch that is open falls silent.
+    /// Paused or stopped until this time.
+    paused: Time,
+    /// The store doesn't answer it until this time.
+    unreachable: Time,
+    /// Whether its open watch never gets an answer.
     silent: bool,
-    /// Since when nothing of its own went wrong.
-    sound: Time,
+    /// Time since which it has had no fault of its own.
+    healthy_since: Time,
 }
 
 struct World {
     random: ChaCha8Rng,
     now: Time,
     revision: u64,
-    /// When each revision came, from the first.
+    /// Time of each revision, from the first one.
     changed: Vec<Time>,
     instances: Vec<Instance>,
     names: Vec<String>,
     zones: Vec<String>,
-    /// Zones that hear nobody elsewhere, until then.
+    /// Time until which each zone hears no other zone.
     cut: Vec<Time>,
     calls: u64,
 }
@@ -227,21 +230,21 @@
 impl World {
     fn new(seed: u64) -> World {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        // Mostly fleets of today, now and then one of hundreds.
-        let most = if seed.is_multiple_of(8) { 400 } else { 60 };
-        let size = random.random_range(1..=most);
+        // Most runs have up to 60 instances, as today's fleets do; one in eight has up to 400.
+        let max_size = if seed.is_multiple_of(8) { 400 } else { 60 };
+        let size = random.random_range(1..=max_size);
         let zones = random.random_range(1..=12);
         let now = at(0);
         let instance = |index: usize| Instance {
             zone: index % zones,
-            reach: SyncState::default(),
+            state: SyncState::default(),
             call: Call::None,
             heard: vec![None; size],
             turn: index,
-            gone: now,
-            away: now,
+            paused: now,
+            unreachable: now,
             silent: false,
-            sound: now,
+            healthy_since: now,
         };
         World {
             random,
@@ -265,100 +268,102 @@
                 self.changed.push(self.now);
             }
             if self.random.random_bool(0.02) {
-                self.trouble();
+                self.inject_fault();
             }
-            self.exchange();
+            self.exchange_messages();
             for index in 0..self.instances.len() {
-                self.follow(index);
+                self.follow_store(index);
             }
             if step > 80 {
-                self.check();
+                self.check_lag();
             }
         }
-        self.calm();
+        self.check_call_rate();
     }
 
-    /// Ten seconds without trouble.
-    fn rest(&mut self) {
+    /// Runs ten seconds without new faults.
+    fn run_quiet(&mut self) {
         let later = self.now + Duration::from_secs(10);
         while self.now < later {
             self.now = self.now + STEP;
-            self.exchange();
+            self.exchange_messages();
             for index in 0..self.instances.len() {
-                self.follow(index);
+                self.follow_store(index);
             }
         }
     }
 
-    /// After all trouble: the store is called by the watchers only.
-    fn calm(mut self) {
-        self.rest();
+    /// Checks that after all faults only the watchers call the store.
+    fn check_call_rate(mut self) {
+        self.run_quiet();
         let watchers = watcher_count(self.instances.len());
         let before = self.calls;
-        self.rest();
+        self.run_quiet();
         let calls = self.calls - before;
-        // A watch a second each, and one that was about to begin.
-        let most = u64::try_from(watchers * 11).expect("few calls");
+        // One watch per second each, and one that was about to begin.
+        let max_calls = u64::try_from(watchers * 11).expect("few calls");
         assert!(
-            calls <= most,
+            calls <= max_calls,
             "{calls} calls in ten seconds by {watchers} watchers"
         );
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let now = self.now;
-        let long = Duration::from_millis(self.random.random_range(200..6_000));
+        let length = Duration::from_millis(self.random.random_range(200..6_000));
         let size = self.instances.len();
         let zone = self.random.random_range(0..self.cut.len());
-        let part = *[1, 1, 2, size.div_ceil(2), size]
+        let count = *[1, 1, 2, size.div_ceil(2), size]
             .iter()
             .choose(&mut self.random)
             .expect("some");
         let zonal = self.random.random_bool(0.3);
         let kind = self.random.random_range(0..8);
         if kind >= 6 {
-            // The store turns away just those that watch, everywhere or in a zone that hears nobody else.
+            // The store refuses the calls of just those instances that watch, everywhere or in a zone that hears no
+            // other zone.
             let zones = self.cut.len();
-            self.cut[zone] = now + long;
+            self.cut[zone] = now + length;
             for index in (0..size.min(3 * zones)).filter(|index| kind == 6 || index % zones == zone) {
                 let instance = &mut self.instances[index];
-                instance.away = instance.away.max(now + long);
-                instance.sound = instance.sound.max(now + long);
+                instance.unreachable = instance.unreachable.max(now + length);
+                instance.healthy_since = instance.healthy_since.max(now + length);
             }
             return;
         }
         if kind == 5 {
-            // Cut off from the other zones, not from the store: no trouble that excuses an instance.
-            self.cut[zone] = now + long;
+            // Cut off from the other zones but not from the store: a fault that doesn't exempt an instance from the
+            // limit.
+            self.cut[zone] = now + length;
             return;
         }
         let chosen = (0..size).filter(|index| !zonal || self.instances[*index].zone == zone);
-        let chosen = chosen.sample(&mut self.random, part);
+        let chosen = chosen.sample(&mut self.random, count);
         for index in chosen {
             let instance = &mut self.instances[index];
-            // Troubles overlap: the later one may end first.
-            let sound = if kind == 4 { now } else { now + long };
-            instance.sound = instance.sound.max(sound);
+            // Faults overlap: the later one may end first.
+            let healthy_since = if kind == 4 { now } else { now + length };
+            instance.healthy_since = instance.healthy_since.max(healthy_since);
             match kind {
-                // Paused: goes on with what it had, its calls and its messages.
-                0 => instance.gone = instance.gone.max(now + long),
-                // Killed, and started anew.
+                // Paused: resumes with its state, its calls and its messages.
+                0 => instance.paused = instance.paused.max(now + length),
+                // Killed and restarted.
                 1 => {
-                    instance.gone = instance.gone.max(now + long);
-                    instance.reach = SyncState::default();
+                    instance.paused = instance.paused.max(now + length);
+                    instance.state = SyncState::default();
                     instance.call = Call::None;
                     instance.heard.fill(None);
                 }
-                // The store turns it away or says nothing.
-                2 | 3 => instance.away = instance.away.max(now + long),
-                // Its open connection to the store falls silent for good; new ones work.
+                // The store refuses its calls or doesn't answer.
+                2 | 3 => instance.unreachable = instance.unreachable.max(now + length),
+                // Its open connection to the store never gets an answer again; new connections work.
                 _ => instance.silent = true,
             }
         }
     }
 
     fn is_up(&self, index: usize) -> bool {
-        self.instances[index].gone <= self.now
+        self.instances[index].paused <= self.now
     }
 
     fn hears(&self, from: usize, to: usize) -> bool {
@@ -366,71 +371,72 @@
         from == to || [from, to].iter().all(|zone| self.cut[*zone] <= self.now)
     }
 
-    fn exchange(&mut self) {
+    fn exchange_messages(&mut self) {
         let now = self.now;
         let size = self.instances.len();
         for from in (0..size).filter(|index| self.is_up(*index)).collect::<Vec<_>>() {
-            self.instances[from].reach.on_tick(now);
-            let word = self.instances[from].reach.sync_status(now);
+            self.instances[from].state.on_tick(now);
+            let status = self.instances[from].state.sync_status(now);
             let turn = self.instances[from].turn;
             self.instances[from].turn += 1;
             for next in 0..FANOUT.min(size - 1) {
                 let to = (from + 1 + (turn * FANOUT + next) % (size - 1)) % size;
-                // One in ten is lost. What comes to a paused instance is read when it goes on: lost is as good here.
+                // One in ten messages is lost. A paused instance would read its messages on resuming; here they are
+                // lost, which serves the test as well.
                 if !self.is_up(to) || !self.hears(from, to) || self.random.random_bool(0.1) {
                     continue;
                 }
                 self.instances[to].heard[from] = Some(now);
-                let Some(word) = word else { continue };
-                if self.instances[to].reach.on_peer_status(now, word) {
-                    self.instances[to].reach.on_peer_changes(now, word);
+                let Some(status) = status else { continue };
+                if self.instances[to].state.on_peer_status(now, status) {
+                    self.instances[to].state.on_peer_changes(now, status);
                 }
             }
         }
     }
 
-    fn seat(&self, index: usize) -> FleetRank {
+    fn rank(&self, index: usize) -> FleetRank {
         let own = &self.instances[index];
-        let heard = |peer: &usize| own.heard[*peer].is_some_and(|at| self.now.since(at) <= SILENT);
+        let heard = |peer: &usize| own.heard[*peer].is_some_and(|at| self.now.since(at) <= SILENCE_LIMIT);
         let members = (0..self.instances.len()).filter(|peer| *peer == index || heard(peer));
         let candidates =
             members.map(|peer| candidate(&self.zones[self.instances[peer].zone], 1, &self.names[peer]));
         FleetRank::among(&rank_candidates(candidates.collect()), &self.names[index])
     }
 
-    fn follow(&mut self, index: usize) {
+    fn follow_store(&mut self, index: usize) {
         if !self.is_up(index) {
             return;
         }
         let now = self.now;
-        let seat = match self.instances[index].call {
+        let rank = match self.instances[index].call {
             Call::Waiting { .. } => FleetRank::default(),
-            Call::Pause(until) | Call::Listening(until) | Call::Resting(until) if now < until => {
+            Call::Backoff(until) | Call::Listening(until) | Call::Batching(until) if now < until => {
                 FleetRank::default()
             }
-            Call::None | Call::Pause(_) | Call::Listening(_) | Call::Resting(_) => self.seat(index),
+            Call::None | Call::Backoff(_) | Call::Listening(_) | Call::Batching(_) => self.rank(index),
         };
         let instance = &mut self.instances[index];
-        let reached = instance.away <= now;
+        let is_reachable = instance.unreachable <= now;
         match instance.call {
-            Call::Pause(until) | Call::Listening(until) | Call::Resting(until) if now < until => {}
-            Call::None | Call::Pause(_) | Call::Listening(_) | Call::Resting(_) => {
-                let is_rested = matches!(instance.call, Call::Resting(_));
-                let failed = matches!(instance.call, Call::Pause(_));
-                if let WatchAction::Listen(until) = instance.reach.watch_action(seat, BOUND, now) {
-                    // Looks again then, or when its seat may have changed.
-                    instance.call = Call::Listening(until.min(now + SEAT));
+            Call::Backoff(until) | Call::Listening(until) | Call::Batching(until) if now < until => {}
+            Call::None | Call::Backoff(_) | Call::Listening(_) | Call::Batching(_) => {
+                let is_after_batch = matches!(instance.call, Call::Batching(_));
+                let failed = matches!(instance.call, Call::Backoff(_));
+                if let WatchAction::Listen(until) = instance.state.watch_action(rank, LIMIT, now) {
+                    // Decides again at that time, or when its rank may have changed.
+                    instance.call = Call::Listening(until.min(now + RANK_INTERVAL));
                     return;
                 }
                 self.calls += 1;
-                let read = failed || instance.reach.revision() == 0;
-                let wait = match (read, is_rested) {
+                let read = failed || instance.state.revision() == 0;
+                let wait = match (read, is_after_batch) {
                     (true, _) => Duration::ZERO,
-                    (false, true) => BOUND.watch_timeout() - REST,
-                    (false, false) => BOUND.watch_timeout(),
+                    (false, true) => LIMIT.watch_timeout() - BATCH_DELAY,
+                    (false, false) => LIMIT.watch_timeout(),
                 };
-                let revision = instance.reach.revision();
-                // Silence strikes connections that are open, not new ones.
+                let revision = instance.state.revision();
+                // Only open connections go silent, not new ones.
                 instance.silent = false;
                 instance.call = Call::Waiting {
                     sent: now,
@@ -439,49 +445,52 @@
                 };
             }
             Call::Waiting { sent, wait, revision } => {
-                let due = now.since(sent) >= CALL && (self.revision > revision || now.since(sent) >= wait);
-                if due && reached && !instance.silent {
+                let due =
+                    now.since(sent) >= CALL_TIME && (self.revision > revision || now.since(sent) >= wait);
+                if due && is_reachable && !instance.silent {
                     instance
-                        .reach
-                        .on_store_answer(now, sent, wait.max(CALL), self.revision);
+                        .state
+                        .on_store_answer(now, sent, wait.max(CALL_TIME), self.revision);
                     instance.call = match self.revision > revision && revision > 0 {
-                        true => Call::Resting(now + REST),
+                        true => Call::Batching(now + BATCH_DELAY),
                         false => Call::None,
                     };
                 } else if now.since(sent) >= wait + ANSWER {
-                    instance.call = Call::Pause(now + Duration::from_millis(100));
+                    instance.call = Call::Backoff(now + Duration::from_millis(100));
                 }
             }
         }
     }
 
-    /// Nobody that is in touch lags behind the store by more than the bound, whoever its watchers are.
-    fn check(&self) {
+    /// Checks that no instance that is in contact with others lags behind the store by more than the limit, whichever
+    /// instances are its watchers.
+    fn check_lag(&self) {
         let now = self.now;
         for (index, instance) in self.instances.iter().enumerate() {
-            let sound = now.since(Time::ZERO) > STABLE && instance.sound + STABLE <= now;
-            if !sound || !self.is_up(index) {
+            let is_stable =
+                now.since(Time::ZERO) > SETTLE_TIME && instance.healthy_since + SETTLE_TIME <= now;
+            if !is_stable || !self.is_up(index) {
                 continue;
             }
-            let missed = usize::try_from(instance.reach.revision()).expect("a few");
+            let missed = usize::try_from(instance.state.revision()).expect("a few");
             let lag = self
                 .changed
                 .get(missed)
                 .map_or(Duration::ZERO, |at| now.since(*at));
             assert!(
-                lag <= BOUND.0,
+                lag <= LIMIT.0,
                 "instance {index} of {} lags by {lag:?} at {now}: {:?}, {:?}",
                 self.instances.len(),
                 instance.call,
-                instance.reach
+                instance.state
             );
         }
     }
 }
 
-/// Work goes to engines that have left, by routes no longer in force. Order: any mix of watchers that are killed, paused
-/// and woken with old news, turned away by the store or left without an answer on a connection that looks alive; half of
-/// the fleet at once; zones cut off from each other.
+/// Guards against requests going to engines that have left, by routes that are no longer in force. Sequence: any mix of
+/// watchers that are killed, that are paused and resume with old data, whose calls the store refuses, or that get no
+/// answer on a connection that looks alive; faults of half of the fleet at once; zones cut off from each other.
 #[test]
 fn lag_within_bound() {
     for seed in seeds_or(SEEDS) {
