--- a/src/ops/control/authority/mod.rs
+++ b/src/ops/control/authority/mod.rs
@@ -172,7 +172,7 @@
             .values()
             .filter(|entry| entry.authority.is_holder(now));
         let valid = i64::try_from(valid.count()).unwrap_or(i64::MAX);
-        self.shared.metrics.authority.believed.set(valid);
+        self.shared.metrics.authority.lease_valid.set(valid);
     }
 
     /// Applies the configuration in force, if its version is new: resigns the authorities of removed services and
--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -159,7 +159,10 @@
             let request = async move { call_client.call(address, &Request::Clock, CLOCK_TIMEOUT).await };
             context.spawn(request.into_actor(self).map(move |response, actor, _| {
                 if let Ok(Response::Clock(theirs)) = response {
-                    actor.shared.clock_watch().on_time(&name, clock::wall(), theirs);
+                    actor
+                        .shared
+                        .clock_watch()
+                        .on_time(&name, clock::wall_time(), theirs);
                 }
             }));
         }
@@ -178,7 +181,7 @@
 
     /// Passes an event to the owner and carries out its actions.
     fn handle_event(&mut self, event: OwnerEvent, context: &mut Context<Self>) {
-        for action in self.owner.on(clock::both(), event) {
+        for action in self.owner.on(clock::clocks(), event) {
             match action {
                 OwnerAction::Read(bucket) => self.read_bucket(bucket, context),
                 OwnerAction::Write(bucket, revision, content) => {
@@ -197,7 +200,7 @@
     }
 
     fn answer(&mut self, query: QueryId, verdict: Verdict) {
-        self.shared.metrics.claims.count(&verdict);
+        self.shared.metrics.claims.count_verdict(&verdict);
         if let Some(sender) = self.pending.remove(&query) {
             // This fails if the entry instance has given up waiting; it then never sends the request upstream.
             let _ = sender.send(verdict);
--- a/src/ops/control/config/execute.rs
+++ b/src/ops/control/config/execute.rs
@@ -141,7 +141,7 @@
         id: CommandId(body.id),
         who: body.who.clone(),
         from: from.map(|address| address.to_string()).unwrap_or_default(),
-        when: clock::wall(),
+        when: clock::wall_time(),
         statement: summary(&body.text),
         commands,
         base: body
--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -79,7 +79,12 @@
         bound: BoundAddresses,
     ) -> MembershipActor {
         let settings = &shared.settings;
-        let info = InstanceInfo::new(clock::wall().0, settings.zone.clone(), bound.listen, bound.peer);
+        let info = InstanceInfo::new(
+            clock::wall_time().0,
+            settings.zone.clone(),
+            bound.listen,
+            bound.peer,
+        );
         let local = LocalInstance {
             name: settings.name.clone(),
             seed: info.incarnation,
@@ -113,8 +118,8 @@
         actix::spawn(async move {
             match socket.send(to, Datagram::Beat(heartbeat)).await {
                 Ok(bytes) => {
-                    metrics.sent.inc();
-                    metrics.bytes.inc_by(bytes as u64);
+                    metrics.heartbeats_sent.inc();
+                    metrics.heartbeat_bytes.inc_by(bytes as u64);
                 }
                 Err(error) => log_event!(debug, log_event::PEER_FAILED, %to, %error, call = "heartbeat"),
             }
@@ -226,7 +231,7 @@
     fn handle(&mut self, Received(received): Received, _: &mut Context<Self>) {
         match received {
             Ok((name, Datagram::Beat(heartbeat))) => {
-                self.shared.metrics.membership.received.inc();
+                self.shared.metrics.membership.heartbeats_received.inc();
                 self.handle_event(Event::Heartbeat(name, heartbeat));
             }
             Ok((_, Datagram::Ping | Datagram::Load(_))) => {}
--- a/src/ops/control/peers.rs
+++ b/src/ops/control/peers.rs
@@ -45,7 +45,7 @@
             Request::Page(_) | Request::Since(_) => Response::Unserved,
             Request::Claim(request) => verdict_response(self.claims.send(RequestClaim(request)).await),
             Request::Look(claim) => verdict_response(self.claims.send(QueryClaim(claim)).await),
-            Request::Clock => Response::Clock(clock::wall()),
+            Request::Clock => Response::Clock(clock::wall_time()),
             Request::Edit(bucket, edit) => {
                 self.claims.do_send(EditClaim(bucket, edit));
                 Response::Taken
--- a/src/ops/dispatch/admit.rs
+++ b/src/ops/dispatch/admit.rs
@@ -124,7 +124,7 @@
         .limits()
         .at(&view.name)
         .admit(now, &call.product, share, cost);
-    shared.metrics.policy.verdict(&call.product, admission);
+    shared.metrics.policy.count_admission(&call.product, admission);
     match admission {
         Admission::WithinShare => Ok(call),
         Admission::Borrowed => {
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -40,7 +40,7 @@
 use crate::ops::dispatch::suspects::PickResult;
 use crate::ops::dispatch::suspects::Target;
 use crate::util::clock;
-use crate::util::metrics::AnswerTimes;
+use crate::util::metrics::TokenMetrics;
 
 /// Number of events buffered for a caller that reads slowly. When the buffer is full, the engine's stream is no longer
 /// read, which slows the engine down.
@@ -86,7 +86,7 @@
         route,
     };
     let task = GenerateTask {
-        times: dispatch.shared.metrics.traffic.times(&request.product),
+        times: dispatch.shared.metrics.traffic.token_metrics(&request.product),
         dispatch: dispatch.clone(),
         answer: answer::Answer::new(now, limits, call.resume),
         request,
@@ -135,7 +135,7 @@
     finish: Option<Finish>,
     started_at: Time,
     last_token: Option<Time>,
-    times: AnswerTimes,
+    times: TokenMetrics,
 }
 
 impl GenerateTask {
@@ -251,7 +251,7 @@
             result = generated => result,
             () = self.sender.closed() => return Event::CallerGone,
             () = open.stop.notified() => return Event::Relocate,
-            () = clock::until(self.answer.due()) => return Event::Tick,
+            () = clock::sleep_until(self.answer.due()) => return Event::Tick,
         };
         match result {
             Ok(stream) => self.on_opened(stream),
@@ -263,7 +263,7 @@
         self.discard_proof();
         let queued = clock::now().since(self.started_at);
         let traffic = &self.dispatch.shared.metrics.traffic;
-        traffic.queued(&self.request.product, queued);
+        traffic.observe_queue_time(&self.request.product, queued);
         let Some(open) = &mut self.open else {
             return Event::Tick;
         };
@@ -322,14 +322,14 @@
         else {
             return tokio::select! {
                 () = self.sender.closed() => Event::CallerGone,
-                () = clock::until(due) => Event::Tick,
+                () = clock::sleep_until(due) => Event::Tick,
             };
         };
         let piece = tokio::select! {
             piece = stream.next() => piece,
             () = self.sender.closed() => return Event::CallerGone,
             () = stop.notified() => return Event::Relocate,
-            () = clock::until(due) => return Event::Tick,
+            () = clock::sleep_until(due) => return Event::Tick,
         };
         match piece {
             Ok(Some(piece)) => self.on_piece(piece),
@@ -387,7 +387,7 @@
                 Ok(()) => Event::Delivered,
                 Err(_) => Event::CallerGone,
             },
-            () = clock::until(self.request.deadline) => Event::Tick,
+            () = clock::sleep_until(self.request.deadline) => Event::Tick,
         }
     }
 
@@ -395,12 +395,12 @@
         let now = clock::now();
         match self.last_token.replace(now) {
             None => {
-                self.times.first_token(now.since(self.started_at));
+                self.times.observe_first_token(now.since(self.started_at));
                 if let Some(open) = &self.open {
                     self.dispatch.on_first_token(&open.target);
                 }
             }
-            Some(previous) => self.times.between_tokens(now.since(previous)),
+            Some(previous) => self.times.observe_token_gap(now.since(previous)),
         }
     }
 
--- a/src/ops/dispatch/generate/ending.rs
+++ b/src/ops/dispatch/generate/ending.rs
@@ -31,7 +31,7 @@
             Ending::Unknown(cause) => AnswerEvent::Failed(Refusal::unknown(cause_message(cause))),
             Ending::CallerGone => {
                 let product = &self.request.product;
-                self.dispatch.shared.metrics.traffic.gone(product);
+                self.dispatch.shared.metrics.traffic.count_abandoned(product);
                 return self.count_dropped();
             }
         };
@@ -94,7 +94,7 @@
             log_event!(info, log_event::REFUSED, request = %id, %outcome, reason = refusal.message());
         }
         let traffic = &self.dispatch.shared.metrics.traffic;
-        traffic.outcome(&self.request.product, outcome);
+        traffic.count_outcome(&self.request.product, outcome);
         self.count_dropped();
         // The caller may have disconnected. One that doesn't read must not keep the task alive forever.
         let _ = tokio::time::timeout(LAST_EVENT_TIMEOUT, self.sender.send(event)).await;
@@ -102,7 +102,7 @@
 
     fn count_dropped(&self) {
         let traffic = &self.dispatch.shared.metrics.traffic;
-        traffic.dropped.inc_by(self.answer.dropped());
+        traffic.dropped_pieces.inc_by(self.answer.dropped());
     }
 }
 
--- a/src/ops/dispatch/mod.rs
+++ b/src/ops/dispatch/mod.rs
@@ -100,7 +100,7 @@
     }
 
     fn count_outcome(&self, product: &Name, outcome: Outcome) {
-        self.shared.metrics.traffic.outcome(product, outcome);
+        self.shared.metrics.traffic.count_outcome(product, outcome);
     }
 }
 
@@ -181,7 +181,7 @@
     }
 
     fn metrics(&self) -> String {
-        self.shared.metrics.page()
+        self.shared.metrics.render()
     }
 }
 
--- a/src/ops/dispatch/once.rs
+++ b/src/ops/dispatch/once.rs
@@ -109,7 +109,7 @@
     if !dispatch.shared.clock_watch().is_trusted() {
         return Err(InvalidKey::Rejected(KeyError::ClockStepped));
     }
-    let checked = dispatch.shared.key_ages.check(&key, clock::both());
+    let checked = dispatch.shared.key_ages.check(&key, clock::clocks());
     checked.map(|()| key).map_err(InvalidKey::Rejected)
 }
 
@@ -161,13 +161,13 @@
             now,
             self.deadline,
         );
-        let mut step = entry.begin(clock::both());
+        let mut step = entry.begin(clock::clocks());
         while let EntryStep::Ask(entry, owner, request) = step {
             let event = self.dispatch.request_claim(&owner, request).await;
             if matches!(event, EntryEvent::NoAnswer) {
                 log_event!(warn, log_event::OWNER_SILENT, %owner, shard = self.claim.bucket.shard);
             }
-            step = entry.on(clock::both(), event);
+            step = entry.on(clock::clocks(), event);
         }
         step
     }
@@ -320,7 +320,7 @@
     };
     let product = &call.product;
     let service = call.service.as_deref();
-    if dispatch.shared.key_ages.check(&key, clock::both()) == Err(KeyError::Old) {
+    if dispatch.shared.key_ages.check(&key, clock::clocks()) == Err(KeyError::Old) {
         return Ok(RequestState::Expired);
     }
     for name in plain_services(dispatch, service) {
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -261,7 +261,7 @@
         };
         let report = self.shared.crash_records().crash_report(attempt, evidence);
         let Some(report) = report else { return };
-        self.shared.metrics.traffic.crashed.inc();
+        self.shared.metrics.traffic.crashed_streams.inc();
         log_event!(
             warn,
             log_event::ENGINE_CRASHED,
--- a/src/ops/relay/forward.rs
+++ b/src/ops/relay/forward.rs
@@ -43,7 +43,7 @@
 use crate::ops::relay::stream;
 use crate::ops::relay::stream::OpenedStream;
 use crate::util::clock;
-use crate::util::metrics::Path;
+use crate::util::metrics::RouteLabels;
 
 /// One request that is being forwarded.
 pub struct ForwardedRequest {
@@ -189,7 +189,7 @@
             why = reason, takes = expected, waited, left = self.incoming.time_left().as_millis() as u64,
             sent = self.attempts.sent(), tried = self.tried.len(), config = self.view.table.version);
         self.count(reply.label());
-        self.shared.metrics.refusal(reason);
+        self.shared.metrics.count_refusal(reason);
         reply.into_response()
     }
 
@@ -199,8 +199,8 @@
     }
 
     /// The labels of the request in metrics: its service and kind.
-    fn path(&self) -> Path {
-        Path {
+    fn path(&self) -> RouteLabels {
+        RouteLabels {
             service: self.service.clone().unwrap_or_default(),
             kind: self.route.kind.label(),
         }
@@ -208,7 +208,7 @@
 
     /// Counts the final answer in the metrics.
     pub fn count(&self, outcome: &str) {
-        self.shared.metrics.answer(&self.path(), outcome);
+        self.shared.metrics.count_answer(&self.path(), outcome);
     }
 
     /// Makes one attempt at a request whose answer is not a stream. `Err(None)` means that another attempt may follow.
@@ -348,7 +348,7 @@
 
     /// Counts the end of an attempt in the metrics and in the health of its engine.
     pub fn record_end(&self, engine: EngineKey, end: End) {
-        self.shared.metrics.attempt(end.label());
+        self.shared.metrics.count_attempt(end.label());
         self.shared
             .traffic()
             .load
@@ -415,7 +415,7 @@
             .traffic()
             .budget
             .try_take(clock::now(), service, instances);
-        self.shared.metrics.extra(allowed);
+        self.shared.metrics.count_extra(allowed);
         allowed
     }
 
--- a/src/ops/relay/gauges.rs
+++ b/src/ops/relay/gauges.rs
@@ -18,7 +18,7 @@
         .set(count(view.engines().values().map(Vec::len).sum()));
     metrics.instances.set(count(view.endpoints.len()));
     metrics
-        .version
+        .config_version
         .set(i64::try_from(view.table.version).unwrap_or(i64::MAX));
     let mut traffic = shared.traffic();
     metrics.store_age.set(shared.store_age(now).as_secs_f64());
@@ -28,7 +28,7 @@
     metrics
         .peers_age
         .set(traffic.load.oldest_report_age(now).as_secs_f64());
-    metrics.forget_services();
+    metrics.clear_services();
     for (service, engines) in view.engines() {
         let own = sum(engines.iter().map(|e| traffic.load.own_work(e.key)));
         let fleet = sum(engines.iter().map(|e| traffic.load.work(now, e.key)));
@@ -40,7 +40,7 @@
         metrics.budget(service, remaining);
     }
     drop(traffic);
-    metrics.page()
+    metrics.render()
 }
 
 fn sum<I>(work: I) -> Work
--- a/src/ops/relay/lead.rs
+++ b/src/ops/relay/lead.rs
@@ -99,7 +99,7 @@
         let now = clock::now();
         shared
             .metrics
-            .leads
+            .is_leader
             .set(i64::from(leadership.fence(now).is_some()));
         let action = leadership.0.lease.borrow_mut().next_action(now, is_free, rank);
         match action {
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -202,7 +202,12 @@
 /// Starts the tasks that exchange messages with the peers.
 pub fn start(shared: Arc<Shared>, sockets: Sockets, known: StoreReplica) -> Fleet {
     let options = &shared.options;
-    let info = InstanceInfo::new(clock::wall().0, options.zone.clone(), options.front, options.peer);
+    let info = InstanceInfo::new(
+        clock::wall_time().0,
+        options.zone.clone(),
+        options.front,
+        options.peer,
+    );
     let local = LocalInstance {
         name: options.name.clone(),
         seed: info.incarnation,
--- a/src/ops/relay/server.rs
+++ b/src/ops/relay/server.rs
@@ -236,7 +236,7 @@
 
 /// Answers a request that is refused before it is forwarded.
 fn refuse(shared: &Shared, reply: Reply) -> HttpResponse {
-    shared.metrics.refusal(match reply {
+    shared.metrics.count_refusal(match reply {
         Reply::NoRoute => "no route leads from there",
         Reply::TooLong => "the body is too long",
         Reply::Denied => "nobody holds the key",
--- a/src/ops/shared.rs
+++ b/src/ops/shared.rs
@@ -79,7 +79,7 @@
             snapshot: ArcSwap::default(),
             metrics: Metrics::new(call_meter.clone()),
             call_meter,
-            key_ages: KeyAgeCheck::new(clock::both()),
+            key_ages: KeyAgeCheck::new(clock::clocks()),
             owners: Mutex::default(),
             clock_watch: Mutex::default(),
             policy,
--- a/src/util/clock.rs
+++ b/src/util/clock.rs
@@ -29,12 +29,12 @@
 }
 
 /// Waits until `time`, at once if it is past.
-pub async fn until(time: Time) {
+pub async fn sleep_until(time: Time) {
     tokio::time::sleep(time.since(now())).await;
 }
 
 /// The wall clock.
-pub fn wall() -> WallTime {
+pub fn wall_time() -> WallTime {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     WallTime(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
@@ -46,9 +46,9 @@
 }
 
 /// Both clocks.
-pub fn both() -> Clocks {
+pub fn clocks() -> Clocks {
     Clocks {
         time: now(),
-        wall: wall(),
+        wall: wall_time(),
     }
 }
--- a/src/util/log_budget.rs
+++ b/src/util/log_budget.rs
@@ -10,34 +10,34 @@
 use sequoiastream_core::time::Time;
 
 /// Lines a second of one event.
-const RATE: f64 = 10.0;
+const EVENT_RATE: f64 = 10.0;
 
 /// Lines of one event at once.
-const BURST: f64 = 40.0;
+const EVENT_BURST: f64 = 40.0;
 
 /// Lines a second of an event that says that all went well.
-const GOOD_RATE: f64 = 1.0;
+const SUCCESS_RATE: f64 = 1.0;
 
 /// Lines of such an event at once.
-const GOOD_BURST: f64 = 3.0;
+const SUCCESS_BURST: f64 = 3.0;
 
 /// Lines a second of all events: at 400 bytes a line, 24 KB.
-const ALL_RATE: f64 = 60.0;
+const TOTAL_RATE: f64 = 60.0;
 
 /// Lines of all events at once.
-const ALL_BURST: f64 = 240.0;
+const TOTAL_BURST: f64 = 240.0;
 
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
-    left: f64,
-    at: Time,
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl Bucket {
-    fn fill(&mut self, now: Time, rate: f64, burst: f64) {
-        let earned = now.since(self.at).as_secs_f64() * rate;
-        self.left = (self.left + earned).min(burst);
-        self.at = now;
+    fn refill(&mut self, now: Time, rate: f64, burst: f64) {
+        let earned = now.since(self.refilled_at).as_secs_f64() * rate;
+        self.tokens = (self.tokens + earned).min(burst);
+        self.refilled_at = now;
     }
 }
 
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone)]
 pub struct LogBudget {
     events: BTreeMap<u16, Bucket>,
-    all: Bucket,
+    total: Bucket,
     dropped: BTreeMap<u16, u64>,
 }
 
@@ -53,12 +53,12 @@
     /// A full budget.
     pub fn new(now: Time) -> LogBudget {
         let all = Bucket {
-            left: ALL_BURST,
-            at: now,
+            tokens: TOTAL_BURST,
+            refilled_at: now,
         };
         LogBudget {
             events: BTreeMap::new(),
-            all,
+            total: all,
             dropped: BTreeMap::new(),
         }
     }
@@ -66,19 +66,22 @@
     /// Whether a line of event `number` is written; counts it as dropped if not.
     pub fn allow(&mut self, now: Time, number: u16) -> bool {
         let (rate, burst) = match number == log_event::FORWARDED.number {
-            true => (GOOD_RATE, GOOD_BURST),
-            false => (RATE, BURST),
+            true => (SUCCESS_RATE, SUCCESS_BURST),
+            false => (EVENT_RATE, EVENT_BURST),
+        };
+        let full = Bucket {
+            tokens: burst,
+            refilled_at: now,
         };
-        let full = Bucket { left: burst, at: now };
         let bucket = self.events.entry(number).or_insert(full);
-        bucket.fill(now, rate, burst);
-        self.all.fill(now, ALL_RATE, ALL_BURST);
-        if bucket.left < 1.0 || self.all.left < 1.0 {
+        bucket.refill(now, rate, burst);
+        self.total.refill(now, TOTAL_RATE, TOTAL_BURST);
+        if bucket.tokens < 1.0 || self.total.tokens < 1.0 {
             *self.dropped.entry(number).or_default() += 1;
             return false;
         }
-        bucket.left -= 1.0;
-        self.all.left -= 1.0;
+        bucket.tokens -= 1.0;
+        self.total.tokens -= 1.0;
         true
     }
 
@@ -88,7 +91,7 @@
     }
 
     /// Notes a line that could not be written since nobody reads.
-    pub fn on_unread(&mut self, number: u16) {
+    pub fn count_unwritten(&mut self, number: u16) {
         *self.dropped.entry(number).or_default() += 1;
     }
 }
--- a/src/util/logging.rs
+++ b/src/util/logging.rs
@@ -28,16 +28,16 @@
 use crate::util::log_budget::LogBudget;
 
 /// Lines that wait for whoever reads them; more are dropped.
-const MAX_WAITING: usize = 512;
+const MAX_QUEUED_LINES: usize = 512;
 
 /// How long the end of the process waits for lines that are not written yet. A reader that stopped reading must not hold
 /// up a shutdown.
-const LAST_LINES: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Sends log lines to standard error in the given format; `RUST_LOG` sets the level, `info` by default.
 pub fn init(format: LogFormat) {
     let builder = tracing_subscriber::fmt()
-        .with_env_filter(levels())
+        .with_env_filter(level_filter())
         .with_target(false)
         // Failure guarded against: whoever reads the log ends, and the daemon neither serves well nor stops. The
         // library would report the failed write on standard error too, and panic since that fails as well; a
@@ -52,7 +52,7 @@
 }
 
 /// The levels of `RUST_LOG`, `info` by default.
-fn levels() -> EnvFilter {
+fn level_filter() -> EnvFilter {
     EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info,actix_server=warn"))
 }
 
@@ -69,10 +69,10 @@
 
 /// What the thread that writes is handed.
 #[derive(Debug)]
-enum Output {
+enum WriterMessage {
     Line(Vec<u8>),
     /// All lines before this are written; say so.
-    Last(SyncSender<()>),
+    Flush(SyncSender<()>),
 }
 
 /// The log of a process whose lines a thread of their own writes.
@@ -80,7 +80,7 @@
 pub struct BoundedLog {
     /// The budget of its lines.
     pub budget: SharedBudget,
-    sender: SyncSender<Output>,
+    sender: SyncSender<WriterMessage>,
 }
 
 impl BoundedLog {
@@ -91,8 +91,8 @@
     pub fn finish(&self) {
         let (written, wait) = sync_channel(1);
         // A full queue means that nobody reads: then there is nobody to wait for.
-        if self.sender.try_send(Output::Last(written)).is_ok() {
-            let _ = wait.recv_timeout(LAST_LINES);
+        if self.sender.try_send(WriterMessage::Flush(written)).is_ok() {
+            let _ = wait.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
@@ -101,7 +101,7 @@
 /// reading costs lines, and nothing else. `RUST_LOG` sets the level, `info` by default.
 pub fn init_bounded(format: LogFormat) -> BoundedLog {
     let budget = Arc::new(Mutex::new(LogBudget::new(clock::now())));
-    let (sender, receiver) = sync_channel(MAX_WAITING);
+    let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     std::thread::spawn(move || write_lines(&receiver));
     let log = BoundedLog { budget, sender };
     let layer = tracing_subscriber::fmt::layer()
@@ -113,17 +113,20 @@
         LogFormat::Text => layer.boxed(),
         LogFormat::Json => layer.json().boxed(),
     };
-    let layer = layer.with_filter(Within(log.budget.clone()));
-    tracing_subscriber::registry().with(levels()).with(layer).init();
+    let layer = layer.with_filter(BudgetFilter(log.budget.clone()));
+    tracing_subscriber::registry()
+        .with(level_filter())
+        .with(layer)
+        .init();
     log
 }
 
-fn write_lines(lines: &Receiver<Output>) {
+fn write_lines(lines: &Receiver<WriterMessage>) {
     let mut out = io::stdout();
     while let Ok(output) = lines.recv() {
         let written = match output {
-            Output::Line(line) => out.write_all(&line).and_then(|()| out.flush()),
-            Output::Last(written) => {
+            WriterMessage::Line(line) => out.write_all(&line).and_then(|()| out.flush()),
+            WriterMessage::Flush(written) => {
                 // Whoever asked may have stopped waiting.
                 let _ = written.send(());
                 Ok(())
@@ -139,12 +142,12 @@
 /// Hands whole lines to the thread that writes them.
 impl Write for BoundedLog {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if self.sender.try_send(Output::Line(line.to_vec())).is_err() {
+        if self.sender.try_send(WriterMessage::Line(line.to_vec())).is_err() {
             let mut budget = self
                 .budget
                 .lock()
                 .expect("no thread panics while it holds the budget");
-            budget.on_unread(0);
+            budget.count_unwritten(0);
         }
         Ok(line.len())
     }
@@ -163,9 +166,9 @@
 }
 
 /// Passes the events that the budget allows.
-struct Within(SharedBudget);
+struct BudgetFilter(SharedBudget);
 
-impl<S> Filter<S> for Within
+impl<S> Filter<S> for BudgetFilter
 where
     S: Subscriber,
 {
@@ -174,7 +177,7 @@
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
-        let mut number = Number(0);
+        let mut number = EventNumber(0);
         event.record(&mut number);
         let mut budget = self.0.lock().expect("no thread panics while it holds the budget");
         budget.allow(clock::now(), number.0)
@@ -182,9 +185,9 @@
 }
 
 /// The number of an event; 0 for lines of libraries.
-struct Number(u16);
+struct EventNumber(u16);
 
-impl Visit for Number {
+impl Visit for EventNumber {
     fn record_u64(&mut self, field: &Field, value: u64) {
         if field.name() == "event" {
             self.0 = u16::try_from(value).unwrap_or_default();
--- a/src/util/metrics/authority.rs
+++ b/src/util/metrics/authority.rs
@@ -9,7 +9,7 @@
 
 /// How an order ended that was to be sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct AnswerLabels {
+pub struct OrderLabels {
     /// `applied`, `stale`, `unsent` or `unknown`.
     pub answer: String,
 }
@@ -20,9 +20,9 @@
     /// Services whose authority this instance holds.
     pub held: Gauge,
     /// Of these, services whose lease it believes in.
-    pub believed: Gauge,
+    pub lease_valid: Gauge,
     /// Orders by how they ended.
-    pub orders: Family<AnswerLabels, Counter>,
+    pub orders: Family<OrderLabels, Counter>,
     /// Times that an engine was found with an order that is not settled.
     pub unsettled: Counter,
 }
@@ -36,7 +36,7 @@
             OrderAnswer::Unsent => "unsent",
             OrderAnswer::Unknown => "unknown",
         };
-        let labels = AnswerLabels {
+        let labels = OrderLabels {
             answer: answer.to_string(),
         };
         self.orders.get_or_create(&labels).inc();
@@ -51,7 +51,7 @@
         registry.register(
             "authorities_believed",
             "Services whose authority this instance holds under a lease that it believes in",
-            self.believed.clone(),
+            self.lease_valid.clone(),
         );
         registry.register(
             "orders",
--- a/src/util/metrics/claims.rs
+++ b/src/util/metrics/claims.rs
@@ -43,7 +43,7 @@
     }
 
     /// Counts an answer.
-    pub fn count(&self, verdict: &Verdict) {
+    pub fn count_verdict(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Granted => "granted",
             Verdict::Held(_) => "seen",
--- a/src/util/metrics/membership.rs
+++ b/src/util/metrics/membership.rs
@@ -8,27 +8,27 @@
 #[derive(Debug, Clone, Default)]
 pub struct MembershipMetrics {
     /// Heartbeats sent.
-    pub sent: Counter,
+    pub heartbeats_sent: Counter,
     /// Bytes of heartbeats sent, without headers of UDP and IP.
-    pub bytes: Counter,
+    pub heartbeat_bytes: Counter,
     /// Heartbeats received.
-    pub received: Counter,
+    pub heartbeats_received: Counter,
     /// Other instances known.
     pub peers: Gauge,
 }
 
 impl MembershipMetrics {
     pub(super) fn register(&self, registry: &mut Registry) {
-        registry.register("heartbeats_sent", "Heartbeats sent", self.sent.clone());
+        registry.register("heartbeats_sent", "Heartbeats sent", self.heartbeats_sent.clone());
         registry.register(
             "heartbeat_bytes",
             "Bytes of heartbeats sent, without headers of UDP and IP",
-            self.bytes.clone(),
+            self.heartbeat_bytes.clone(),
         );
         registry.register(
             "heartbeats_received",
             "Heartbeats received",
-            self.received.clone(),
+            self.heartbeats_received.clone(),
         );
         registry.register("peers", "Other instances known", self.peers.clone());
     }
--- a/src/util/metrics/mod.rs
+++ b/src/util/metrics/mod.rs
@@ -23,9 +23,9 @@
 pub use claims::ClaimMetrics;
 pub use membership::MembershipMetrics;
 pub use policy::PolicyMetrics;
-pub use relay::Path;
 pub use relay::RelayMetrics;
-pub use traffic::AnswerTimes;
+pub use relay::RouteLabels;
+pub use traffic::TokenMetrics;
 pub use traffic::TrafficMetrics;
 
 /// Prefix of every name.
@@ -72,13 +72,13 @@
     }
 
     /// The page that a Prometheus server reads.
-    pub fn page(&self) -> String {
-        page(&self.registry)
+    pub fn render(&self) -> String {
+        render(&self.registry)
     }
 }
 
 /// The page of a registry.
-fn page(registry: &Mutex<Registry>) -> String {
+fn render(registry: &Mutex<Registry>) -> String {
     let registry = registry
         .lock()
         .expect("no thread panics while it holds the registry");
--- a/src/util/metrics/platform.rs
+++ b/src/util/metrics/platform.rs
@@ -23,7 +23,7 @@
 }
 
 impl CallCollector {
-    fn family<F>(
+    fn encode_counters<F>(
         &self,
         encoder: &mut DescriptorEncoder<'_>,
         name: &str,
@@ -44,19 +44,19 @@
 
 impl Collector for CallCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        self.family(
+        self.encode_counters(
             &mut encoder,
             "platform_calls",
             "Calls to the platform by kind",
             |count| count.calls,
         )?;
-        self.family(
+        self.encode_counters(
             &mut encoder,
             "platform_calls_failed",
             "Calls to the platform that got no usable answer",
             |count| count.failed,
         )?;
-        self.family(
+        self.encode_counters(
             &mut encoder,
             "platform_calls_refused",
             "Calls to the platform that were not made, since this instance's budget was spent",
--- a/src/util/metrics/policy.rs
+++ b/src/util/metrics/policy.rs
@@ -18,7 +18,7 @@
     /// Gaps seen in cache events.
     pub cache_gaps: Counter,
     /// Admissions by product and verdict.
-    pub verdicts: Family<AdmissionLabels, Counter>,
+    pub admissions: Family<AdmissionLabels, Counter>,
     /// Retries that the budget did not allow.
     pub retries_denied: Counter,
     /// Role changes proposed.
@@ -36,7 +36,7 @@
 
 impl PolicyMetrics {
     /// Counts an admission.
-    pub fn verdict(&self, product: &Name, verdict: Admission) {
+    pub fn count_admission(&self, product: &Name, verdict: Admission) {
         let verdict = match verdict {
             Admission::WithinShare => "owed",
             Admission::Borrowed => "lent",
@@ -47,7 +47,7 @@
             product: product.to_string(),
             verdict: verdict.to_string(),
         };
-        self.verdicts.get_or_create(&labels).inc();
+        self.admissions.get_or_create(&labels).inc();
     }
 
     pub(super) fn register(&self, registry: &mut Registry) {
@@ -61,7 +61,7 @@
         registry.register(
             "admissions",
             "Admissions by product and verdict",
-            self.verdicts.clone(),
+            self.admissions.clone(),
         );
         registry.register(
             "retries_denied",
--- a/src/util/metrics/relay.rs
+++ b/src/util/metrics/relay.rs
@@ -23,20 +23,20 @@
 use crate::util::metrics::PREFIX;
 
 /// Bounds of times to the first event, in seconds: around the targets of the users' sheets, 0.1 to 0.2.
-const FIRST: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.4, 0.8, 1.6, 5.0];
+const FIRST_EVENT_BUCKETS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.4, 0.8, 1.6, 5.0];
 
 /// Bounds of the error of predictions, in seconds.
-const ERRORS: [f64; 9] = [-0.1, -0.03, -0.01, 0.0, 0.01, 0.03, 0.1, 0.3, 1.0];
+const PREDICTION_ERROR_BUCKETS: [f64; 9] = [-0.1, -0.03, -0.01, 0.0, 0.01, 0.03, 0.1, 0.3, 1.0];
 
 /// Services that are shown by name; more are shown together as [`OTHERS`]. Operators may configure any number.
 const MAX_SERVICES: usize = 64;
 
 /// Services beyond [`MAX_SERVICES`].
-const OTHERS: &str = "others";
+const OTHER_SERVICES: &str = "others";
 
 /// The way of a request.
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct Path {
+pub struct RouteLabels {
     /// The service that may answer it.
     pub service: String,
     /// The kind of its route.
@@ -44,49 +44,49 @@
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByOutcome {
+struct RouteOutcomeLabels {
     service: String,
     kind: &'static str,
     outcome: String,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct By {
+struct ResultLabels {
     result: String,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByCall {
+struct CallLabels {
     call: &'static str,
     result: &'static str,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByReason {
+struct ReasonLabels {
     reason: &'static str,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByService {
+struct ServiceLabels {
     service: String,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByScope {
+struct ScopeLabels {
     service: String,
     scope: &'static str,
 }
 
 /// Metrics of forwarding by routes.
 pub struct RelayMetrics {
-    answers: Family<ByOutcome, Counter>,
-    refusals: Family<ByReason, Counter>,
-    attempts: Family<By, Counter>,
-    store: Family<ByCall, Counter>,
-    extras: Family<By, Counter>,
-    budget: Family<ByService, Gauge<f64, AtomicU64>>,
-    work: Family<ByScope, Gauge>,
-    first: Family<Path, Histogram, fn() -> Histogram>,
+    answers: Family<RouteOutcomeLabels, Counter>,
+    refusals: Family<ReasonLabels, Counter>,
+    attempts: Family<ResultLabels, Counter>,
+    store: Family<CallLabels, Counter>,
+    extra_attempts: Family<ResultLabels, Counter>,
+    budget: Family<ServiceLabels, Gauge<f64, AtomicU64>>,
+    work: Family<ScopeLabels, Gauge>,
+    first: Family<RouteLabels, Histogram, fn() -> Histogram>,
     error: Histogram,
     /// Seconds since the store confirmed what is known of it.
     pub store_age: Gauge<f64, AtomicU64>,
@@ -97,12 +97,12 @@
     /// Seconds since the time up to which everything that happened in the store is known, by proof; -1 without one.
     pub proof_age: Gauge<f64, AtomicU64>,
     /// Whether this instance acts for all towards the platform's API.
-    pub leads: Gauge,
-    names: Mutex<BTreeSet<String>>,
+    pub is_leader: Gauge,
+    service_names: Mutex<BTreeSet<String>>,
     /// Requests that are running.
     pub running: Gauge,
     /// Version of the configuration in force.
-    pub version: Gauge,
+    pub config_version: Gauge,
     /// Engines that may get work.
     pub engines: Gauge,
     /// Instances that callers are told of.
@@ -125,25 +125,25 @@
             refusals: Family::default(),
             attempts: Family::default(),
             store: Family::default(),
-            extras: Family::default(),
+            extra_attempts: Family::default(),
             budget: Family::default(),
             work: Family::default(),
-            first: Family::new_with_constructor(|| Histogram::new(FIRST)),
+            first: Family::new_with_constructor(|| Histogram::new(FIRST_EVENT_BUCKETS)),
             store_age: Gauge::default(),
             peers_age: Gauge::default(),
             watcher: Gauge::default(),
             proof_age: Gauge::default(),
-            leads: Gauge::default(),
-            names: Mutex::default(),
-            error: Histogram::new(ERRORS),
+            is_leader: Gauge::default(),
+            service_names: Mutex::default(),
+            error: Histogram::new(PREDICTION_ERROR_BUCKETS),
             running: Gauge::default(),
-            version: Gauge::default(),
+            config_version: Gauge::default(),
             engines: Gauge::default(),
             instances: Gauge::default(),
             registry: Mutex::default(),
         };
         metrics.register(&mut registry);
-        registry.register_collector(Box::new(Dropped(budget)));
+        registry.register_collector(Box::new(DroppedLineCollector(budget)));
         RelayMetrics {
             registry: Mutex::new(registry),
             ..metrics
@@ -169,7 +169,7 @@
         registry.register(
             "relay_extra_attempts",
             "Extra attempts that the budget allowed or denied",
-            self.extras.clone(),
+            self.extra_attempts.clone(),
         );
         registry.register_with_unit(
             "relay_first_event",
@@ -228,7 +228,7 @@
         registry.register(
             "relay_leads",
             "Whether this instance acts for all towards the platform's API",
-            self.leads.clone(),
+            self.is_leader.clone(),
         );
         registry.register_with_unit(
             "relay_peers_age",
@@ -239,7 +239,7 @@
         registry.register(
             "relay_config_version",
             "Version of the configuration in force",
-            self.version.clone(),
+            self.config_version.clone(),
         );
         registry.register(
             "relay_instances",
@@ -249,9 +249,9 @@
     }
 
     /// Counts a final answer.
-    pub fn answer(&self, path: &Path, outcome: &str) {
-        let by = ByOutcome {
-            service: self.name(&path.service),
+    pub fn count_answer(&self, path: &RouteLabels, outcome: &str) {
+        let by = RouteOutcomeLabels {
+            service: self.service_label(&path.service),
             kind: path.kind,
             outcome: outcome.to_string(),
         };
@@ -259,31 +259,31 @@
     }
 
     /// Counts a final answer of this instance's own.
-    pub fn refusal(&self, reason: &'static str) {
-        self.refusals.get_or_create(&ByReason { reason }).inc();
+    pub fn count_refusal(&self, reason: &'static str) {
+        self.refusals.get_or_create(&ReasonLabels { reason }).inc();
     }
 
     /// Counts the end of an attempt.
-    pub fn attempt(&self, result: &str) {
+    pub fn count_attempt(&self, result: &str) {
         let result = result.to_string();
-        self.attempts.get_or_create(&By { result }).inc();
+        self.attempts.get_or_create(&ResultLabels { result }).inc();
     }
 
     /// Counts a call to the store.
     pub fn store(&self, call: &'static str, result: &'static str) {
-        self.store.get_or_create(&ByCall { call, result }).inc();
+        self.store.get_or_create(&CallLabels { call, result }).inc();
     }
 
     /// Counts an extra attempt that was asked for.
-    pub fn extra(&self, allowed: bool) {
+    pub fn count_extra(&self, allowed: bool) {
         let result = if allowed { "allowed" } else { "denied" }.to_string();
-        self.extras.get_or_create(&By { result }).inc();
+        self.extra_attempts.get_or_create(&ResultLabels { result }).inc();
     }
 
     /// Notes the time to a first event, or to a whole answer.
-    pub fn first(&self, path: &Path, took: Duration) {
-        let path = Path {
-            service: self.name(&path.service),
+    pub fn first(&self, path: &RouteLabels, took: Duration) {
+        let path = RouteLabels {
+            service: self.service_label(&path.service),
             kind: path.kind,
         };
         self.first.get_or_create(&path).observe(took.as_secs_f64());
@@ -295,50 +295,50 @@
     }
 
     /// Drops what is shown of services at a moment: one whose engines are gone would be shown as it was, for good.
-    pub fn forget_services(&self) {
+    pub fn clear_services(&self) {
         self.work.clear();
         self.budget.clear();
     }
 
     /// Shows the requests at the engines of a service.
     pub fn work(&self, service: &str, scope: &'static str, requests: u32) {
-        let service = self.name(service);
-        let work = self.work.get_or_create(&ByScope { service, scope });
+        let service = self.service_label(service);
+        let work = self.work.get_or_create(&ScopeLabels { service, scope });
         work.set(i64::from(requests));
     }
 
     /// Shows the extra attempts that are left for a service.
     pub fn budget(&self, service: &str, left: f64) {
-        let service = self.name(service);
-        self.budget.get_or_create(&ByService { service }).set(left);
+        let service = self.service_label(service);
+        self.budget.get_or_create(&ServiceLabels { service }).set(left);
     }
 
     /// The name that a service is shown by.
-    fn name(&self, service: &str) -> String {
+    fn service_label(&self, service: &str) -> String {
         let mut names = self
-            .names
+            .service_names
             .lock()
             .expect("no thread panics while it holds the names");
         if names.contains(service) || names.len() < MAX_SERVICES {
             names.insert(service.to_string());
             return service.to_string();
         }
-        OTHERS.to_string()
+        OTHER_SERVICES.to_string()
     }
 
     /// The page that a Prometheus server reads.
-    pub fn page(&self) -> String {
-        super::page(&self.registry)
+    pub fn render(&self) -> String {
+        super::render(&self.registry)
     }
 }
 
 /// Shows the log lines that were not written.
 #[derive(Debug)]
-struct Dropped(SharedBudget);
+struct DroppedLineCollector(SharedBudget);
 
-impl Collector for Dropped {
+impl Collector for DroppedLineCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        self.family(
+        self.encode_counters(
             &mut encoder,
             "log_lines_dropped",
             "Log lines that were not written, by event",
@@ -346,8 +346,13 @@
     }
 }
 
-impl Dropped {
-    fn family(&self, encoder: &mut DescriptorEncoder<'_>, name: &str, help: &str) -> Result<(), fmt::Error> {
+impl DroppedLineCollector {
+    fn encode_counters(
+        &self,
+        encoder: &mut DescriptorEncoder<'_>,
+        name: &str,
+        help: &str,
+    ) -> Result<(), fmt::Error> {
         let budget = self.0.lock().expect("no thread panics while it holds the budget");
         let mut family = encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
         for (event, count) in budget.dropped() {
--- a/src/util/metrics/traffic.rs
+++ b/src/util/metrics/traffic.rs
@@ -29,13 +29,13 @@
     /// Answers whose caller went away, by product.
     pub abandoned: Family<ProductLabels, Counter>,
     /// Pieces of answers that were late, doubled, crossed or of a closed attempt.
-    pub dropped: Counter,
+    pub dropped_pieces: Counter,
     /// Answers resumed on another engine, or for a caller that came back.
     pub resumes: Counter,
     /// Attempts that an engine was asked to stop.
     pub cancels: Counter,
     /// Streams under which an engine crashed or went silent.
-    pub crashed: Counter,
+    pub crashed_streams: Counter,
     /// Requests convicted here of crashing engines.
     pub convictions: Counter,
     first: Family<ProductLabels, Histogram, fn() -> Histogram>,
@@ -45,19 +45,19 @@
 
 /// Where the times of one answer's tokens are observed.
 #[derive(Debug, Clone)]
-pub struct AnswerTimes {
+pub struct TokenMetrics {
     first: Histogram,
     between: Histogram,
 }
 
-impl AnswerTimes {
+impl TokenMetrics {
     /// Observes the time to the first token.
-    pub fn first_token(&self, time: Duration) {
+    pub fn observe_first_token(&self, time: Duration) {
         self.first.observe(time.as_secs_f64());
     }
 
     /// Observes the time between two tokens.
-    pub fn between_tokens(&self, time: Duration) {
+    pub fn observe_token_gap(&self, time: Duration) {
         self.between.observe(time.as_secs_f64());
     }
 }
@@ -78,7 +78,7 @@
 }
 
 /// Buckets of 5 ms to 40 s, each twice the one before; 48 ms and 0.56 s, the users' goals, lie inside.
-fn seconds() -> Histogram {
+fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 2.0, 14))
 }
 
@@ -87,14 +87,14 @@
         TrafficMetrics {
             outcomes: Family::default(),
             abandoned: Family::default(),
-            dropped: Counter::default(),
+            dropped_pieces: Counter::default(),
             resumes: Counter::default(),
             cancels: Counter::default(),
-            crashed: Counter::default(),
+            crashed_streams: Counter::default(),
             convictions: Counter::default(),
-            first: Family::new_with_constructor(seconds),
-            between: Family::new_with_constructor(seconds),
-            queue: Family::new_with_constructor(seconds),
+            first: Family::new_with_constructor(latency_histogram),
+            between: Family::new_with_constructor(latency_histogram),
+            queue: Family::new_with_constructor(latency_histogram),
         }
     }
 }
@@ -114,7 +114,7 @@
         registry.register(
             "dropped_pieces",
             "Pieces of answers that were late, doubled, crossed or of a closed attempt",
-            self.dropped.clone(),
+            self.dropped_pieces.clone(),
         );
         registry.register(
             "resumes",
@@ -129,7 +129,7 @@
         registry.register(
             "crashed_streams",
             "Streams under which an engine crashed or went silent",
-            self.crashed.clone(),
+            self.crashed_streams.clone(),
         );
         registry.register(
             "convictions",
@@ -157,7 +157,7 @@
     }
 
     /// Counts a final answer.
-    pub fn outcome(&self, product: &Name, outcome: Outcome) {
+    pub fn count_outcome(&self, product: &Name, outcome: Outcome) {
         let labels = OutcomeLabels {
             product: product.to_string(),
             outcome: outcome.to_string(),
@@ -166,21 +166,21 @@
     }
 
     /// Counts an answer whose caller went away.
-    pub fn gone(&self, product: &Name) {
+    pub fn count_abandoned(&self, product: &Name) {
         self.abandoned.get_or_create(&ProductLabels::of(product)).inc();
     }
 
     /// The clocks of one answer to `product`. Looked up once, not for each token.
-    pub fn times(&self, product: &Name) -> AnswerTimes {
+    pub fn token_metrics(&self, product: &Name) -> TokenMetrics {
         let labels = ProductLabels::of(product);
-        AnswerTimes {
+        TokenMetrics {
             first: self.first.get_or_create(&labels).clone(),
             between: self.between.get_or_create(&labels).clone(),
         }
     }
 
     /// Observes the time until an engine took a request.
-    pub fn queued(&self, product: &Name, time: Duration) {
+    pub fn observe_queue_time(&self, product: &Name, time: Duration) {
         let histogram = self.queue.get_or_create(&ProductLabels::of(product));
         histogram.observe(time.as_secs_f64());
     }
--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -134,7 +134,7 @@
     let store = FakeStore::new();
     let api = api(&store, |_| 200).await;
     let shared = start(&api, &store, 0).await;
-    let held = || shared.metrics.leads.get() == 1;
+    let held = || shared.metrics.is_leader.get() == 1;
     super::until(held).await;
     store.next_write(Fate::LostUnanswered);
     let writes = store.calls().writes;
--- a/tests/testsuite/relay/metrics.rs
+++ b/tests/testsuite/relay/metrics.rs
@@ -1,6 +1,6 @@
 //! The page of metrics of an instance.
 
-use sequoiastream::util::metrics::Path;
+use sequoiastream::util::metrics::RouteLabels;
 use sequoiastream_core::relay::engines::Stage;
 use sequoiastream_core::relay::routes::RouteKind;
 
@@ -65,11 +65,11 @@
     let chat = "sequoiastream_relay_budget_left{service=\"others\"} 39.";
     assert!(samples.len() == 1 && samples[0].starts_with(chat), "{samples:?}");
     for number in 0..1_500 {
-        let path = Path {
+        let path = RouteLabels {
             service: format!("s{number}"),
             kind: "once",
         };
-        instance.shared.metrics.answer(&path, "answered");
+        instance.shared.metrics.count_answer(&path, "answered");
     }
     let names = ["sequoiastream_relay_answers"];
     let samples = self::samples(&instance, &names).await;
