--- a/src/bin/sequoiastream/commands/apply.rs
+++ b/src/bin/sequoiastream/commands/apply.rs
@@ -21,7 +21,7 @@
                 .value_parser(value_parser!(PathBuf))
                 .help("The file, or - for standard input"),
         )
-        .args(query::how())
+        .args(query::command_args())
 }
 
 /// Runs `apply`.
--- a/src/bin/sequoiastream/commands/query.rs
+++ b/src/bin/sequoiastream/commands/query.rs
@@ -20,11 +20,11 @@
                 .num_args(1..)
                 .help("The statement, such as: show engines where zone = lodi-a"),
         )
-        .args(how())
+        .args(command_args())
 }
 
 /// Options that say how a command is carried out; `apply` has them too.
-pub fn how() -> [Arg; 3] {
+pub fn command_args() -> [Arg; 3] {
     [
         Arg::new("id")
             .long("id")
@@ -46,7 +46,7 @@
     Request {
         text,
         id: args.get_one("id").copied(),
-        dry: args.get_flag("dry-run"),
+        dry_run: args.get_flag("dry-run"),
         wait: args.get_flag("wait"),
     }
 }
--- a/src/bin/sequoiastream/commands/status.rs
+++ b/src/bin/sequoiastream/commands/status.rs
@@ -10,7 +10,7 @@
 use crate::output;
 
 /// Newest changes shown.
-const CHANGES: usize = 3;
+const MAX_CHANGES: usize = 3;
 
 /// Command line of `status`.
 pub fn cli() -> Command {
@@ -22,20 +22,22 @@
     let services = context.table("show services").await?;
     let engines = context.table("show engines").await?;
     let products = context.table("show products").await?;
-    let changes = context.table(&format!("show changes limit {CHANGES}")).await?;
+    let changes = context
+        .table(&format!("show changes limit {MAX_CHANGES}"))
+        .await?;
     let summary = summary(&services, &engines);
     if context.is_json() {
         return context.print(&ReplyBody::Table(summary));
     }
-    println!("{}\n", output::table(&summary));
-    println!("{}\n", output::table(&products));
-    println!("{}", output::table(&changes));
+    println!("{}\n", output::format_table(&summary));
+    println!("{}\n", output::format_table(&products));
+    println!("{}", output::format_table(&changes));
     Ok(())
 }
 
 /// A row for each service: its engines by state.
 fn summary(services: &TableBody, engines: &TableBody) -> TableBody {
-    let states = states(engines);
+    let states = count_states(engines);
     let mut table = TableBody {
         columns: ["service", "kind", "serving", "draining"]
             .map(String::from)
@@ -57,7 +59,7 @@
 }
 
 /// How many engines of each service have each state.
-fn states(engines: &TableBody) -> BTreeMap<(&str, &str), usize> {
+fn count_states(engines: &TableBody) -> BTreeMap<(&str, &str), usize> {
     let column = |name: &str| engines.columns.iter().position(|c| c == name);
     let mut states = BTreeMap::new();
     let (Some(service), Some(state)) = (column("service"), column("state")) else {
--- a/src/bin/sequoiastream/context.rs
+++ b/src/bin/sequoiastream/context.rs
@@ -26,7 +26,7 @@
     /// Names the command; drawn anew if absent.
     pub id: Option<Uuid>,
     /// Only say what would change.
-    pub dry: bool,
+    pub dry_run: bool,
     /// Wait until all reachable instances have the change in force.
     pub wait: bool,
 }
@@ -54,7 +54,7 @@
             who: self.who.clone(),
             text: request.text,
             base: None,
-            dry: request.dry,
+            dry: request.dry_run,
             wait: request.wait,
         };
         let result = self.client.execute(&statement).await;
@@ -91,7 +91,7 @@
     pub fn print(&self, reply: &ReplyBody) -> eyre::Result<()> {
         match self.json {
             true => println!("{}", serde_json::to_string_pretty(reply)?),
-            false => println!("{}", output::text(reply)),
+            false => println!("{}", output::format_reply(reply)),
         }
         Ok(())
     }
--- a/src/bin/sequoiastream/main.rs
+++ b/src/bin/sequoiastream/main.rs
@@ -20,7 +20,7 @@
 const FAILED: u8 = 1;
 const REFUSED: u8 = 3;
 const CONFLICT: u8 = 4;
-const UNKNOWN: u8 = 5;
+const OUTCOME_UNKNOWN: u8 = 5;
 
 /// The whole command line.
 fn cli() -> Command {
@@ -30,20 +30,20 @@
         .after_help("See docs/GRAMMAR.md for the statements.")
         .subcommand_required(true)
         .arg(
-            global("server", "SEQUOIASTREAM_SERVER", "Any entry instance")
+            global_arg("server", "SEQUOIASTREAM_SERVER", "Any entry instance")
                 .default_value("http://127.0.0.1:8080"),
         )
-        .arg(global("token", "SEQUOIASTREAM_OPERATOR_TOKEN", "Operator token").hide_env_values(true))
-        .arg(global("who", "USER", "Your name in the audit trail").default_value("operator"))
+        .arg(global_arg("token", "SEQUOIASTREAM_OPERATOR_TOKEN", "Operator token").hide_env_values(true))
+        .arg(global_arg("who", "USER", "Your name in the audit trail").default_value("operator"))
         .arg(
-            global("format", "SEQUOIASTREAM_FORMAT", "How answers are written")
+            global_arg("format", "SEQUOIASTREAM_FORMAT", "How answers are written")
                 .value_parser(["table", "json"])
                 .default_value("table"),
         )
         .subcommands(commands::cli())
 }
 
-fn global(name: &'static str, env: &'static str, help: &'static str) -> Arg {
+fn global_arg(name: &'static str, env: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).env(env).help(help).global(true)
 }
 
@@ -74,10 +74,10 @@
         eprintln!("help: {help}");
     }
     ExitCode::from(match client {
-        ClientError::Unreachable { .. } => UNKNOWN,
+        ClientError::Unreachable { .. } => OUTCOME_UNKNOWN,
         ClientError::Malformed { .. } => FAILED,
         ClientError::Refused { status: 409, .. } => CONFLICT,
-        ClientError::Refused { status: 503, .. } => UNKNOWN,
+        ClientError::Refused { status: 503, .. } => OUTCOME_UNKNOWN,
         ClientError::Refused { .. } => REFUSED,
     })
 }
--- a/src/bin/sequoiastream/output.rs
+++ b/src/bin/sequoiastream/output.rs
@@ -7,17 +7,17 @@
 use sequoiastream_operator::wire::TableBody;
 
 /// An answer as text.
-pub fn text(reply: &ReplyBody) -> String {
+pub fn format_reply(reply: &ReplyBody) -> String {
     match reply {
-        ReplyBody::Table(body) => table(body),
-        ReplyBody::Accepted(body) => accepted(body),
+        ReplyBody::Table(body) => format_table(body),
+        ReplyBody::Accepted(body) => format_accepted(body),
         ReplyBody::Difference(body) if body.rows.is_empty() => "nothing would change".to_string(),
-        ReplyBody::Difference(body) => table(body),
+        ReplyBody::Difference(body) => format_table(body),
     }
 }
 
 /// A table without lines, its header in capitals.
-pub fn table(body: &TableBody) -> String {
+pub fn format_table(body: &TableBody) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING);
     table.set_header(body.columns.iter().map(|c| c.to_uppercase()));
@@ -30,7 +30,7 @@
     lines.join("\n")
 }
 
-fn accepted(body: &AcceptedBody) -> String {
+fn format_accepted(body: &AcceptedBody) -> String {
     let verb = if body.repeated {
         "was accepted before as"
     } else {
--- a/src/bin/sequoiastreamd/main.rs
+++ b/src/bin/sequoiastreamd/main.rs
@@ -16,11 +16,11 @@
             return ExitCode::from(2);
         }
     };
-    if settings.check {
+    if settings.check_only {
         println!("the settings are good");
         return ExitCode::SUCCESS;
     }
-    logging::init(settings.format);
+    logging::init(settings.log_format);
     match daemon::run(settings).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/ops/control/authority/drain.rs
+++ b/src/ops/control/authority/drain.rs
@@ -74,7 +74,7 @@
     pub async fn unhold(&self, engine: Name) {
         self.shared.unhold(&engine);
         let others = self.others().await.unwrap_or_default();
-        let timeout = self.shared.settings.lease / 10;
+        let timeout = self.shared.settings.lease_ttl / 10;
         let request = Request::Unhold(engine);
         let calls = others
             .values()
@@ -92,7 +92,7 @@
             engine: query.engine.clone(),
             sequence: query.sequence,
         });
-        let timeout = self.shared.settings.lease / 10;
+        let timeout = self.shared.settings.lease_ttl / 10;
         match self.call_client.call(*address, &request, timeout).await {
             Ok(Response::Settled(settlement)) => Some(Event::Settled {
                 engine: query.engine,
--- a/src/ops/control/authority/mod.rs
+++ b/src/ops/control/authority/mod.rs
@@ -214,7 +214,7 @@
 
     /// Creates the authority of a service, which does not hold the lease.
     fn new_authority(&self, service: &Name) -> ServiceAuthority {
-        let ttl = self.shared.settings.lease;
+        let ttl = self.shared.settings.lease_ttl;
         let settings = Settings {
             service: service.clone(),
             instance: self.shared.settings.name.clone(),
@@ -239,7 +239,7 @@
             self.kv.clone(),
             service.clone(),
             entry.watched_version,
-            self.shared.settings.wait,
+            self.shared.settings.watch_wait,
         );
         context.spawn(watch.into_actor(self).map(move |result, actor, context| {
             let Some(entry) = actor.authorities.get_mut(&service) else {
@@ -278,7 +278,7 @@
             Action::Probe(engine) => self.probe(service, engine, context),
             Action::Hold(engine) => {
                 let peers = self.peers.clone();
-                let hold = self.shared.settings.lease;
+                let hold = self.shared.settings.lease_ttl;
                 self.spawn_optional(service, async move { peers.hold(engine, hold).await }, context);
             }
             Action::Unhold(engine) => {
@@ -350,7 +350,7 @@
             service.clone(),
             name,
             previous,
-            self.shared.settings.lease,
+            self.shared.settings.lease_ttl,
         );
         let service = service.clone();
         context.spawn(acquire.into_actor(self).map(move |acquired, actor, context| {
@@ -548,7 +548,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Context<Self>) {
-        let tick = self.shared.settings.lease / TICKS_PER_LEASE;
+        let tick = self.shared.settings.lease_ttl / TICKS_PER_LEASE;
         context.run_interval(tick, |actor, context| actor.tick(context));
     }
 }
--- a/src/ops/control/claims.rs
+++ b/src/ops/control/claims.rs
@@ -121,7 +121,7 @@
 impl ClaimsActor {
     /// Creates an owner with no bucket in memory.
     pub fn new(shared: Arc<Shared>, kv: KvClient, call_client: CallClient) -> ClaimsActor {
-        let owner = Owner::new(shared.settings.grouping);
+        let owner = Owner::new(shared.settings.claim_grouping);
         ClaimsActor {
             shared,
             kv,
--- a/src/ops/control/config.rs
+++ b/src/ops/control/config.rs
@@ -136,7 +136,9 @@
     /// Watches the head; the next watch starts after this one has ended.
     fn watch(&mut self, context: &mut Context<Self>) {
         let settings = &self.shared.settings;
-        let wait = settings.wait.min(settings.limits.stale_after / STALE_DIVISOR);
+        let wait = settings
+            .watch_wait
+            .min(settings.limits.stale_after / STALE_DIVISOR);
         let (store, after) = (self.store.clone(), self.head_revision);
         let sent = clock::now();
         let watch = async move { store.watch_head(after, wait).await };
--- a/src/ops/control/load.rs
+++ b/src/ops/control/load.rs
@@ -78,7 +78,7 @@
         self.event_numbers
             .retain(|name, _| snapshot.engines.iter().any(|(_, e)| e.name == *name));
         let periods = local.len().div_ceil(ENGINES_PER_PERIOD).max(1) as u32;
-        context.run_later(self.shared.settings.poll * periods, LoadActor::tick);
+        context.run_later(self.shared.settings.load_interval * periods, LoadActor::tick);
     }
 
     /// Returns the engines of other zones that are next in turn.
--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -157,7 +157,7 @@
                     let fleet = actor.shared.roster().peers.len() + 1;
                     let spread =
                         Duration::from_secs(1) * u32::try_from(fleet / MAX_LIST_RATE).unwrap_or(u32::MAX);
-                    let pause = actor.shared.settings.lists.max(spread);
+                    let pause = actor.shared.settings.list_interval.max(spread);
                     context.run_later(pause, |actor, context| actor.read_lists(context));
                 }),
         );
--- a/src/ops/control/mod.rs
+++ b/src/ops/control/mod.rs
@@ -146,7 +146,7 @@
 /// Starts the actors on the current thread.
 fn start_actors(shared: Arc<Shared>, sockets: Sockets) -> eyre::Result<Control> {
     let settings = &shared.settings;
-    let key = ClusterKey::new(&settings.cluster);
+    let key = ClusterKey::new(&settings.cluster_key);
     let call_client = CallClient::new(key.clone());
     let datagrams = tokio::net::UdpSocket::from_std(sockets.datagrams)?;
     let socket = DatagramSocket::new(datagrams, key.clone(), settings.name.clone(), Uuid::now_v7());
@@ -189,7 +189,7 @@
     let client = KvClient::new(
         &settings.platform,
         &settings.name,
-        settings.deadline,
+        settings.kv_deadline,
         Uuid::new_v4(),
     );
     client.meter(shared.call_meter.clone())
--- a/src/ops/control/roles.rs
+++ b/src/ops/control/roles.rs
@@ -80,7 +80,7 @@
                 actor.plan(&service, context);
             }
         }));
-        let interval = (self.shared.settings.away / 3).clamp(PLAN_INTERVAL.0, PLAN_INTERVAL.1);
+        let interval = (self.shared.settings.role_downtime / 3).clamp(PLAN_INTERVAL.0, PLAN_INTERVAL.1);
         context.run_later(interval, RolesActor::tick);
     }
 
@@ -94,7 +94,7 @@
         self.planners.retain(|name, _| services.contains(name));
         for service in services {
             let planner = self.planners.entry(service.clone());
-            let planner = planner.or_insert_with(|| Planner::new(settings.policy, settings.away));
+            let planner = planner.or_insert_with(|| Planner::new(settings.policy, settings.role_downtime));
             let work = demand.get(service).copied().unwrap_or_default();
             planner.observe(now, work.scaled(1.0 + heard as f64));
         }
@@ -161,7 +161,7 @@
         PlannerInput {
             engines: statuses.collect(),
             change_weight: change_weight(snapshot),
-            max_age: self.shared.settings.poll * MAX_AGE_POLLS,
+            max_age: self.shared.settings.load_interval * MAX_AGE_POLLS,
             platform_reachable: roster.standing == Standing::Current,
         }
     }
--- a/src/ops/daemon.rs
+++ b/src/ops/daemon.rs
@@ -104,7 +104,7 @@
         _ = interrupt.recv() => {}
     }
     log_event!(info, log_event::STOPPING);
-    let mut shutdown = Shutdown::new(shared.settings.times);
+    let mut shutdown = Shutdown::new(shared.settings.shutdown_times);
     shutdown.begin(clock::now());
     shared.leave();
     control.membership.do_send(Leave);
--- a/src/ops/dispatch/addresses.rs
+++ b/src/ops/dispatch/addresses.rs
@@ -41,7 +41,7 @@
     addresses.truncate(MAX_ADDRESSES);
     Ok(AddressList {
         addresses,
-        keep: settings.times.address_ttl,
+        keep: settings.shutdown_times.address_ttl,
     })
 }
 
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -66,8 +66,8 @@
         .deadline
         .unwrap_or_else(|| admit::default_deadline(&snapshot, &call));
     let limits = Limits {
-        first_token: dispatch.shared.settings.patience.first,
-        between_tokens: dispatch.shared.settings.patience.between,
+        first_token: dispatch.shared.settings.timeouts.first_token,
+        between_tokens: dispatch.shared.settings.timeouts.between_tokens,
         deadline: now + limit,
         max_attempts: MAX_ATTEMPTS,
     };
--- a/src/ops/dispatch/mod.rs
+++ b/src/ops/dispatch/mod.rs
@@ -66,7 +66,7 @@
 impl Dispatch {
     /// Creates a dispatcher with its own connection pools.
     pub fn new(shared: Arc<Shared>, control: Control) -> Dispatch {
-        let peer_client = CallClient::new(ClusterKey::new(&shared.settings.cluster));
+        let peer_client = CallClient::new(ClusterKey::new(&shared.settings.cluster_key));
         Dispatch {
             shared,
             control,
@@ -139,7 +139,7 @@
     }
 
     fn body_time(&self) -> Duration {
-        self.shared.settings.patience.body
+        self.shared.settings.timeouts.body
     }
 
     fn models(&self) -> Vec<String> {
@@ -188,7 +188,7 @@
 impl Executor for Dispatch {
     fn authorize(&self, token: &str) -> bool {
         // Hashes are compared so that the time taken reveals nothing about the token.
-        blake3::hash(token.as_bytes()) == blake3::hash(self.shared.settings.token.as_bytes())
+        blake3::hash(token.as_bytes()) == blake3::hash(self.shared.settings.operator_token.as_bytes())
     }
 
     async fn execute(
--- a/src/ops/relay/counted.rs
+++ b/src/ops/relay/counted.rs
@@ -38,7 +38,7 @@
         async move {
             let answer = answer.await;
             let result = answer.as_ref().map_or_else(StoreError::label, |_| "answered");
-            self.shared.metrics.store(call, result);
+            self.shared.metrics.count_store_call(call, result);
             answer
         }
         .boxed_local()
--- a/src/ops/relay/forward.rs
+++ b/src/ops/relay/forward.rs
@@ -242,7 +242,7 @@
                 self.pool.keep(engine.entry.address, answer);
                 self.count(end.label());
                 let took = clock::now().since(self.incoming.arrived);
-                self.shared.metrics.first(&self.path(), took);
+                self.shared.metrics.observe_first_event(&self.path(), took);
                 Ok(response)
             }
             Err(failure) => Err(self.on_failure(&engine, &failure)),
@@ -332,9 +332,9 @@
         self.on_begun(now);
         let first = now.since(self.incoming.arrived);
         let requests = self.shared.traffic().load.work(now, engine.key).requests;
-        self.shared.metrics.first(&self.path(), first);
+        self.shared.metrics.observe_first_event(&self.path(), first);
         if let Some(predicted) = self.predicted.take() {
-            self.shared.metrics.error(first, predicted);
+            self.shared.metrics.observe_prediction_error(first, predicted);
         }
         log_event!(info, log_event::FORWARDED, request = self.id(), route = %self.route.name, engine = %engine.entry.id,
             first = first.as_millis() as u64, handover = now.since(started).as_millis() as u64, requests);
--- a/src/ops/relay/gauges.rs
+++ b/src/ops/relay/gauges.rs
@@ -34,10 +34,10 @@
         let fleet = sum(engines.iter().map(|e| traffic.load.work(now, e.key)));
         let slots: u32 = engines.iter().map(|e| e.entry.slots).sum();
         let remaining = traffic.budget.remaining(now, service, view.instances);
-        metrics.work(service, "own", own.requests);
-        metrics.work(service, "fleet", fleet.requests);
-        metrics.work(service, "slots", slots);
-        metrics.budget(service, remaining);
+        metrics.set_work(service, "own", own.requests);
+        metrics.set_work(service, "fleet", fleet.requests);
+        metrics.set_work(service, "slots", slots);
+        metrics.set_retry_budget(service, remaining);
     }
     drop(traffic);
     metrics.render()
--- a/src/ops/shared.rs
+++ b/src/ops/shared.rs
@@ -73,7 +73,7 @@
         let router = router(&settings);
         let policy = PolicyState::new(&settings);
         let crash_records = CrashRecords::new(settings.name.clone());
-        let call_meter = Arc::new(CallMeter::new(settings.rate));
+        let call_meter = Arc::new(CallMeter::new(settings.kv_rate));
         Shared {
             settings,
             snapshot: ArcSwap::default(),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -26,13 +26,13 @@
 use sequoiastream_core::shutdown::ShutdownTimes;
 use thiserror::Error;
 
-pub use patience::Patience;
+pub use patience::Timeouts;
 
 /// Shortest operator token and cluster key, in bytes.
-const MIN_SECRET: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
 /// Beginning of the environment variables.
-const PREFIX: &str = "SEQUOIASTREAM_";
+const ENV_PREFIX: &str = "SEQUOIASTREAM_";
 
 /// How log lines are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,8 +45,8 @@
 
 impl LogFormat {
     /// The format that `word` names; text for any but `json`.
-    pub fn of(word: &str) -> LogFormat {
-        match word {
+    pub fn from_name(name: &str) -> LogFormat {
+        match name {
             "json" => LogFormat::Json,
             _ => LogFormat::Text,
         }
@@ -67,39 +67,39 @@
     /// Base address of the platform.
     pub platform: String,
     /// What operators authenticate with.
-    pub token: String,
+    pub operator_token: String,
     /// Key of the messages between instances.
-    pub cluster: String,
+    pub cluster_key: String,
     /// Threads for traffic.
     pub workers: usize,
     /// Deadline of a call to the platform.
-    pub deadline: Duration,
+    pub kv_deadline: Duration,
     /// How long a watch waits.
-    pub wait: Duration,
+    pub watch_wait: Duration,
     /// Calls a second to the platform that this instance may make.
-    pub rate: u32,
+    pub kv_rate: u32,
     /// How long the lease of a service's authority lasts after its last renewal.
-    pub lease: Duration,
+    pub lease_ttl: Duration,
     /// How claims are grouped into writes.
-    pub grouping: OwnerSettings,
+    pub claim_grouping: OwnerSettings,
     /// How requests are routed and roles changed.
     pub policy: Policy,
     /// How often engines are asked for their load.
-    pub poll: Duration,
+    pub load_interval: Duration,
     /// How long a role change takes an engine away.
-    pub away: Duration,
+    pub role_downtime: Duration,
     /// Limits of membership.
     pub limits: Limits,
     /// Time between two looks at the platform's lists.
-    pub lists: Duration,
+    pub list_interval: Duration,
     /// Times of a shutdown.
-    pub times: ShutdownTimes,
+    pub shutdown_times: ShutdownTimes,
     /// How long engines and callers may be silent.
-    pub patience: Patience,
+    pub timeouts: Timeouts,
     /// How log lines are written.
-    pub format: LogFormat,
+    pub log_format: LogFormat,
     /// Only check the settings.
-    pub check: bool,
+    pub check_only: bool,
 }
 
 impl fmt::Debug for Settings {
@@ -129,12 +129,12 @@
         .version(env!("CARGO_PKG_VERSION"))
         .about("Entry instance of sequoiastream")
         .after_help("Each flag can be given as an environment variable. Secrets are best given so.")
-        .args(under("Instance", identity::args()))
-        .args(under("Platform", platform::args()))
-        .args(under("Traffic", traffic::args()))
-        .args(under("Engines and callers", patience::args()))
-        .args(under("Membership", limits::args()))
-        .args(under("Shutdown", times::args()))
+        .args(with_heading("Instance", identity::args()))
+        .args(with_heading("Platform", platform::args()))
+        .args(with_heading("Traffic", traffic::args()))
+        .args(with_heading("Engines and callers", patience::args()))
+        .args(with_heading("Membership", limits::args()))
+        .args(with_heading("Shutdown", times::args()))
         .arg(
             Arg::new("check")
                 .long("check")
@@ -144,19 +144,19 @@
 }
 
 /// Puts `args` under a heading of the help.
-fn under(heading: &'static str, args: Vec<Arg>) -> impl Iterator<Item = Arg> {
+fn with_heading(heading: &'static str, args: Vec<Arg>) -> impl Iterator<Item = Arg> {
     args.into_iter().map(move |arg| arg.help_heading(heading))
 }
 
 /// A flag that is also read from the environment variable `SEQUOIASTREAM_NAME`.
-fn text(name: &'static str, help: &'static str) -> Arg {
-    let variable = format!("{PREFIX}{}", name.to_ascii_uppercase().replace('-', "_"));
+fn text_arg(name: &'static str, help: &'static str) -> Arg {
+    let variable = format!("{ENV_PREFIX}{}", name.to_ascii_uppercase().replace('-', "_"));
     Arg::new(name).long(name).env(variable).help(help)
 }
 
 /// The same, with a whole number.
-fn number(name: &'static str, help: &'static str, default: &'static str) -> Arg {
-    text(name, help)
+fn number_arg(name: &'static str, help: &'static str, default: &'static str) -> Arg {
+    text_arg(name, help)
         .default_value(default)
         .value_parser(value_parser!(u64))
 }
@@ -177,22 +177,22 @@
         let listen = reader.parsed::<SocketAddr>("listen");
         let peer = reader.parsed::<SocketAddr>("peer");
         let platform = reader.platform();
-        let token = reader.secret("operator-token");
-        let cluster = reader.secret("cluster-key");
+        let operator_token = reader.secret("operator-token");
+        let cluster_key = reader.secret("cluster-key");
         let workers = reader.positive("workers");
-        let deadline = reader.positive("kv-deadline-ms");
-        let wait = reader.positive("watch-ms");
-        let rate = reader.positive("kv-rate");
-        let lease = reader.positive("lease-ms");
-        let grouping = traffic::grouping(matches);
-        let poll = reader.positive("load-ms");
-        let away = reader.positive("away-ms");
+        let kv_deadline = reader.positive("kv-deadline-ms");
+        let watch_wait = reader.positive("watch-ms");
+        let kv_rate = reader.positive("kv-rate");
+        let lease_ttl = reader.positive("lease-ms");
+        let claim_grouping = traffic::claim_grouping(matches);
+        let load_interval = reader.positive("load-ms");
+        let role_downtime = reader.positive("away-ms");
         let policy = reader.parsed::<Policy>("policy").unwrap_or_default();
         let limits = limits::limits(&mut reader);
-        let lists = limits::lists(&mut reader);
-        let times = times::times(&mut reader);
-        let patience = patience::patience(&mut reader);
-        let format = LogFormat::of(&reader.text("log-format"));
+        let list_interval = limits::list_interval(&mut reader);
+        let shutdown_times = times::shutdown_times(&mut reader);
+        let timeouts = patience::timeouts(&mut reader);
+        let log_format = LogFormat::from_name(&reader.text("log-format"));
         let faults = reader.faults;
         let (Some(name), Some(zone), Some(listen), Some(peer), true) =
             (name, zone, listen, peer, faults.is_empty())
@@ -205,23 +205,23 @@
             listen,
             peer,
             platform,
-            token,
-            cluster,
+            operator_token,
+            cluster_key,
             workers: usize::try_from(workers).unwrap_or(1),
-            deadline: Duration::from_millis(deadline),
-            wait: Duration::from_millis(wait),
-            rate: u32::try_from(rate).unwrap_or(u32::MAX),
-            lease: Duration::from_millis(lease),
-            grouping,
+            kv_deadline: Duration::from_millis(kv_deadline),
+            watch_wait: Duration::from_millis(watch_wait),
+            kv_rate: u32::try_from(kv_rate).unwrap_or(u32::MAX),
+            lease_ttl: Duration::from_millis(lease_ttl),
+            claim_grouping,
             policy,
-            poll: Duration::from_millis(poll),
-            away: Duration::from_millis(away),
+            load_interval: Duration::from_millis(load_interval),
+            role_downtime: Duration::from_millis(role_downtime),
             limits,
-            lists,
-            times,
-            patience,
-            format,
-            check: matches.get_flag("check"),
+            list_interval,
+            shutdown_times,
+            timeouts,
+            log_format,
+            check_only: matches.get_flag("check"),
         })
     }
 }
@@ -273,9 +273,9 @@
 
     fn secret(&mut self, name: &str) -> String {
         let text = self.text(name);
-        if !text.is_empty() && text.len() < MIN_SECRET {
+        if !text.is_empty() && text.len() < MIN_SECRET_BYTES {
             self.faults
-                .push(format!("--{name} must have at least {MIN_SECRET} bytes"));
+                .push(format!("--{name} must have at least {MIN_SECRET_BYTES} bytes"));
         }
         text
     }
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -8,35 +8,35 @@
 use sequoiastream_core::membership::PartitionPolicy;
 
 use crate::settings::Reader;
-use crate::settings::number;
-use crate::settings::text;
+use crate::settings::number_arg;
+use crate::settings::text_arg;
 
 /// Flags that [`limits`] and [`lists`] read.
 pub fn args() -> Vec<Arg> {
     vec![
-        number("heartbeat-ms", "Time between two heartbeats", "1000"),
-        number(
+        number_arg("heartbeat-ms", "Time between two heartbeats", "1000"),
+        number_arg(
             "silent-ms",
             "An instance not heard of for so long is not named to callers",
             "5000",
         ),
-        number(
+        number_arg(
             "stale-ms",
             "Longest time for which the configuration known here may go unconfirmed",
             "15000",
         ),
-        number(
+        number_arg(
             "asleep-ms",
             "An instance that did not run for so long takes no new work until it knows anew how things stand",
             "2000",
         ),
-        text(
+        text_arg(
             "on-cut",
             "What instances do that hear each other, but neither the platform nor all others",
         )
         .value_parser(["stop", "serve"])
         .default_value("stop"),
-        number(
+        number_arg(
             "list-ms",
             "Time between two looks at the platform's lists in a small fleet",
             "1000",
@@ -52,7 +52,7 @@
         silent_after: millis("silent-ms"),
         stale_after: millis("stale-ms"),
         pause_limit: millis("asleep-ms"),
-        partition_policy: rule(reader.matches),
+        partition_policy: partition_policy(reader.matches),
         ..Limits::default()
     };
     if limits.silent_after < limits.interval * 2 {
@@ -73,11 +73,11 @@
 }
 
 /// Time between two looks at the platform's lists.
-pub fn lists(reader: &mut Reader<'_>) -> Duration {
+pub fn list_interval(reader: &mut Reader<'_>) -> Duration {
     Duration::from_millis(reader.positive("list-ms"))
 }
 
-fn rule(matches: &ArgMatches) -> PartitionPolicy {
+fn partition_policy(matches: &ArgMatches) -> PartitionPolicy {
     match matches.get_one::<String>("on-cut").map(String::as_str) {
         Some("serve") => PartitionPolicy::Serve,
         _ => PartitionPolicy::Stop,
--- a/src/settings/patience.rs
+++ b/src/settings/patience.rs
@@ -5,15 +5,15 @@
 use clap::Arg;
 
 use crate::settings::Reader;
-use crate::settings::number;
+use crate::settings::number_arg;
 
 /// How long engines and callers may be silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct Timeouts {
     /// An engine until the first token of an attempt, which is then given up and resumed elsewhere.
-    pub first: Duration,
+    pub first_token: Duration,
     /// An engine between two tokens, likewise.
-    pub between: Duration,
+    pub between_tokens: Duration,
     /// A caller until the whole body of its request has arrived.
     pub body: Duration,
 }
@@ -21,17 +21,17 @@
 /// Flags that [`patience`] reads.
 pub fn args() -> Vec<Arg> {
     vec![
-        number(
+        number_arg(
             "first-token-ms",
             "How long an engine may take to an attempt's first token",
             "15000",
         ),
-        number(
+        number_arg(
             "between-tokens-ms",
             "How long an engine may be silent between two tokens",
             "5000",
         ),
-        number(
+        number_arg(
             "body-ms",
             "How long a caller may take to send the body of a request",
             "10000",
@@ -40,11 +40,11 @@
 }
 
 /// How long engines and callers may be silent.
-pub fn patience(reader: &mut Reader<'_>) -> Patience {
+pub fn timeouts(reader: &mut Reader<'_>) -> Timeouts {
     let mut millis = |name: &str| Duration::from_millis(reader.positive(name));
-    Patience {
-        first: millis("first-token-ms"),
-        between: millis("between-tokens-ms"),
+    Timeouts {
+        first_token: millis("first-token-ms"),
+        between_tokens: millis("between-tokens-ms"),
         body: millis("body-ms"),
     }
 }
--- a/src/settings/times.rs
+++ b/src/settings/times.rs
@@ -6,23 +6,23 @@
 use sequoiastream_core::shutdown::ShutdownTimes;
 
 use crate::settings::Reader;
-use crate::settings::number;
+use crate::settings::number_arg;
 
 /// Flags that [`times`] reads.
 pub fn args() -> Vec<Arg> {
     vec![
-        number("keep-ms", "How long callers keep an address", "10000"),
-        number(
+        number_arg("keep-ms", "How long callers keep an address", "10000"),
+        number_arg(
             "margin-ms",
             "How much longer a leaving instance serves new work",
             "2000",
         ),
-        number(
+        number_arg(
             "refuse-ms",
             "Shortest time for which it then refuses new work before it closes",
             "1000",
         ),
-        number(
+        number_arg(
             "drain-ms",
             "Longest time for which it awaits running work",
             "60000",
@@ -31,7 +31,7 @@
 }
 
 /// Times of a shutdown.
-pub fn times(reader: &mut Reader<'_>) -> ShutdownTimes {
+pub fn shutdown_times(reader: &mut Reader<'_>) -> ShutdownTimes {
     let mut millis = |name: &str| Duration::from_millis(reader.positive(name));
     ShutdownTimes {
         address_ttl: millis("keep-ms"),
--- a/src/settings/traffic.rs
+++ b/src/settings/traffic.rs
@@ -6,8 +6,8 @@
 use clap::ArgMatches;
 use sequoiastream_core::claims::OwnerSettings;
 
-use crate::settings::number;
-use crate::settings::text;
+use crate::settings::number_arg;
+use crate::settings::text_arg;
 
 /// Values of `--policy`.
 const POLICIES: [&str; 5] = ["adaptive", "fixed", "threshold", "least-load", "round-robin"];
@@ -15,19 +15,19 @@
 /// Flags of routing, role changes and claims.
 pub fn args() -> Vec<Arg> {
     vec![
-        text(
+        text_arg(
             "policy",
             "How requests are routed and roles changed; all but `adaptive` are baselines",
         )
         .value_parser(POLICIES)
         .default_value("adaptive"),
-        number("load-ms", "How often engines are asked for their load", "500"),
-        number(
+        number_arg("load-ms", "How often engines are asked for their load", "500"),
+        number_arg(
             "away-ms",
             "How long a role change takes an engine away; the planner's times follow from it",
             "3000",
         ),
-        number(
+        number_arg(
             "claim-pace-ms",
             "Least time between two writes of a claim bucket; 0 writes each claim by itself",
             "80",
@@ -36,7 +36,7 @@
 }
 
 /// How claims are grouped into writes.
-pub fn grouping(matches: &ArgMatches) -> OwnerSettings {
+pub fn claim_grouping(matches: &ArgMatches) -> OwnerSettings {
     match matches.get_one::<u64>("claim-pace-ms").copied() {
         Some(0) => OwnerSettings::ungrouped(),
         Some(millis) => OwnerSettings {
--- a/src/util/metrics/relay.rs
+++ b/src/util/metrics/relay.rs
@@ -82,12 +82,12 @@
     answers: Family<RouteOutcomeLabels, Counter>,
     refusals: Family<ReasonLabels, Counter>,
     attempts: Family<ResultLabels, Counter>,
-    store: Family<CallLabels, Counter>,
+    store_calls: Family<CallLabels, Counter>,
     extra_attempts: Family<ResultLabels, Counter>,
-    budget: Family<ServiceLabels, Gauge<f64, AtomicU64>>,
+    budget_left: Family<ServiceLabels, Gauge<f64, AtomicU64>>,
     work: Family<ScopeLabels, Gauge>,
-    first: Family<RouteLabels, Histogram, fn() -> Histogram>,
-    error: Histogram,
+    first_event: Family<RouteLabels, Histogram, fn() -> Histogram>,
+    prediction_error: Histogram,
     /// Seconds since the store confirmed what is known of it.
     pub store_age: Gauge<f64, AtomicU64>,
     /// Seconds since the peer that was silent longest told of its work.
@@ -124,18 +124,18 @@
             answers: Family::default(),
             refusals: Family::default(),
             attempts: Family::default(),
-            store: Family::default(),
+            store_calls: Family::default(),
             extra_attempts: Family::default(),
-            budget: Family::default(),
+            budget_left: Family::default(),
             work: Family::default(),
-            first: Family::new_with_constructor(|| Histogram::new(FIRST_EVENT_BUCKETS)),
+            first_event: Family::new_with_constructor(|| Histogram::new(FIRST_EVENT_BUCKETS)),
             store_age: Gauge::default(),
             peers_age: Gauge::default(),
             watcher: Gauge::default(),
             proof_age: Gauge::default(),
             is_leader: Gauge::default(),
             service_names: Mutex::default(),
-            error: Histogram::new(PREDICTION_ERROR_BUCKETS),
+            prediction_error: Histogram::new(PREDICTION_ERROR_BUCKETS),
             running: Gauge::default(),
             config_version: Gauge::default(),
             engines: Gauge::default(),
@@ -175,13 +175,13 @@
             "relay_first_event",
             "From a request's arrival to its first event, or its whole answer",
             Unit::Seconds,
-            self.first.clone(),
+            self.first_event.clone(),
         );
         registry.register_with_unit(
             "relay_prediction_error",
             "First event less its prediction",
             Unit::Seconds,
-            self.error.clone(),
+            self.prediction_error.clone(),
         );
         self.register_work(registry);
         self.register_knowledge(registry);
@@ -198,7 +198,7 @@
         registry.register(
             "relay_budget_left",
             "Extra attempts that this instance may still make",
-            self.budget.clone(),
+            self.budget_left.clone(),
         );
     }
 
@@ -206,7 +206,7 @@
         registry.register(
             "relay_store_calls",
             "Calls to the store, by kind and result",
-            self.store.clone(),
+            self.store_calls.clone(),
         );
         registry.register_with_unit(
             "relay_store_age",
@@ -270,8 +270,8 @@
     }
 
     /// Counts a call to the store.
-    pub fn store(&self, call: &'static str, result: &'static str) {
-        self.store.get_or_create(&CallLabels { call, result }).inc();
+    pub fn count_store_call(&self, call: &'static str, result: &'static str) {
+        self.store_calls.get_or_create(&CallLabels { call, result }).inc();
     }
 
     /// Counts an extra attempt that was asked for.
@@ -281,36 +281,39 @@
     }
 
     /// Notes the time to a first event, or to a whole answer.
-    pub fn first(&self, path: &RouteLabels, took: Duration) {
+    pub fn observe_first_event(&self, path: &RouteLabels, took: Duration) {
         let path = RouteLabels {
             service: self.service_label(&path.service),
             kind: path.kind,
         };
-        self.first.get_or_create(&path).observe(took.as_secs_f64());
+        self.first_event.get_or_create(&path).observe(took.as_secs_f64());
     }
 
     /// Notes a first event against its prediction.
-    pub fn error(&self, took: Duration, predicted: Duration) {
-        self.error.observe(took.as_secs_f64() - predicted.as_secs_f64());
+    pub fn observe_prediction_error(&self, took: Duration, predicted: Duration) {
+        self.prediction_error
+            .observe(took.as_secs_f64() - predicted.as_secs_f64());
     }
 
     /// Drops what is shown of services at a moment: one whose engines are gone would be shown as it was, for good.
     pub fn clear_services(&self) {
         self.work.clear();
-        self.budget.clear();
+        self.budget_left.clear();
     }
 
     /// Shows the requests at the engines of a service.
-    pub fn work(&self, service: &str, scope: &'static str, requests: u32) {
+    pub fn set_work(&self, service: &str, scope: &'static str, requests: u32) {
         let service = self.service_label(service);
         let work = self.work.get_or_create(&ScopeLabels { service, scope });
         work.set(i64::from(requests));
     }
 
     /// Shows the extra attempts that are left for a service.
-    pub fn budget(&self, service: &str, left: f64) {
+    pub fn set_retry_budget(&self, service: &str, left: f64) {
         let service = self.service_label(service);
-        self.budget.get_or_create(&ServiceLabels { service }).set(left);
+        self.budget_left
+            .get_or_create(&ServiceLabels { service })
+            .set(left);
     }
 
     /// The name that a service is shown by.
--- a/src/util/metrics/traffic.rs
+++ b/src/util/metrics/traffic.rs
@@ -38,27 +38,27 @@
     pub crashed_streams: Counter,
     /// Requests convicted here of crashing engines.
     pub convictions: Counter,
-    first: Family<ProductLabels, Histogram, fn() -> Histogram>,
-    between: Family<ProductLabels, Histogram, fn() -> Histogram>,
-    queue: Family<ProductLabels, Histogram, fn() -> Histogram>,
+    first_token: Family<ProductLabels, Histogram, fn() -> Histogram>,
+    between_tokens: Family<ProductLabels, Histogram, fn() -> Histogram>,
+    queue_time: Family<ProductLabels, Histogram, fn() -> Histogram>,
 }
 
 /// Where the times of one answer's tokens are observed.
 #[derive(Debug, Clone)]
 pub struct TokenMetrics {
-    first: Histogram,
-    between: Histogram,
+    first_token: Histogram,
+    between_tokens: Histogram,
 }
 
 impl TokenMetrics {
     /// Observes the time to the first token.
     pub fn observe_first_token(&self, time: Duration) {
-        self.first.observe(time.as_secs_f64());
+        self.first_token.observe(time.as_secs_f64());
     }
 
     /// Observes the time between two tokens.
     pub fn observe_token_gap(&self, time: Duration) {
-        self.between.observe(time.as_secs_f64());
+        self.between_tokens.observe(time.as_secs_f64());
     }
 }
 
@@ -92,9 +92,9 @@
             cancels: Counter::default(),
             crashed_streams: Counter::default(),
             convictions: Counter::default(),
-            first: Family::new_with_constructor(latency_histogram),
-            between: Family::new_with_constructor(latency_histogram),
-            queue: Family::new_with_constructor(latency_histogram),
+            first_token: Family::new_with_constructor(latency_histogram),
+            between_tokens: Family::new_with_constructor(latency_histogram),
+            queue_time: Family::new_with_constructor(latency_histogram),
         }
     }
 }
@@ -140,19 +140,19 @@
             "first_token",
             "Time from a request's arrival to the first token, by product",
             Unit::Seconds,
-            self.first.clone(),
+            self.first_token.clone(),
         );
         registry.register_with_unit(
             "between_tokens",
             "Time between two tokens of an answer, by product",
             Unit::Seconds,
-            self.between.clone(),
+            self.between_tokens.clone(),
         );
         registry.register_with_unit(
             "queue",
             "Time from a request's arrival until an engine took it, by product",
             Unit::Seconds,
-            self.queue.clone(),
+            self.queue_time.clone(),
         );
     }
 
@@ -174,14 +174,14 @@
     pub fn token_metrics(&self, product: &Name) -> TokenMetrics {
         let labels = ProductLabels::of(product);
         TokenMetrics {
-            first: self.first.get_or_create(&labels).clone(),
-            between: self.between.get_or_create(&labels).clone(),
+            first_token: self.first_token.get_or_create(&labels).clone(),
+            between_tokens: self.between_tokens.get_or_create(&labels).clone(),
         }
     }
 
     /// Observes the time until an engine took a request.
     pub fn observe_queue_time(&self, product: &Name, time: Duration) {
-        let histogram = self.queue.get_or_create(&ProductLabels::of(product));
+        let histogram = self.queue_time.get_or_create(&ProductLabels::of(product));
         histogram.observe(time.as_secs_f64());
     }
 }
--- a/tests/testsuite/relay/metrics.rs
+++ b/tests/testsuite/relay/metrics.rs
@@ -57,7 +57,10 @@
 async fn page_bounded() {
     let instance = Instance::start(RouteKind::Idempotent, &[], |_| {});
     for number in 0..1_500 {
-        instance.shared.metrics.budget(&format!("s{number}"), 1.0);
+        instance
+            .shared
+            .metrics
+            .set_retry_budget(&format!("s{number}"), 1.0);
     }
     let names = ["sequoiastream_relay_budget_left"];
     let samples = samples(&instance, &names).await;
