--- a/src/bin/sequoiastream/commands/apply.rs
+++ b/src/bin/sequoiastream/commands/apply.rs
@@ -14,12 +14,12 @@
 /// Command line of `apply`.
 pub fn cli() -> Command {
     Command::new("apply")
-        .about("Gives the commands of a file, all or none of them")
+        .about("Executes the commands of a file, either all or none of them")
         .arg(
             Arg::new("file")
                 .required(true)
                 .value_parser(value_parser!(PathBuf))
-                .help("The file, or - for standard input"),
+                .help("The file, or `-` for standard input"),
         )
         .args(query::command_args())
 }
--- a/src/bin/sequoiastream/commands/audit.rs
+++ b/src/bin/sequoiastream/commands/audit.rs
@@ -16,7 +16,7 @@
             Arg::new("by")
                 .long("by")
                 .value_name("NAME")
-                .help("Only changes of this operator"),
+                .help("Show only changes by this operator"),
         )
         .arg(
             Arg::new("limit")
@@ -24,7 +24,7 @@
                 .value_name("ROWS")
                 .value_parser(value_parser!(u32).range(1..))
                 .default_value("20")
-                .help("Most changes to show"),
+                .help("Maximum number of changes to show"),
         )
 }
 
--- a/src/bin/sequoiastream/commands/completions.rs
+++ b/src/bin/sequoiastream/commands/completions.rs
@@ -18,9 +18,9 @@
         )
 }
 
-/// Runs `completions` for the command line `whole`.
-pub fn exec(args: &ArgMatches, mut whole: Command) -> eyre::Result<()> {
+/// Runs `completions` for `command`, the complete command line.
+pub fn exec(args: &ArgMatches, mut command: Command) -> eyre::Result<()> {
     let shell = *args.get_one::<Shell>("shell").expect("is required");
-    generate(shell, &mut whole, "sequoiastream", &mut std::io::stdout());
+    generate(shell, &mut command, "sequoiastream", &mut std::io::stdout());
     Ok(())
 }
--- a/src/bin/sequoiastream/commands/explain.rs
+++ b/src/bin/sequoiastream/commands/explain.rs
@@ -13,12 +13,12 @@
 /// Command line of `explain`.
 pub fn cli() -> Command {
     Command::new("explain")
-        .about("Tells what became of a request, out of the logs of the instances")
+        .about("Shows the history of a request, from the logs of the instances")
         .arg(
             Arg::new("request")
                 .value_name("REQUEST-ID")
                 .required(true)
-                .help("The id that the caller sent"),
+                .help("The request id that the caller sent"),
         )
         .arg(
             Arg::new("file")
@@ -26,7 +26,7 @@
                 .required(true)
                 .num_args(1..)
                 .value_parser(value_parser!(PathBuf))
-                .help("Logs of the instances, JSON lines"),
+                .help("Log files of the instances, in JSON lines"),
         )
 }
 
--- a/src/bin/sequoiastream/commands/mod.rs
+++ b/src/bin/sequoiastream/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands: one file each, with `cli()` and `exec()`.
+//! The subcommands, one file each with a `cli()` and an `exec()`.
 
 mod apply;
 mod audit;
@@ -26,12 +26,12 @@
     ]
 }
 
-/// Runs the subcommand `name` of the command line `whole`.
-pub async fn exec(name: &str, context: &Context, args: &ArgMatches, whole: Command) -> eyre::Result<()> {
+/// Runs the subcommand `name` of `command`, the complete command line.
+pub async fn exec(name: &str, context: &Context, args: &ArgMatches, command: Command) -> eyre::Result<()> {
     match name {
         "apply" => apply::exec(context, args).await,
         "audit" => audit::exec(context, args).await,
-        "completions" => completions::exec(args, whole),
+        "completions" => completions::exec(args, command),
         "explain" => explain::exec(args),
         "status" => status::exec(context).await,
         "watch" => watch::exec(context, args).await,
--- a/src/bin/sequoiastream/commands/query.rs
+++ b/src/bin/sequoiastream/commands/query.rs
@@ -13,7 +13,7 @@
 /// Command line of `query`.
 pub fn cli() -> Command {
     Command::new("query")
-        .about("Gives one statement: a query or a command")
+        .about("Executes one statement: a query or a command")
         .arg(
             Arg::new("statement")
                 .required(true)
@@ -23,25 +23,25 @@
         .args(command_args())
 }
 
-/// Options that say how a command is carried out; `apply` has them too.
+/// Options for the execution of a command; `apply` has them too.
 pub fn command_args() -> [Arg; 3] {
     [
         Arg::new("id")
             .long("id")
             .value_parser(value_parser!(Uuid))
-            .help("Gives a command again under the id that it had: it takes effect at most once"),
+            .help("Repeats a command with its previous id: it takes effect at most once"),
         Arg::new("dry-run")
             .long("dry-run")
             .action(ArgAction::SetTrue)
-            .help("Only says what would change"),
+            .help("Shows what would change, without changing it"),
         Arg::new("wait")
             .long("wait")
             .action(ArgAction::SetTrue)
-            .help("Waits until every reachable instance has the change in force"),
+            .help("Waits until the change is in force on every reachable instance"),
     ]
 }
 
-/// The request to carry out `text` as the options say.
+/// The request to execute `text` with the options in `args`.
 pub fn request(text: String, args: &ArgMatches) -> Request {
     Request {
         text,
--- a/src/bin/sequoiastream/commands/status.rs
+++ b/src/bin/sequoiastream/commands/status.rs
@@ -9,12 +9,12 @@
 use crate::context::Context;
 use crate::output;
 
-/// Newest changes shown.
+/// Number of latest changes shown.
 const MAX_CHANGES: usize = 3;
 
 /// Command line of `status`.
 pub fn cli() -> Command {
-    Command::new("status").about("Shows the fleet on one screen")
+    Command::new("status").about("Shows a summary of the fleet")
 }
 
 /// Runs `status`.
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// A row for each service: its engines by state.
+/// One row per service, with the number of its engines in each state.
 fn summary(services: &TableBody, engines: &TableBody) -> TableBody {
     let states = count_states(engines);
     let mut table = TableBody {
@@ -58,7 +58,7 @@
     table
 }
 
-/// How many engines of each service have each state.
+/// Number of engines by service and state.
 fn count_states(engines: &TableBody) -> BTreeMap<(&str, &str), usize> {
     let column = |name: &str| engines.columns.iter().position(|c| c == name);
     let mut states = BTreeMap::new();
--- a/src/bin/sequoiastream/commands/watch.rs
+++ b/src/bin/sequoiastream/commands/watch.rs
@@ -13,7 +13,7 @@
 /// Command line of `watch`.
 pub fn cli() -> Command {
     Command::new("watch")
-        .about("Repeats a query and prints its answer whenever it changed, until interrupted")
+        .about("Repeats a query and prints its result whenever it has changed, until interrupted")
         .arg(
             Arg::new("query")
                 .num_args(1..)
@@ -26,14 +26,14 @@
                 .value_name("SECONDS")
                 .value_parser(value_parser!(u64).range(1..))
                 .default_value("2")
-                .help("Seconds between two looks"),
+                .help("Interval between queries, in seconds"),
         )
         .arg(
             Arg::new("times")
                 .long("times")
                 .value_name("COUNT")
                 .value_parser(value_parser!(u64).range(1..))
-                .help("Ends after so many looks"),
+                .help("Exits after this number of queries"),
         )
 }
 
@@ -44,8 +44,8 @@
     let every = Duration::from_secs(*args.get_one("every").expect("has a default"));
     let times = args.get_one::<u64>("times").copied().unwrap_or(u64::MAX);
     let mut last = None;
-    for look in 0..times {
-        if look > 0 {
+    for index in 0..times {
+        if index > 0 {
             tokio::time::sleep(every).await;
         }
         let table = context.table(&query).await?;
--- a/src/bin/sequoiastream/context.rs
+++ b/src/bin/sequoiastream/context.rs
@@ -1,4 +1,4 @@
-//! What all subcommands need: the connection, the operator's name and the output format.
+//! The state shared by all subcommands: the connection, the operator's name and the output format.
 
 use clap::ArgMatches;
 use sequoiastream::ops::client::ClientError;
@@ -10,7 +10,7 @@
 
 use crate::output;
 
-/// Passed down to every subcommand.
+/// Passed to every subcommand.
 #[derive(Debug)]
 pub struct Context {
     client: OperatorClient,
@@ -18,21 +18,21 @@
     json: bool,
 }
 
-/// A command with the options that say how it is carried out.
+/// Statements with the options for their execution.
 #[derive(Debug, Default)]
 pub struct Request {
     /// The statements.
     pub text: String,
-    /// Names the command; drawn anew if absent.
+    /// Id of the command; a new one is generated if absent.
     pub id: Option<Uuid>,
-    /// Only say what would change.
+    /// Report what would change, without changing it.
     pub dry_run: bool,
-    /// Wait until all reachable instances have the change in force.
+    /// Wait until the change is in force on all reachable instances.
     pub wait: bool,
 }
 
 impl Context {
-    /// Reads the options that all subcommands share.
+    /// Creates the context from the options common to all subcommands.
     pub fn new(matches: &ArgMatches) -> Context {
         let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
         Context {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Carries a request out.
+    /// Executes a request.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if it was not carried out, or if that is not known. A command of unknown outcome can be
-    /// given again under its id, which is printed then.
+    /// [`ClientError`] if it was not executed, or if the outcome is unknown. A command of unknown outcome can be
+    /// repeated safely with its id; if no instance could be reached, the id is printed.
     pub async fn execute(&self, request: Request) -> Result<ReplyBody, ClientError> {
         let statement = StatementBody {
             id: request.id.unwrap_or_else(Uuid::now_v7),
@@ -67,11 +67,11 @@
         result
     }
 
-    /// The table that a query shows.
+    /// Executes a query and returns its table; an empty one if the reply is not a table.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if the query was not carried out.
+    /// [`ClientError`] if the query was not executed.
     pub async fn table(&self, text: &str) -> Result<TableBody, ClientError> {
         let request = Request {
             text: text.to_string(),
@@ -83,11 +83,11 @@
         }
     }
 
-    /// Prints an answer in the format that was asked for.
+    /// Prints a reply in the requested format.
     ///
     /// # Errors
     ///
-    /// If it can't be written as JSON.
+    /// If the reply can't be serialized as JSON.
     pub fn print(&self, reply: &ReplyBody) -> eyre::Result<()> {
         match self.json {
             true => println!("{}", serde_json::to_string_pretty(reply)?),
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// Whether JSON was asked for.
+    /// Whether the output format is JSON.
     pub fn is_json(&self) -> bool {
         self.json
     }
--- a/src/bin/sequoiastream/main.rs
+++ b/src/bin/sequoiastream/main.rs
@@ -1,8 +1,8 @@
 //! The command-line tool for operators.
 //!
-//! Exit codes: 0 done; 1 failed otherwise; 2 the command line can't be read; 3 the statements were refused;
-//! 4 another operator's change came first; 5 no instance answered, or the platform gave no sure answer, so
-//! that it is not known whether the statements took effect.
+//! Exit codes: 0 success; 1 any other failure; 2 invalid command line; 3 the statements were refused; 4 conflict with
+//! an earlier change by another operator; 5 no instance answered, or the platform gave no definite answer, so that it
+//! is unknown whether the statements took effect.
 
 mod commands;
 mod context;
@@ -22,21 +22,21 @@
 const CONFLICT: u8 = 4;
 const OUTCOME_UNKNOWN: u8 = 5;
 
-/// The whole command line.
+/// The complete command line.
 fn cli() -> Command {
     Command::new("sequoiastream")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Asks a sequoiastream deployment what holds, and tells it what shall hold")
+        .about("Queries and changes the configuration of a sequoiastream deployment")
         .after_help("See docs/GRAMMAR.md for the statements.")
         .subcommand_required(true)
         .arg(
-            global_arg("server", "SEQUOIASTREAM_SERVER", "Any entry instance")
+            global_arg("server", "SEQUOIASTREAM_SERVER", "Base URL of any entry instance")
                 .default_value("http://127.0.0.1:8080"),
         )
         .arg(global_arg("token", "SEQUOIASTREAM_OPERATOR_TOKEN", "Operator token").hide_env_values(true))
         .arg(global_arg("who", "USER", "Your name in the audit trail").default_value("operator"))
         .arg(
-            global_arg("format", "SEQUOIASTREAM_FORMAT", "How answers are written")
+            global_arg("format", "SEQUOIASTREAM_FORMAT", "Output format")
                 .value_parser(["table", "json"])
                 .default_value("table"),
         )
--- a/src/bin/sequoiastream/output.rs
+++ b/src/bin/sequoiastream/output.rs
@@ -1,4 +1,4 @@
-//! Answers as text.
+//! Formats replies as text.
 
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
@@ -6,7 +6,7 @@
 use sequoiastream_operator::wire::ReplyBody;
 use sequoiastream_operator::wire::TableBody;
 
-/// An answer as text.
+/// Formats a reply as text.
 pub fn format_reply(reply: &ReplyBody) -> String {
     match reply {
         ReplyBody::Table(body) => format_table(body),
@@ -16,7 +16,7 @@
     }
 }
 
-/// A table without lines, its header in capitals.
+/// Formats a table without borders and with an upper-case header.
 pub fn format_table(body: &TableBody) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the daemon, from flags and environment variables.
 //!
-//! They are checked as a whole: [`Settings::read`] names every fault at once, so that an operator mends a
-//! start-up in one go.
+//! They are validated together: [`Settings::read`] reports all faults at once, so that an operator can correct them
+//! without a restart for each.
 
 mod identity;
 mod limits;
@@ -28,23 +28,23 @@
 
 pub use patience::Timeouts;
 
-/// Shortest operator token and cluster key, in bytes.
+/// Minimum length of the operator token and of the cluster key, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// Beginning of the environment variables.
+/// Prefix of the environment variables.
 const ENV_PREFIX: &str = "SEQUOIASTREAM_";
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl LogFormat {
-    /// The format that `word` names; text for any but `json`.
+    /// The format called `name`; [`LogFormat::Text`] for every name except `json`.
     pub fn from_name(name: &str) -> LogFormat {
         match name {
             "json" => LogFormat::Json,
@@ -56,54 +56,54 @@
 /// Settings of one daemon.
 #[derive(Clone)]
 pub struct Settings {
-    /// Name of this instance, unique in the deployment.
+    /// Name of this instance; unique in the deployment.
     pub name: Name,
     /// Availability zone of this instance.
     pub zone: Name,
-    /// Where callers and operators connect.
+    /// Listen address for callers and operators.
     pub listen: SocketAddr,
-    /// Where other instances connect, over UDP and TCP.
+    /// Listen address for other instances, over UDP and TCP.
     pub peer: SocketAddr,
-    /// Base address of the platform.
+    /// Base URL of the platform.
     pub platform: String,
-    /// What operators authenticate with.
+    /// Token that operators authenticate with.
     pub operator_token: String,
-    /// Key of the messages between instances.
+    /// Key that authenticates messages between instances.
     pub cluster_key: String,
-    /// Threads for traffic.
+    /// Number of worker threads for traffic.
     pub workers: usize,
-    /// Deadline of a call to the platform.
+    /// Time limit for one call to the platform.
     pub kv_deadline: Duration,
-    /// How long a watch waits.
+    /// How long a watch call waits for a change.
     pub watch_wait: Duration,
-    /// Calls a second to the platform that this instance may make.
+    /// Maximum number of calls per second that this instance makes to the platform.
     pub kv_rate: u32,
-    /// How long the lease of a service's authority lasts after its last renewal.
+    /// Duration of the lease of a service's authority, from its last renewal.
     pub lease_ttl: Duration,
     /// How claims are grouped into writes.
     pub claim_grouping: OwnerSettings,
-    /// How requests are routed and roles changed.
+    /// Policy of routing and role changes.
     pub policy: Policy,
-    /// How often engines are asked for their load.
+    /// Interval between load queries to an engine.
     pub load_interval: Duration,
-    /// How long a role change takes an engine away.
+    /// How long an engine is unavailable during a role change.
     pub role_downtime: Duration,
-    /// Limits of membership.
+    /// Time limits and sizes of membership.
     pub limits: Limits,
-    /// Time between two looks at the platform's lists.
+    /// Interval between reads of the platform's lists; longer in a large fleet.
     pub list_interval: Duration,
-    /// Times of a shutdown.
+    /// Durations of the phases of a shutdown.
     pub shutdown_times: ShutdownTimes,
-    /// How long engines and callers may be silent.
+    /// Timeouts for engines and callers.
     pub timeouts: Timeouts,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log_format: LogFormat,
-    /// Only check the settings.
+    /// Validate the settings and exit.
     pub check_only: bool,
 }
 
 impl fmt::Debug for Settings {
-    /// Leaves the secrets out.
+    /// Omits the secrets.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Settings")
             .field("name", &self.name)
@@ -115,20 +115,20 @@
     }
 }
 
-/// Everything that is wrong with the settings.
+/// All faults found in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("could not accept the settings:\n{}", .faults.iter().map(|f| format!("  - {f}")).collect::<Vec<_>>().join("\n"))]
 pub struct SettingsError {
-    /// The faults, in the order of the settings.
+    /// The faults, in the order in which the settings are read.
     pub faults: Vec<String>,
 }
 
-/// The daemon's command line.
+/// The command line of the daemon.
 pub fn cli() -> Command {
     Command::new("sequoiastreamd")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Entry instance of sequoiastream")
-        .after_help("Each flag can be given as an environment variable. Secrets are best given so.")
+        .after_help("Each flag can also be set by an environment variable, which is recommended for secrets.")
         .args(with_heading("Instance", identity::args()))
         .args(with_heading("Platform", platform::args()))
         .args(with_heading("Traffic", traffic::args()))
@@ -139,22 +139,23 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings and exit"),
+                .help("Validate the settings and exit"),
         )
 }
 
-/// Puts `args` under a heading of the help.
+/// Lists `args` under `heading` in the help text.
 fn with_heading(heading: &'static str, args: Vec<Arg>) -> impl Iterator<Item = Arg> {
     args.into_iter().map(move |arg| arg.help_heading(heading))
 }
 
-/// A flag that is also read from the environment variable `SEQUOIASTREAM_NAME`.
+/// A flag whose value can also come from an environment variable: [`ENV_PREFIX`] and the flag's name in upper case,
+/// with `_` for `-`.
 fn text_arg(name: &'static str, help: &'static str) -> Arg {
     let variable = format!("{ENV_PREFIX}{}", name.to_ascii_uppercase().replace('-', "_"));
     Arg::new(name).long(name).env(variable).help(help)
 }
 
-/// The same, with a whole number.
+/// Like [`text_arg`], for an unsigned integer.
 fn number_arg(name: &'static str, help: &'static str, default: &'static str) -> Arg {
     text_arg(name, help)
         .default_value(default)
@@ -162,11 +163,11 @@
 }
 
 impl Settings {
-    /// Reads and checks the settings.
+    /// Reads and validates the settings.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] with every fault.
+    /// [`SettingsError`] with all faults found.
     pub fn read(matches: &ArgMatches) -> Result<Settings, SettingsError> {
         let mut reader = Reader {
             matches,
@@ -226,7 +227,7 @@
     }
 }
 
-/// Reads settings and gathers what is wrong with them.
+/// Reads settings and collects their faults.
 struct Reader<'a> {
     matches: &'a ArgMatches,
     faults: Vec<String>,
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -1,4 +1,4 @@
-//! Settings of membership and isolation.
+//! Settings of membership and of behavior during network partitions.
 
 use std::time::Duration;
 
@@ -11,40 +11,43 @@
 use crate::settings::number_arg;
 use crate::settings::text_arg;
 
-/// Flags that [`limits`] and [`lists`] read.
+/// Flags read by [`limits`] and [`list_interval`].
 pub fn args() -> Vec<Arg> {
     vec![
-        number_arg("heartbeat-ms", "Time between two heartbeats", "1000"),
+        number_arg("heartbeat-ms", "Interval between heartbeats", "1000"),
         number_arg(
             "silent-ms",
-            "An instance not heard of for so long is not named to callers",
+            "An instance not heard from for this long is not listed to callers",
             "5000",
         ),
         number_arg(
             "stale-ms",
-            "Longest time for which the configuration known here may go unconfirmed",
+            "Maximum time since the configuration was last confirmed to be current",
             "15000",
         ),
         number_arg(
             "asleep-ms",
-            "An instance that did not run for so long takes no new work until it knows anew how things stand",
+            "An instance that was paused for longer than this takes no new work until its standing is confirmed again",
             "2000",
         ),
         text_arg(
             "on-cut",
-            "What instances do that hear each other, but neither the platform nor all others",
+            "What instances do that hear each other, but neither the platform nor all other instances",
         )
         .value_parser(["stop", "serve"])
         .default_value("stop"),
         number_arg(
             "list-ms",
-            "Time between two looks at the platform's lists in a small fleet",
+            "Interval between reads of the platform's lists in a small fleet",
             "1000",
         ),
     ]
 }
 
-/// Limits of membership.
+/// Reads the limits of membership.
+///
+/// The silence and pause limits must be at least two heartbeat intervals, or instances would count as silent or paused
+/// between two heartbeats.
 pub fn limits(reader: &mut Reader<'_>) -> Limits {
     let mut millis = |name: &str| Duration::from_millis(reader.positive(name));
     let limits = Limits {
@@ -72,7 +75,7 @@
     limits
 }
 
-/// Time between two looks at the platform's lists.
+/// Reads the interval between reads of the platform's lists.
 pub fn list_interval(reader: &mut Reader<'_>) -> Duration {
     Duration::from_millis(reader.positive("list-ms"))
 }
--- a/src/settings/patience.rs
+++ b/src/settings/patience.rs
@@ -1,4 +1,4 @@
-//! Settings of how long engines and callers may be silent.
+//! Timeouts for engines and callers.
 
 use std::time::Duration;
 
@@ -7,39 +7,40 @@
 use crate::settings::Reader;
 use crate::settings::number_arg;
 
-/// How long engines and callers may be silent.
+/// Timeouts for engines and callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timeouts {
-    /// An engine until the first token of an attempt, which is then given up and resumed elsewhere.
+    /// Time for an engine to produce the first token of an attempt. On a timeout the attempt is abandoned and resumed
+    /// on another engine.
     pub first_token: Duration,
-    /// An engine between two tokens, likewise.
+    /// Time between two tokens of an engine, with the same consequence.
     pub between_tokens: Duration,
-    /// A caller until the whole body of its request has arrived.
+    /// Time for a caller to send the complete body of its request.
     pub body: Duration,
 }
 
-/// Flags that [`patience`] reads.
+/// Flags read by [`timeouts`].
 pub fn args() -> Vec<Arg> {
     vec![
         number_arg(
             "first-token-ms",
-            "How long an engine may take to an attempt's first token",
+            "Maximum time until an engine produces the first token of an attempt",
             "15000",
         ),
         number_arg(
             "between-tokens-ms",
-            "How long an engine may be silent between two tokens",
+            "Maximum time between two tokens of an engine",
             "5000",
         ),
         number_arg(
             "body-ms",
-            "How long a caller may take to send the body of a request",
+            "Maximum time for a caller to send the body of a request",
             "10000",
         ),
     ]
 }
 
-/// How long engines and callers may be silent.
+/// Reads the timeouts.
 pub fn timeouts(reader: &mut Reader<'_>) -> Timeouts {
     let mut millis = |name: &str| Duration::from_millis(reader.positive(name));
     Timeouts {
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,24 +1,28 @@
-//! Settings of the calls to the platform and of the leases kept there.
+//! Settings of calls to the platform and of the leases stored there.
 
 use clap::Arg;
 
 use crate::settings::number_arg;
 use crate::settings::text_arg;
 
-/// Flags of the calls and leases.
+/// Flags of calls and leases.
 pub fn args() -> Vec<Arg> {
     vec![
-        text_arg("platform", "Base address of the platform").default_value("http://127.0.0.1:7000"),
-        number_arg("kv-deadline-ms", "Deadline of a call to the platform", "1000"),
-        number_arg("watch-ms", "How long a watch waits", "30000"),
+        text_arg("platform", "Base URL of the platform").default_value("http://127.0.0.1:7000"),
+        number_arg(
+            "kv-deadline-ms",
+            "Time limit for one call to the platform",
+            "1000",
+        ),
+        number_arg("watch-ms", "How long a watch call waits for a change", "30000"),
         number_arg(
             "kv-rate",
-            "Calls a second to the platform that this instance may make, and twice as many at once",
+            "Maximum calls per second to the platform by this instance, with bursts of twice as many",
             "100",
         ),
         number_arg(
             "lease-ms",
-            "How long the lease of a service's authority lasts after its last renewal",
+            "Duration of the lease of a service's authority, from its last renewal",
             "10000",
         ),
     ]
--- a/src/settings/times.rs
+++ b/src/settings/times.rs
@@ -1,4 +1,4 @@
-//! Settings of the steps of a shutdown.
+//! Durations of the phases of a shutdown.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 use crate::settings::Reader;
 use crate::settings::number_arg;
 
-/// Flags that [`times`] reads.
+/// Flags read by [`shutdown_times`].
 pub fn args() -> Vec<Arg> {
     vec![
-        number_arg("keep-ms", "How long callers keep an address", "10000"),
+        number_arg("keep-ms", "How long callers cache an address", "10000"),
         number_arg(
             "margin-ms",
-            "How much longer a leaving instance serves new work",
+            "How much longer than that a stopping instance serves new work",
             "2000",
         ),
         number_arg(
             "refuse-ms",
-            "Shortest time for which it then refuses new work before it closes",
+            "Minimum time for which it then refuses new work before its listener closes",
             "1000",
         ),
         number_arg(
             "drain-ms",
-            "Longest time for which it awaits running work",
+            "Maximum time to wait for running work after that",
             "60000",
         ),
     ]
 }
 
-/// Times of a shutdown.
+/// Reads the durations of the phases of a shutdown.
 pub fn shutdown_times(reader: &mut Reader<'_>) -> ShutdownTimes {
     let mut millis = |name: &str| Duration::from_millis(reader.positive(name));
     ShutdownTimes {
--- a/src/settings/traffic.rs
+++ b/src/settings/traffic.rs
@@ -17,25 +17,25 @@
     vec![
         text_arg(
             "policy",
-            "How requests are routed and roles changed; all but `adaptive` are baselines",
+            "Policy of routing and role changes; all but `adaptive` are baselines for comparison",
         )
         .value_parser(POLICIES)
         .default_value("adaptive"),
-        number_arg("load-ms", "How often engines are asked for their load", "500"),
+        number_arg("load-ms", "Interval between load queries to an engine", "500"),
         number_arg(
             "away-ms",
-            "How long a role change takes an engine away; the planner's times follow from it",
+            "How long an engine is unavailable during a role change; the planner derives its times from it",
             "3000",
         ),
         number_arg(
             "claim-pace-ms",
-            "Least time between two writes of a claim bucket; 0 writes each claim by itself",
+            "Minimum time between two writes of a claim bucket; 0 writes each claim separately",
             "80",
         ),
     ]
 }
 
-/// How claims are grouped into writes.
+/// Reads how claims are grouped into writes.
 pub fn claim_grouping(matches: &ArgMatches) -> OwnerSettings {
     match matches.get_one::<u64>("claim-pace-ms").copied() {
         Some(0) => OwnerSettings::ungrouped(),
--- a/src/util/log_budget.rs
+++ b/src/util/log_budget.rs
@@ -1,30 +1,30 @@
-//! How many log lines a process writes.
+//! A rate limit for the log lines of a process.
 //!
-//! Failure guarded against: all engines fail, each request leaves some lines, and writing them takes the processor time
-//! that serving would have needed. Each event has a budget of its own, so that a flood of one doesn't hide another,
-//! and what happens to requests that went well is sampled.
+//! Failure guarded against: all engines fail, every request logs several lines, and writing them uses processor time
+//! that is needed to serve requests. Each event has a token bucket of its own, so that a flood of one event doesn't
+//! suppress the others, and the event of successful requests is sampled at a lower rate.
 
 use std::collections::BTreeMap;
 
 use sequoiastream_core::log_event;
 use sequoiastream_core::time::Time;
 
-/// Lines a second of one event.
+/// Lines per second of one event.
 const EVENT_RATE: f64 = 10.0;
 
-/// Lines of one event at once.
+/// Maximum burst of one event, in lines.
 const EVENT_BURST: f64 = 40.0;
 
-/// Lines a second of an event that says that all went well.
+/// Lines per second of the event that reports success.
 const SUCCESS_RATE: f64 = 1.0;
 
-/// Lines of such an event at once.
+/// Maximum burst of that event, in lines.
 const SUCCESS_BURST: f64 = 3.0;
 
-/// Lines a second of all events: at 400 bytes a line, 24 KB.
+/// Lines per second of all events together: 24 KB per second at 400 bytes per line.
 const TOTAL_RATE: f64 = 60.0;
 
-/// Lines of all events at once.
+/// Maximum burst of all events together, in lines.
 const TOTAL_BURST: f64 = 240.0;
 
 #[derive(Debug, Clone, Copy)]
@@ -41,7 +41,7 @@
     }
 }
 
-/// What is left to write.
+/// The remaining lines of each event and of all events, and the number of lines dropped.
 #[derive(Debug, Clone)]
 pub struct LogBudget {
     events: BTreeMap<u16, Bucket>,
@@ -50,7 +50,7 @@
 }
 
 impl LogBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(now: Time) -> LogBudget {
         let all = Bucket {
             tokens: TOTAL_BURST,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether a line of event `number` is written; counts it as dropped if not.
+    /// Whether a line of event `number` may be written; if not, counts it as dropped.
     pub fn allow(&mut self, now: Time, number: u16) -> bool {
         let (rate, burst) = match number == log_event::FORWARDED.number {
             true => (SUCCESS_RATE, SUCCESS_BURST),
@@ -85,12 +85,12 @@
         true
     }
 
-    /// Lines that were not written, by event.
+    /// Number of lines dropped, by event number.
     pub fn dropped(&self) -> &BTreeMap<u16, u64> {
         &self.dropped
     }
 
-    /// Notes a line that could not be written since nobody reads.
+    /// Counts a line as dropped because the writer thread did not accept it: the log is not being read.
     pub fn count_unwritten(&mut self, number: u16) {
         *self.dropped.entry(number).or_default() += 1;
     }
--- a/src/util/logging.rs
+++ b/src/util/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs.
+//! Structured logging.
 
 use std::io;
 use std::io::IsTerminal;
@@ -27,21 +27,21 @@
 use crate::util::clock;
 use crate::util::log_budget::LogBudget;
 
-/// Lines that wait for whoever reads them; more are dropped.
+/// Maximum number of lines queued for the writer thread; further lines are dropped.
 const MAX_QUEUED_LINES: usize = 512;
 
-/// How long the end of the process waits for lines that are not written yet. A reader that stopped reading must not hold
-/// up a shutdown.
+/// How long the end of the process waits for queued lines to be written. A log reader that has stopped reading must not
+/// delay a shutdown.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Sends log lines to standard error in the given format; `RUST_LOG` sets the level, `info` by default.
+/// Writes log lines to standard error in the given format. `RUST_LOG` sets the level, `info` by default.
 pub fn init(format: LogFormat) {
     let builder = tracing_subscriber::fmt()
         .with_env_filter(level_filter())
         .with_target(false)
-        // Failure guarded against: whoever reads the log ends, and the daemon neither serves well nor stops. The
-        // library would report the failed write on standard error too, and panic since that fails as well; a
-        // thread that panics takes the shutdown with it. A line that can't be written is lost instead.
+        // Failure guarded against: the process that reads the log exits, and the daemon then neither serves well nor
+        // stops. The library would report a failed write on standard error too, and panic because that fails as
+        // well; a thread that panics prevents the shutdown. A line that can't be written is dropped instead.
         .log_internal_errors(false)
         .with_ansi(std::io::stderr().is_terminal())
         .with_writer(std::io::stderr);
@@ -51,7 +51,7 @@
     }
 }
 
-/// The levels of `RUST_LOG`, `info` by default.
+/// The level filter of `RUST_LOG`; `info` by default, and `warn` for `actix_server`.
 fn level_filter() -> EnvFilter {
     EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info,actix_server=warn"))
 }
@@ -64,41 +64,41 @@
     };
 }
 
-/// The budget of log lines, shared with whoever shows what was dropped.
+/// The budget of log lines, shared with the metrics that report dropped lines.
 pub type SharedBudget = Arc<Mutex<LogBudget>>;
 
-/// What the thread that writes is handed.
+/// A message to the writer thread.
 #[derive(Debug)]
 enum WriterMessage {
     Line(Vec<u8>),
-    /// All lines before this are written; say so.
+    /// Confirm through this channel when all previous lines are written.
     Flush(SyncSender<()>),
 }
 
-/// The log of a process whose lines a thread of their own writes.
+/// A log with a limited rate, whose lines are written by a separate thread.
 #[derive(Debug, Clone)]
 pub struct BoundedLog {
-    /// The budget of its lines.
+    /// The budget of the log lines.
     pub budget: SharedBudget,
     sender: SyncSender<WriterMessage>,
 }
 
 impl BoundedLog {
-    /// Waits until the lines so far are written, but not for long.
+    /// Waits until all lines logged so far are written, for at most 200 ms.
     ///
-    /// Failure guarded against: the process ends while its last lines wait for their thread. Why it ended is what
-    /// whoever reads the log looks for.
+    /// Failure guarded against: the process exits while its last lines are queued for the writer thread, and the log
+    /// doesn't show why it exited.
     pub fn finish(&self) {
-        let (written, wait) = sync_channel(1);
-        // A full queue means that nobody reads: then there is nobody to wait for.
-        if self.sender.try_send(WriterMessage::Flush(written)).is_ok() {
-            let _ = wait.recv_timeout(FLUSH_TIMEOUT);
+        let (confirm, confirmed) = sync_channel(1);
+        // A full queue means that the log is not being read, so that waiting would have no use.
+        if self.sender.try_send(WriterMessage::Flush(confirm)).is_ok() {
+            let _ = confirmed.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-/// Sends log lines to standard output in the given format, within a budget, by a thread of their own: a reader that stops
-/// reading costs lines, and nothing else. `RUST_LOG` sets the level, `info` by default.
+/// Writes log lines to standard output in the given format, within a budget and from a separate thread, so that a
+/// reader that stops reading causes dropped lines and no other harm. `RUST_LOG` sets the level, `info` by default.
 pub fn init_bounded(format: LogFormat) -> BoundedLog {
     let budget = Arc::new(Mutex::new(LogBudget::new(clock::now())));
     let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
@@ -121,25 +121,25 @@
     log
 }
 
-fn write_lines(lines: &Receiver<WriterMessage>) {
+fn write_lines(messages: &Receiver<WriterMessage>) {
     let mut out = io::stdout();
-    while let Ok(output) = lines.recv() {
-        let written = match output {
+    while let Ok(message) = messages.recv() {
+        let result = match message {
             WriterMessage::Line(line) => out.write_all(&line).and_then(|()| out.flush()),
-            WriterMessage::Flush(written) => {
-                // Whoever asked may have stopped waiting.
-                let _ = written.send(());
+            WriterMessage::Flush(confirm) => {
+                // The receiver may have timed out.
+                let _ = confirm.send(());
                 Ok(())
             }
         };
-        if written.is_err() {
-            // Nobody reads any more, and there is no other place to say so.
+        if result.is_err() {
+            // The log is no longer read, and there is no other place to report the error.
             return;
         }
     }
 }
 
-/// Hands whole lines to the thread that writes them.
+/// Passes complete lines to the writer thread. A line that can't be queued is dropped and counted as event 0.
 impl Write for BoundedLog {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.sender.try_send(WriterMessage::Line(line.to_vec())).is_err() {
@@ -165,7 +165,7 @@
     }
 }
 
-/// Passes the events that the budget allows.
+/// Lets events pass that are within the budget.
 struct BudgetFilter(SharedBudget);
 
 impl<S> Filter<S> for BudgetFilter
@@ -184,7 +184,7 @@
     }
 }
 
-/// The number of an event; 0 for lines of libraries.
+/// Reads the number of an event; 0 for lines of libraries, which have none.
 struct EventNumber(u16);
 
 impl Visit for EventNumber {
--- a/src/util/metrics/authority.rs
+++ b/src/util/metrics/authority.rs
@@ -7,28 +7,28 @@
 use prometheus_client::registry::Registry;
 use sequoiastream_core::authority::OrderAnswer;
 
-/// How an order ended that was to be sent.
+/// Labels of [`AuthorityMetrics::orders`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabels {
-    /// `applied`, `stale`, `unsent` or `unknown`.
+    /// How the order ended: `applied`, `stale`, `unsent` or `unknown`.
     pub answer: String,
 }
 
 /// Metrics of the authority over engines.
 #[derive(Debug, Clone, Default)]
 pub struct AuthorityMetrics {
-    /// Services whose authority this instance holds.
+    /// Number of services whose authority this instance holds.
     pub held: Gauge,
-    /// Of these, services whose lease it believes in.
+    /// Number of these services whose lease this instance considers valid.
     pub lease_valid: Gauge,
-    /// Orders by how they ended.
+    /// Orders to engines, by how they ended.
     pub orders: Family<OrderLabels, Counter>,
-    /// Times that an engine was found with an order that is not settled.
+    /// Number of times that an engine was found to have an unsettled order.
     pub unsettled: Counter,
 }
 
 impl AuthorityMetrics {
-    /// Counts an order that ended so.
+    /// Counts an order that ended with `answer`.
     pub fn count_order(&self, answer: OrderAnswer) {
         let answer = match answer {
             OrderAnswer::Applied => "applied",
@@ -50,17 +50,17 @@
         );
         registry.register(
             "authorities_believed",
-            "Services whose authority this instance holds under a lease that it believes in",
+            "Services whose authority this instance holds under a lease that it considers valid",
             self.lease_valid.clone(),
         );
         registry.register(
             "orders",
-            "Orders to engines by how they ended",
+            "Orders to engines, by how they ended",
             self.orders.clone(),
         );
         registry.register(
             "orders_unsettled",
-            "Times that an engine was found with an order that is not settled",
+            "Number of times that an engine was found to have an unsettled order",
             self.unsettled.clone(),
         );
     }
--- a/src/util/metrics/claims.rs
+++ b/src/util/metrics/claims.rs
@@ -6,23 +6,23 @@
 use prometheus_client::registry::Registry;
 use sequoiastream_core::claims::Verdict;
 
-/// How a claim was answered.
+/// Labels of [`ClaimMetrics::verdicts`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct VerdictLabels {
-    /// `granted`, `seen`, `mismatch`, `never`, `out`, `clock`, `full` or `stopping`.
+    /// The verdict: `granted`, `seen`, `mismatch`, `never`, `out`, `clock`, `full` or `stopping`.
     pub verdict: &'static str,
 }
 
-/// Metrics of claims, as owner.
+/// Metrics of this instance as an owner of claim buckets.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimMetrics {
-    /// Answers to entries.
+    /// Verdicts sent to entry instances.
     pub verdicts: Family<VerdictLabels, Counter>,
-    /// Writes of buckets begun.
+    /// Bucket writes started.
     pub writes: Counter,
-    /// Reads of buckets begun.
+    /// Bucket reads started.
     pub reads: Counter,
-    /// Writes that another owner's write came before.
+    /// Bucket writes that failed because another owner had written the bucket first.
     pub conflicts: Counter,
 }
 
@@ -30,19 +30,19 @@
     pub(super) fn register(&self, registry: &mut Registry) {
         registry.register(
             "claim_verdicts",
-            "Answers to entries that asked for a claim or its state",
+            "Verdicts sent to entry instances that requested or queried a claim",
             self.verdicts.clone(),
         );
         registry.register("claim_writes", "Writes of claim buckets", self.writes.clone());
         registry.register("claim_reads", "Reads of claim buckets", self.reads.clone());
         registry.register(
             "claim_conflicts",
-            "Writes of claim buckets that lost against another owner",
+            "Writes of claim buckets that failed because another owner had written first",
             self.conflicts.clone(),
         );
     }
 
-    /// Counts an answer.
+    /// Counts a verdict.
     pub fn count_verdict(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Granted => "granted",
--- a/src/util/metrics/membership.rs
+++ b/src/util/metrics/membership.rs
@@ -9,11 +9,11 @@
 pub struct MembershipMetrics {
     /// Heartbeats sent.
     pub heartbeats_sent: Counter,
-    /// Bytes of heartbeats sent, without headers of UDP and IP.
+    /// Bytes of heartbeats sent, without UDP and IP headers.
     pub heartbeat_bytes: Counter,
     /// Heartbeats received.
     pub heartbeats_received: Counter,
-    /// Other instances known.
+    /// Number of other instances known.
     pub peers: Gauge,
 }
 
@@ -22,7 +22,7 @@
         registry.register("heartbeats_sent", "Heartbeats sent", self.heartbeats_sent.clone());
         registry.register(
             "heartbeat_bytes",
-            "Bytes of heartbeats sent, without headers of UDP and IP",
+            "Bytes of heartbeats sent, without UDP and IP headers",
             self.heartbeat_bytes.clone(),
         );
         registry.register(
--- a/src/util/metrics/mod.rs
+++ b/src/util/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! Metrics of the daemon. `docs/METRICS.md` lists them; a test keeps both equal.
+//! Metrics of the daemon. `docs/METRICS.md` lists them; a test checks that both have the same names.
 //!
-//! One module a concern, each with a struct that registers its own families, so that whoever adds a concern
-//! touches one place.
+//! There is one module per subject, with a struct that registers its own metric families, so that a new subject needs
+//! changes in one place only.
 
 mod authority;
 mod claims;
@@ -28,26 +28,26 @@
 pub use traffic::TokenMetrics;
 pub use traffic::TrafficMetrics;
 
-/// Prefix of every name.
+/// Prefix of the names of all metrics.
 const PREFIX: &str = "sequoiastream";
 
 /// All metrics of a daemon.
 pub struct Metrics {
-    /// Of traffic.
+    /// Metrics of traffic.
     pub traffic: TrafficMetrics,
-    /// Of the authority over engines.
+    /// Metrics of the authority over engines.
     pub authority: AuthorityMetrics,
-    /// Of claims.
+    /// Metrics of claims.
     pub claims: ClaimMetrics,
-    /// Of the policy.
+    /// Metrics of the policy.
     pub policy: PolicyMetrics,
-    /// Of membership.
+    /// Metrics of membership.
     pub membership: MembershipMetrics,
     registry: Mutex<Registry>,
 }
 
 impl Metrics {
-    /// All metrics at zero.
+    /// Creates all metrics at zero. Those of calls to the platform are read from `calls`.
     pub fn new(calls: Arc<CallMeter>) -> Metrics {
         let mut registry = Registry::with_prefix(PREFIX);
         let traffic = TrafficMetrics::default();
@@ -71,21 +71,21 @@
         }
     }
 
-    /// The page that a Prometheus server reads.
+    /// The metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         render(&self.registry)
     }
 }
 
-/// The page of a registry.
+/// The metrics of a registry in the Prometheus text format.
 fn render(registry: &Mutex<Registry>) -> String {
     let registry = registry
         .lock()
         .expect("no thread panics while it holds the registry");
-    let mut page = String::new();
-    match encode(&mut page, &registry) {
-        Ok(()) => page,
-        Err(error) => format!("# could not encode: {error}\n"),
+    let mut text = String::new();
+    match encode(&mut text, &registry) {
+        Ok(()) => text,
+        Err(error) => format!("# could not encode the metrics: {error}\n"),
     }
 }
 
--- a/src/util/metrics/platform.rs
+++ b/src/util/metrics/platform.rs
@@ -1,4 +1,4 @@
-//! Metrics of the calls to the platform, read from the meter that also keeps their budget.
+//! Metrics of calls to the platform, read from the meter that also enforces their budget.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 use sequoiastream_kv::CallKind;
 use sequoiastream_kv::CallMeter;
 
-/// Shows what a meter counted.
+/// Exports the counts of a call meter.
 #[derive(Debug)]
 struct CallCollector(Arc<CallMeter>);
 
-/// Registers the metrics of `calls`.
+/// Registers the metrics of the calls counted by `calls`.
 pub(super) fn register(registry: &mut Registry, calls: Arc<CallMeter>) {
     registry.register_collector(Box::new(CallCollector(calls)));
 }
@@ -47,19 +47,19 @@
         self.encode_counters(
             &mut encoder,
             "platform_calls",
-            "Calls to the platform by kind",
+            "Calls to the platform, by kind",
             |count| count.calls,
         )?;
         self.encode_counters(
             &mut encoder,
             "platform_calls_failed",
-            "Calls to the platform that got no usable answer",
+            "Calls to the platform without a usable answer",
             |count| count.failed,
         )?;
         self.encode_counters(
             &mut encoder,
             "platform_calls_refused",
-            "Calls to the platform that were not made, since this instance's budget was spent",
+            "Calls to the platform not made because this instance's budget was spent",
             |count| count.refused,
         )
     }
--- a/src/util/metrics/policy.rs
+++ b/src/util/metrics/policy.rs
@@ -11,31 +11,31 @@
 /// Metrics of the policy.
 #[derive(Debug, Clone, Default)]
 pub struct PolicyMetrics {
-    /// Load reports read.
+    /// Load reports read from engines.
     pub polls: Counter,
     /// Load reports that could not be read.
     pub polls_failed: Counter,
-    /// Gaps seen in cache events.
+    /// Gaps detected in the sequence of cache events.
     pub cache_gaps: Counter,
-    /// Admissions by product and verdict.
+    /// Admission decisions, by product and verdict.
     pub admissions: Family<AdmissionLabels, Counter>,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the retry budget.
     pub retries_denied: Counter,
-    /// Role changes proposed.
+    /// Role changes proposed by the planner.
     pub changes_proposed: Counter,
 }
 
-/// How a request was admitted.
+/// Labels of [`PolicyMetrics::admissions`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AdmissionLabels {
     /// The product.
     pub product: String,
-    /// `owed`, `lent`, `over-share` or `too-late`.
+    /// The verdict: `owed` (within the product's share), `lent` (borrowed capacity), `over-share` or `too-late`.
     pub verdict: String,
 }
 
 impl PolicyMetrics {
-    /// Counts an admission.
+    /// Counts an admission decision.
     pub fn count_admission(&self, product: &Name, verdict: Admission) {
         let verdict = match verdict {
             Admission::WithinShare => "owed",
@@ -51,21 +51,25 @@
     }
 
     pub(super) fn register(&self, registry: &mut Registry) {
-        registry.register("load_polls", "Load reports read", self.polls.clone());
+        registry.register("load_polls", "Load reports read from engines", self.polls.clone());
         registry.register(
             "load_polls_failed",
             "Load reports that could not be read",
             self.polls_failed.clone(),
         );
-        registry.register("cache_gaps", "Gaps seen in cache events", self.cache_gaps.clone());
+        registry.register(
+            "cache_gaps",
+            "Gaps detected in the sequence of cache events",
+            self.cache_gaps.clone(),
+        );
         registry.register(
             "admissions",
-            "Admissions by product and verdict",
+            "Admission decisions, by product and verdict",
             self.admissions.clone(),
         );
         registry.register(
             "retries_denied",
-            "Retries that the budget did not allow",
+            "Retries denied by the retry budget",
             self.retries_denied.clone(),
         );
         registry.register(
--- a/src/util/metrics/relay.rs
+++ b/src/util/metrics/relay.rs
@@ -1,4 +1,4 @@
-//! Metrics of forwarding by routes.
+//! Metrics of the forwarding of requests by route.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -22,24 +22,25 @@
 use crate::util::logging::SharedBudget;
 use crate::util::metrics::PREFIX;
 
-/// Bounds of times to the first event, in seconds: around the targets of the users' sheets, 0.1 to 0.2.
+/// Bucket bounds of the time to the first event, in seconds. They are dense around the users' targets of 0.1 to 0.2.
 const FIRST_EVENT_BUCKETS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.4, 0.8, 1.6, 5.0];
 
-/// Bounds of the error of predictions, in seconds.
+/// Bucket bounds of the prediction error, in seconds.
 const PREDICTION_ERROR_BUCKETS: [f64; 9] = [-0.1, -0.03, -0.01, 0.0, 0.01, 0.03, 0.1, 0.3, 1.0];
 
-/// Services that are shown by name; more are shown together as [`OTHERS`]. Operators may configure any number.
+/// Maximum number of services with a label of their own; all others share [`OTHER_SERVICES`]. Operators may configure
+/// any number of services.
 const MAX_SERVICES: usize = 64;
 
-/// Services beyond [`MAX_SERVICES`].
+/// Label of all services beyond [`MAX_SERVICES`].
 const OTHER_SERVICES: &str = "others";
 
-/// The way of a request.
+/// Labels of a request: its service and the kind of its route.
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct RouteLabels {
-    /// The service that may answer it.
+    /// The service that the route leads to.
     pub service: String,
-    /// The kind of its route.
+    /// The kind of the route.
     pub kind: &'static str,
 }
 
@@ -77,7 +78,7 @@
     scope: &'static str,
 }
 
-/// Metrics of forwarding by routes.
+/// Metrics of the forwarding of requests by route.
 pub struct RelayMetrics {
     answers: Family<RouteOutcomeLabels, Counter>,
     refusals: Family<ReasonLabels, Counter>,
@@ -88,24 +89,24 @@
     work: Family<ScopeLabels, Gauge>,
     first_event: Family<RouteLabels, Histogram, fn() -> Histogram>,
     prediction_error: Histogram,
-    /// Seconds since the store confirmed what is known of it.
+    /// Seconds since the store last confirmed this instance's copy of the configuration and the engines.
     pub store_age: Gauge<f64, AtomicU64>,
-    /// Seconds since the peer that was silent longest told of its work.
+    /// Seconds since the last load report of the peer whose report is the oldest.
     pub peers_age: Gauge<f64, AtomicU64>,
-    /// 1 while this instance watches the store for its zone.
+    /// 1 while this instance watches the store on behalf of its zone, otherwise 0.
     pub watcher: Gauge,
-    /// Seconds since the time up to which everything that happened in the store is known, by proof; -1 without one.
+    /// Age in seconds of the time up to which all changes in the store are proven to be known here; -1 without a proof.
     pub proof_age: Gauge<f64, AtomicU64>,
-    /// Whether this instance acts for all towards the platform's API.
+    /// 1 while this instance is the leader, which calls the platform's API on behalf of all, otherwise 0.
     pub is_leader: Gauge,
     service_names: Mutex<BTreeSet<String>>,
-    /// Requests that are running.
+    /// Number of running requests.
     pub running: Gauge,
     /// Version of the configuration in force.
     pub config_version: Gauge,
-    /// Engines that may get work.
+    /// Number of engines that may receive requests.
     pub engines: Gauge,
-    /// Instances that callers are told of.
+    /// Number of instances listed to callers.
     pub instances: Gauge,
     registry: Mutex<Registry>,
 }
@@ -117,7 +118,7 @@
 }
 
 impl RelayMetrics {
-    /// All at zero; lines that `budget` dropped are shown too.
+    /// Creates all metrics at zero. The number of log lines dropped is read from `budget`.
     pub fn new(budget: SharedBudget) -> RelayMetrics {
         let mut registry = Registry::with_prefix(PREFIX);
         let metrics = RelayMetrics {
@@ -153,33 +154,33 @@
     fn register(&self, registry: &mut Registry) {
         registry.register(
             "relay_answers",
-            "Final answers by service, kind of route and outcome",
+            "Final answers, by service, kind of route and outcome",
             self.answers.clone(),
         );
         registry.register(
             "relay_refusals",
-            "Final answers of this instance's own, by reason",
+            "Final answers produced by this instance itself, by reason",
             self.refusals.clone(),
         );
         registry.register(
             "relay_attempts",
-            "Attempts at engines by how they ended",
+            "Attempts at engines, by how they ended",
             self.attempts.clone(),
         );
         registry.register(
             "relay_extra_attempts",
-            "Extra attempts that the budget allowed or denied",
+            "Extra attempts allowed or denied by the retry budget",
             self.extra_attempts.clone(),
         );
         registry.register_with_unit(
             "relay_first_event",
-            "From a request's arrival to its first event, or its whole answer",
+            "Time from a request's arrival to the first event of its answer, or to the complete answer",
             Unit::Seconds,
             self.first_event.clone(),
         );
         registry.register_with_unit(
             "relay_prediction_error",
-            "First event less its prediction",
+            "Measured time to the first event minus its prediction",
             Unit::Seconds,
             self.prediction_error.clone(),
         );
@@ -188,16 +189,20 @@
     }
 
     fn register_work(&self, registry: &mut Registry) {
-        registry.register("relay_running", "Requests that are running", self.running.clone());
-        registry.register("relay_engines", "Engines that may get work", self.engines.clone());
+        registry.register("relay_running", "Running requests", self.running.clone());
+        registry.register(
+            "relay_engines",
+            "Engines that may receive requests",
+            self.engines.clone(),
+        );
         registry.register(
             "relay_work",
-            "Requests at the engines of a service: of this instance, of all, and slots",
+            "Requests at the engines of a service, by scope: of this instance, of the fleet, and engine slots",
             self.work.clone(),
         );
         registry.register(
             "relay_budget_left",
-            "Extra attempts that this instance may still make",
+            "Extra attempts left in the retry budget of this instance",
             self.budget_left.clone(),
         );
     }
@@ -210,29 +215,29 @@
         );
         registry.register_with_unit(
             "relay_store_age",
-            "Since the store last confirmed configuration and engines",
+            "Time since the store last confirmed the configuration and the engines",
             Unit::Seconds,
             self.store_age.clone(),
         );
         registry.register(
             "relay_watcher",
-            "Whether this instance watches the store for its zone",
+            "1 while this instance watches the store on behalf of its zone, otherwise 0",
             self.watcher.clone(),
         );
         registry.register_with_unit(
             "relay_proof_age",
-            "Up to how long ago everything that happened in the store is known, by proof; -1 without one",
+            "Age of the time up to which all changes in the store are proven to be known; -1 without a proof",
             Unit::Seconds,
             self.proof_age.clone(),
         );
         registry.register(
             "relay_leads",
-            "Whether this instance acts for all towards the platform's API",
+            "1 while this instance is the leader, which calls the platform's API on behalf of all, otherwise 0",
             self.is_leader.clone(),
         );
         registry.register_with_unit(
             "relay_peers_age",
-            "Since the peer that was silent longest told of its work",
+            "Time since the last load report of the peer whose report is the oldest",
             Unit::Seconds,
             self.peers_age.clone(),
         );
@@ -243,27 +248,27 @@
         );
         registry.register(
             "relay_instances",
-            "Instances that callers are told of",
+            "Instances listed to callers",
             self.instances.clone(),
         );
     }
 
     /// Counts a final answer.
-    pub fn count_answer(&self, path: &RouteLabels, outcome: &str) {
-        let by = RouteOutcomeLabels {
-            service: self.service_label(&path.service),
-            kind: path.kind,
+    pub fn count_answer(&self, route: &RouteLabels, outcome: &str) {
+        let labels = RouteOutcomeLabels {
+            service: self.service_label(&route.service),
+            kind: route.kind,
             outcome: outcome.to_string(),
         };
-        self.answers.get_or_create(&by).inc();
+        self.answers.get_or_create(&labels).inc();
     }
 
-    /// Counts a final answer of this instance's own.
+    /// Counts a final answer produced by this instance itself.
     pub fn count_refusal(&self, reason: &'static str) {
         self.refusals.get_or_create(&ReasonLabels { reason }).inc();
     }
 
-    /// Counts the end of an attempt.
+    /// Counts an attempt that ended with `result`.
     pub fn count_attempt(&self, result: &str) {
         let result = result.to_string();
         self.attempts.get_or_create(&ResultLabels { result }).inc();
@@ -274,41 +279,44 @@
         self.store_calls.get_or_create(&CallLabels { call, result }).inc();
     }
 
-    /// Counts an extra attempt that was asked for.
+    /// Counts an extra attempt, allowed or denied by the retry budget.
     pub fn count_extra(&self, allowed: bool) {
         let result = if allowed { "allowed" } else { "denied" }.to_string();
         self.extra_attempts.get_or_create(&ResultLabels { result }).inc();
     }
 
-    /// Notes the time to a first event, or to a whole answer.
-    pub fn observe_first_event(&self, path: &RouteLabels, took: Duration) {
-        let path = RouteLabels {
-            service: self.service_label(&path.service),
-            kind: path.kind,
+    /// Records the time to the first event of an answer, or to a complete answer.
+    pub fn observe_first_event(&self, route: &RouteLabels, elapsed: Duration) {
+        let labels = RouteLabels {
+            service: self.service_label(&route.service),
+            kind: route.kind,
         };
-        self.first_event.get_or_create(&path).observe(took.as_secs_f64());
+        self.first_event
+            .get_or_create(&labels)
+            .observe(elapsed.as_secs_f64());
     }
 
-    /// Notes a first event against its prediction.
-    pub fn observe_prediction_error(&self, took: Duration, predicted: Duration) {
+    /// Records the difference between the measured and the predicted time to the first event.
+    pub fn observe_prediction_error(&self, elapsed: Duration, predicted: Duration) {
         self.prediction_error
-            .observe(took.as_secs_f64() - predicted.as_secs_f64());
+            .observe(elapsed.as_secs_f64() - predicted.as_secs_f64());
     }
 
-    /// Drops what is shown of services at a moment: one whose engines are gone would be shown as it was, for good.
+    /// Clears the gauges of all services, before the current values are set. Otherwise, a service whose engines have
+    /// been removed would keep its last values indefinitely.
     pub fn clear_services(&self) {
         self.work.clear();
         self.budget_left.clear();
     }
 
-    /// Shows the requests at the engines of a service.
+    /// Sets the number of requests at the engines of a service.
     pub fn set_work(&self, service: &str, scope: &'static str, requests: u32) {
         let service = self.service_label(service);
-        let work = self.work.get_or_create(&ScopeLabels { service, scope });
-        work.set(i64::from(requests));
+        let gauge = self.work.get_or_create(&ScopeLabels { service, scope });
+        gauge.set(i64::from(requests));
     }
 
-    /// Shows the extra attempts that are left for a service.
+    /// Sets the number of extra attempts left in the retry budget of a service.
     pub fn set_retry_budget(&self, service: &str, left: f64) {
         let service = self.service_label(service);
         self.budget_left
@@ -316,7 +324,7 @@
             .set(left);
     }
 
-    /// The name that a service is shown by.
+    /// The label of a service: its name, or [`OTHER_SERVICES`] once [`MAX_SERVICES`] names are in use.
     fn service_label(&self, service: &str) -> String {
         let mut names = self
             .service_names
@@ -329,23 +337,19 @@
         OTHER_SERVICES.to_string()
     }
 
-    /// The page that a Prometheus server reads.
+    /// The metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         super::render(&self.registry)
     }
 }
 
-/// Shows the log lines that were not written.
+/// Exports the number of log lines dropped.
 #[derive(Debug)]
 struct DroppedLineCollector(SharedBudget);
 
 impl Collector for DroppedLineCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        self.encode_counters(
-            &mut encoder,
-            "log_lines_dropped",
-            "Log lines that were not written, by event",
-        )
+        self.encode_counters(&mut encoder, "log_lines_dropped", "Log lines dropped, by event")
     }
 }
 
--- a/src/util/metrics/traffic.rs
+++ b/src/util/metrics/traffic.rs
@@ -12,38 +12,38 @@
 use sequoiastream_core::name::Name;
 use sequoiastream_core::outcome::Outcome;
 
-/// How requests ended.
+/// Labels of [`TrafficMetrics::outcomes`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
     /// The product.
     pub product: String,
-    /// `whole`, `not-run`, `failed` or `unknown`.
+    /// The outcome: `whole`, `not-run`, `failed` or `unknown`.
     pub outcome: String,
 }
 
 /// Metrics of traffic.
 #[derive(Debug, Clone)]
 pub struct TrafficMetrics {
-    /// Final answers by product and outcome.
+    /// Final answers, by product and outcome.
     pub outcomes: Family<OutcomeLabels, Counter>,
-    /// Answers whose caller went away, by product.
+    /// Answers whose caller disconnected, by product.
     pub abandoned: Family<ProductLabels, Counter>,
-    /// Pieces of answers that were late, doubled, crossed or of a closed attempt.
+    /// Pieces of answers dropped because they were late, duplicated, or of another request or a closed attempt.
     pub dropped_pieces: Counter,
-    /// Answers resumed on another engine, or for a caller that came back.
+    /// Answers resumed on another engine, or for a caller that reconnected.
     pub resumes: Counter,
-    /// Attempts that an engine was asked to stop.
+    /// Attempts that an engine was asked to cancel.
     pub cancels: Counter,
-    /// Streams under which an engine crashed or went silent.
+    /// Streams during which the engine crashed or became silent.
     pub crashed_streams: Counter,
-    /// Requests convicted here of crashing engines.
+    /// Requests that this instance has convicted of crashing engines.
     pub convictions: Counter,
     first_token: Family<ProductLabels, Histogram, fn() -> Histogram>,
     between_tokens: Family<ProductLabels, Histogram, fn() -> Histogram>,
     queue_time: Family<ProductLabels, Histogram, fn() -> Histogram>,
 }
 
-/// Where the times of one answer's tokens are observed.
+/// The histograms of the token times of one answer.
 #[derive(Debug, Clone)]
 pub struct TokenMetrics {
     first_token: Histogram,
@@ -51,18 +51,18 @@
 }
 
 impl TokenMetrics {
-    /// Observes the time to the first token.
+    /// Records the time to the first token.
     pub fn observe_first_token(&self, time: Duration) {
         self.first_token.observe(time.as_secs_f64());
     }
 
-    /// Observes the time between two tokens.
+    /// Records the time between two tokens.
     pub fn observe_token_gap(&self, time: Duration) {
         self.between_tokens.observe(time.as_secs_f64());
     }
 }
 
-/// A product.
+/// Labels of metrics by product.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ProductLabels {
     /// The product.
@@ -77,7 +77,8 @@
     }
 }
 
-/// Buckets of 5 ms to 40 s, each twice the one before; 48 ms and 0.56 s, the users' goals, lie inside.
+/// A histogram with bucket bounds from 5 ms to 40 s, each twice the previous one. The range includes the users' targets
+/// of 48 ms and 0.56 s.
 fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 2.0, 14))
 }
@@ -103,37 +104,37 @@
     pub(super) fn register(&self, registry: &mut Registry) {
         registry.register(
             "outcomes",
-            "Final answers by product and outcome",
+            "Final answers, by product and outcome",
             self.outcomes.clone(),
         );
         registry.register(
             "abandoned",
-            "Answers whose caller went away, by product",
+            "Answers whose caller disconnected, by product",
             self.abandoned.clone(),
         );
         registry.register(
             "dropped_pieces",
-            "Pieces of answers that were late, doubled, crossed or of a closed attempt",
+            "Pieces of answers dropped because they were late, duplicated, or of another request or a closed attempt",
             self.dropped_pieces.clone(),
         );
         registry.register(
             "resumes",
-            "Answers resumed behind their first token",
+            "Answers resumed after their first token",
             self.resumes.clone(),
         );
         registry.register(
             "cancels",
-            "Attempts that an engine was asked to stop",
+            "Attempts that an engine was asked to cancel",
             self.cancels.clone(),
         );
         registry.register(
             "crashed_streams",
-            "Streams under which an engine crashed or went silent",
+            "Streams during which the engine crashed or became silent",
             self.crashed_streams.clone(),
         );
         registry.register(
             "convictions",
-            "Requests convicted here of crashing engines",
+            "Requests that this instance has convicted of crashing engines",
             self.convictions.clone(),
         );
         registry.register_with_unit(
@@ -150,7 +151,7 @@
         );
         registry.register_with_unit(
             "queue",
-            "Time from a request's arrival until an engine took it, by product",
+            "Time from a request's arrival until an engine accepted it, by product",
             Unit::Seconds,
             self.queue_time.clone(),
         );
@@ -165,12 +166,12 @@
         self.outcomes.get_or_create(&labels).inc();
     }
 
-    /// Counts an answer whose caller went away.
+    /// Counts an answer whose caller disconnected.
     pub fn count_abandoned(&self, product: &Name) {
         self.abandoned.get_or_create(&ProductLabels::of(product)).inc();
     }
 
-    /// The clocks of one answer to `product`. Looked up once, not for each token.
+    /// The histograms for one answer to a request of `product`. They are looked up once per answer, not for each token.
     pub fn token_metrics(&self, product: &Name) -> TokenMetrics {
         let labels = ProductLabels::of(product);
         TokenMetrics {
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Observes the time until an engine took a request.
+    /// Records the time until an engine accepted a request.
     pub fn observe_queue_time(&self, product: &Name, time: Duration) {
         let histogram = self.queue_time.get_or_create(&ProductLabels::of(product));
         histogram.observe(time.as_secs_f64());
--- a/src/util/mod.rs
+++ b/src/util/mod.rs
@@ -1,4 +1,4 @@
-//! What has no better place.
+//! Clocks, logging and metrics.
 
 pub mod clock;
 pub mod log_budget;
