--- a/src/bin/sequoiastream/main.rs
+++ b/src/bin/sequoiastream/main.rs
@@ -1,8 +1,8 @@
 //! The command-line tool for operators.
 //!
-//! Exit codes: 0 done; 1 failed otherwise; 2 the command line can't be read; 3 the statements were refused;
-//! 4 another operator's change came first; 5 no instance answered, or the platform gave no sure answer, so
-//! that it is not known whether the statements took effect.
+//! Exit codes: 0 success; 1 any other failure; 2 invalid command line; 3 the statements were refused; 4 conflict with
+//! an earlier change by another operator; 5 no instance answered, or the platform gave no definite answer, so that it
+//! is unknown whether the statements took effect.
 
 mod commands;
 mod context;
@@ -20,30 +20,30 @@
 const FAILED: u8 = 1;
 const REFUSED: u8 = 3;
 const CONFLICT: u8 = 4;
-const UNKNOWN: u8 = 5;
+const OUTCOME_UNKNOWN: u8 = 5;
 
-/// The whole command line.
+/// The complete command line.
 fn cli() -> Command {
     Command::new("sequoiastream")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Asks a sequoiastream deployment what holds, and tells it what shall hold")
+        .about("Queries and changes the configuration of a sequoiastream deployment")
         .after_help("See docs/GRAMMAR.md for the statements.")
         .subcommand_required(true)
         .arg(
-            global("server", "SEQUOIASTREAM_SERVER", "Any entry instance")
+            global_arg("server", "SEQUOIASTREAM_SERVER", "Base URL of any entry instance")
                 .default_value("http://127.0.0.1:8080"),
         )
-        .arg(global("token", "SEQUOIASTREAM_OPERATOR_TOKEN", "Operator token").hide_env_values(true))
-        .arg(global("who", "USER", "Your name in the audit trail").default_value("operator"))
+        .arg(global_arg("token", "SEQUOIASTREAM_OPERATOR_TOKEN", "Operator token").hide_env_values(true))
+        .arg(global_arg("who", "USER", "Your name in the audit trail").default_value("operator"))
         .arg(
-            global("format", "SEQUOIASTREAM_FORMAT", "How answers are written")
+            global_arg("format", "SEQUOIASTREAM_FORMAT", "Output format")
                 .value_parser(["table", "json"])
                 .default_value("table"),
         )
         .subcommands(commands::cli())
 }
 
-fn global(name: &'static str, env: &'static str, help: &'static str) -> Arg {
+fn global_arg(name: &'static str, env: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).env(env).help(help).global(true)
 }
 
@@ -74,10 +74,10 @@
         eprintln!("help: {help}");
     }
     ExitCode::from(match client {
-        ClientError::Unreachable { .. } => UNKNOWN,
+        ClientError::Unreachable { .. } => OUTCOME_UNKNOWN,
         ClientError::Malformed { .. } => FAILED,
         ClientError::Refused { status: 409, .. } => CONFLICT,
-        ClientError::Refused { status: 503, .. } => UNKNOWN,
+        ClientError::Refused { status: 503, .. } => OUTCOME_UNKNOWN,
         ClientError::Refused { .. } => REFUSED,
     })
 }
--- a/src/ops/relay/gauges.rs
+++ b/src/ops/relay/gauges.rs
@@ -18,7 +18,7 @@
         .set(count(view.engines().values().map(Vec::len).sum()));
     metrics.instances.set(count(view.endpoints.len()));
     metrics
-        .version
+        .config_version
         .set(i64::try_from(view.table.version).unwrap_or(i64::MAX));
     let mut traffic = shared.traffic();
     metrics.store_age.set(shared.store_age(now).as_secs_f64());
@@ -28,19 +28,19 @@
     metrics
         .peers_age
         .set(traffic.load.oldest_report_age(now).as_secs_f64());
-    metrics.forget_services();
+    metrics.clear_services();
     for (service, engines) in view.engines() {
         let own = sum(engines.iter().map(|e| traffic.load.own_work(e.key)));
         let fleet = sum(engines.iter().map(|e| traffic.load.work(now, e.key)));
         let slots: u32 = engines.iter().map(|e| e.entry.slots).sum();
         let remaining = traffic.budget.remaining(now, service, view.instances);
-        metrics.work(service, "own", own.requests);
-        metrics.work(service, "fleet", fleet.requests);
-        metrics.work(service, "slots", slots);
-        metrics.budget(service, remaining);
+        metrics.set_work(service, "own", own.requests);
+        metrics.set_work(service, "fleet", fleet.requests);
+        metrics.set_work(service, "slots", slots);
+        metrics.set_retry_budget(service, remaining);
     }
     drop(traffic);
-    metrics.page()
+    metrics.render()
 }
 
 fn sum<I>(work: I) -> Work
--- a/src/ops/shared.rs
+++ b/src/ops/shared.rs
@@ -73,13 +73,13 @@
         let router = router(&settings);
         let policy = PolicyState::new(&settings);
         let crash_records = CrashRecords::new(settings.name.clone());
-        let call_meter = Arc::new(CallMeter::new(settings.rate));
+        let call_meter = Arc::new(CallMeter::new(settings.kv_rate));
         Shared {
             settings,
             snapshot: ArcSwap::default(),
             metrics: Metrics::new(call_meter.clone()),
             call_meter,
-            key_ages: KeyAgeCheck::new(clock::both()),
+            key_ages: KeyAgeCheck::new(clock::clocks()),
             owners: Mutex::default(),
             clock_watch: Mutex::default(),
             policy,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the daemon, from flags and environment variables.
 //!
-//! They are checked as a whole: [`Settings::read`] names every fault at once, so that an operator mends a
-//! start-up in one go.
+//! They are validated together: [`Settings::read`] reports all faults at once, so that an operator can correct them
+//! without a restart for each.
 
 mod identity;
 mod limits;
@@ -26,27 +26,27 @@
 use sequoiastream_core::shutdown::ShutdownTimes;
 use thiserror::Error;
 
-pub use patience::Patience;
+pub use patience::Timeouts;
 
-/// Shortest operator token and cluster key, in bytes.
-const MIN_SECRET: usize = 16;
+/// Minimum length of the operator token and of the cluster key, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Beginning of the environment variables.
-const PREFIX: &str = "SEQUOIASTREAM_";
+/// Prefix of the environment variables.
+const ENV_PREFIX: &str = "SEQUOIASTREAM_";
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl LogFormat {
-    /// The format that `word` names; text for any but `json`.
-    pub fn of(word: &str) -> LogFormat {
-        match word {
+    /// The format called `name`; [`LogFormat::Text`] for every name except `json`.
+    pub fn from_name(name: &str) -> LogFormat {
+        match name {
             "json" => LogFormat::Json,
             _ => LogFormat::Text,
         }
@@ -56,54 +56,54 @@
 /// Settings of one daemon.
 #[derive(Clone)]
 pub struct Settings {
-    /// Name of this instance, unique in the deployment.
+    /// Name of this instance; unique in the deployment.
     pub name: Name,
     /// Availability zone of this instance.
     pub zone: Name,
-    /// Where callers and operators connect.
+    /// Listen address for callers and operators.
     pub listen: SocketAddr,
-    /// Where other instances connect, over UDP and TCP.
+    /// Listen address for other instances, over UDP and TCP.
     pub peer: SocketAddr,
-    /// Base address of the platform.
+    /// Base URL of the platform.
     pub platform: String,
-    /// What operators authenticate with.
-    pub token: String,
-    /// Key of the messages between instances.
-    pub cluster: String,
-    /// Threads for traffic.
+    /// Token that operators authenticate with.
+    pub operator_token: String,
+    /// Key that authenticates messages between instances.
+    pub cluster_key: String,
+    /// Number of worker threads for traffic.
     pub workers: usize,
-    /// Deadline of a call to the platform.
-    pub deadline: Duration,
-    /// How long a watch waits.
-    pub wait: Duration,
-    /// Calls a second to the platform that this instance may make.
-    pub rate: u32,
-    /// How long the lease of a service's authority lasts after its last renewal.
-    pub lease: Duration,
+    /// Time limit for one call to the platform.
+    pub kv_deadline: Duration,
+    /// How long a watch call waits for a change.
+    pub watch_wait: Duration,
+    /// Maximum number of calls per second that this instance makes to the platform.
+    pub kv_rate: u32,
+    /// Duration of the lease of a service's authority, from its last renewal.
+    pub lease_ttl: Duration,
     /// How claims are grouped into writes.
-    pub grouping: OwnerSettings,
-    /// How requests are routed and roles changed.
+    pub claim_grouping: OwnerSettings,
+    /// Policy of routing and role changes.
     pub policy: Policy,
-    /// How often engines are asked for their load.
-    pub poll: Duration,
-    /// How long a role change takes an engine away.
-    pub away: Duration,
-    /// Limits of membership.
+    /// Interval between load queries to an engine.
+    pub load_interval: Duration,
+    /// How long an engine is unavailable during a role change.
+    pub role_downtime: Duration,
+    /// Time limits and sizes of membership.
     pub limits: Limits,
-    /// Time between two looks at the platform's lists.
-    pub lists: Duration,
-    /// Times of a shutdown.
-    pub times: ShutdownTimes,
-    /// How long engines and callers may be silent.
-    pub patience: Patience,
-    /// How log lines are written.
-    pub format: LogFormat,
-    /// Only check the settings.
-    pub check: bool,
+    /// Interval between reads of the platform's lists; longer in a large fleet.
+    pub list_interval: Duration,
+    /// Durations of the phases of a shutdown.
+    pub shutdown_times: ShutdownTimes,
+    /// Timeouts for engines and callers.
+    pub timeouts: Timeouts,
+    /// Format of log lines.
+    pub log_format: LogFormat,
+    /// Validate the settings and exit.
+    pub check_only: bool,
 }
 
 impl fmt::Debug for Settings {
-    /// Leaves the secrets out.
+    /// Omits the secrets.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Settings")
             .field("name", &self.name)
@@ -115,58 +115,59 @@
     }
 }
 
-/// Everything that is wrong with the settings.
+/// All faults found in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("could not accept the settings:\n{}", .faults.iter().map(|f| format!("  - {f}")).collect::<Vec<_>>().join("\n"))]
 pub struct SettingsError {
-    /// The faults, in the order of the settings.
+    /// The faults, in the order in which the settings are read.
     pub faults: Vec<String>,
 }
 
-/// The daemon's command line.
+/// The command line of the daemon.
 pub fn cli() -> Command {
     Command::new("sequoiastreamd")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Entry instance of sequoiastream")
-        .after_help("Each flag can be given as an environment variable. Secrets are best given so.")
-        .args(under("Instance", identity::args()))
-        .args(under("Platform", platform::args()))
-        .args(under("Traffic", traffic::args()))
-        .args(under("Engines and callers", patience::args()))
-        .args(under("Membership", limits::args()))
-        .args(under("Shutdown", times::args()))
+        .after_help("Each flag can also be set by an environment variable, which is recommended for secrets.")
+        .args(with_heading("Instance", identity::args()))
+        .args(with_heading("Platform", platform::args()))
+        .args(with_heading("Traffic", traffic::args()))
+        .args(with_heading("Engines and callers", patience::args()))
+        .args(with_heading("Membership", limits::args()))
+        .args(with_heading("Shutdown", times::args()))
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings and exit"),
+                .help("Validate the settings and exit"),
         )
 }
 
-/// Puts `args` under a heading of the help.
-fn under(heading: &'static str, args: Vec<Arg>) -> impl Iterator<Item = Arg> {
+/// Lists `args` under `heading` in the help text.
+fn with_heading(heading: &'static str, args: Vec<Arg>) -> impl Iterator<Item = Arg> {
     args.into_iter().map(move |arg| arg.help_heading(heading))
 }
 
-/// A flag that is also read from the environment variable `SEQUOIASTREAM_NAME`.
-fn text(name: &'static str, help: &'static str) -> Arg {
-    let variable = format!("{PREFIX}{}", name.to_ascii_uppercase().replace('-', "_"));
+/// A flag whose value can also come from an environment variable: [`ENV_PREFIX`] and the flag's name in upper case,
+/// with `_` for `-`.
+fn text_arg(name: &'static str, help: &'static str) -> Arg {
+    let variable = format!("{ENV_PREFIX}{}", name.to_ascii_uppercase().replace('-', "_"));
     Arg::new(name).long(name).env(variable).help(help)
 }
 
-/// The same, with a whole number.
-fn number(name: &'static str, help: &'static str, default: &'static str) -> Arg {
-    text(name, help)
+/// Like [`text_arg`], for an unsigned integer.
+fn number_arg(name: &'static str, help: &'static str, default: &'static str) -> Arg {
+    text_arg(name, help)
         .default_value(default)
         .value_parser(value_parser!(u64))
 }
 
 impl Settings {
-    /// Reads and checks the settings.
+    /// Reads and validates the settings.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] with every fault.
+    /// [`SettingsError`] with all faults found.
     pub fn read(matches: &ArgMatches) -> Result<Settings, SettingsError> {
         let mut reader = Reader {
             matches,
@@ -177,22 +178,22 @@
         let listen = reader.parsed::<SocketAddr>("listen");
         let peer = reader.parsed::<SocketAddr>("peer");
         let platform = reader.platform();
-        let token = reader.secret("operator-token");
-        let cluster = reader.secret("cluster-key");
+        let operator_token = reader.secret("operator-token");
+        let cluster_key = reader.secret("cluster-key");
         let workers = reader.positive("workers");
-        let deadline = reader.positive("kv-deadline-ms");
-        let wait = reader.positive("watch-ms");
-        let rate = reader.positive("kv-rate");
-        let lease = reader.positive("lease-ms");
-        let grouping = traffic::grouping(matches);
-        let poll = reader.positive("load-ms");
-        let away = reader.positive("away-ms");
+        let kv_deadline = reader.positive("kv-deadline-ms");
+        let watch_wait = reader.positive("watch-ms");
+        let kv_rate = reader.positive("kv-rate");
+        let lease_ttl = reader.positive("lease-ms");
+        let claim_grouping = traffic::claim_grouping(matches);
+        let load_interval = reader.positive("load-ms");
+        let role_downtime = reader.positive("away-ms");
         let policy = reader.parsed::<Policy>("policy").unwrap_or_default();
         let limits = limits::limits(&mut reader);
-        let lists = limits::lists(&mut reader);
-        let times = times::times(&mut reader);
-        let patience = patience::patience(&mut reader);
-        let format = LogFormat::of(&reader.text("log-format"));
+        let list_interval = limits::list_interval(&mut reader);
+        let shutdown_times = times::shutdown_times(&mut reader);
+        let timeouts = patience::timeouts(&mut reader);
+        let log_format = LogFormat::from_name(&reader.text("log-format"));
         let faults = reader.faults;
         let (Some(name), Some(zone), Some(listen), Some(peer), true) =
             (name, zone, listen, peer, faults.is_empty())
@@ -205,28 +206,28 @@
             listen,
             peer,
             platform,
-            token,
-            cluster,
+            operator_token,
+            cluster_key,
             workers: usize::try_from(workers).unwrap_or(1),
-            deadline: Duration::from_millis(deadline),
-            wait: Duration::from_millis(wait),
-            rate: u32::try_from(rate).unwrap_or(u32::MAX),
-            lease: Duration::from_millis(lease),
-            grouping,
+            kv_deadline: Duration::from_millis(kv_deadline),
+            watch_wait: Duration::from_millis(watch_wait),
+            kv_rate: u32::try_from(kv_rate).unwrap_or(u32::MAX),
+            lease_ttl: Duration::from_millis(lease_ttl),
+            claim_grouping,
             policy,
-            poll: Duration::from_millis(poll),
-            away: Duration::from_millis(away),
+            load_interval: Duration::from_millis(load_interval),
+            role_downtime: Duration::from_millis(role_downtime),
             limits,
-            lists,
-            times,
-            patience,
-            format,
-            check: matches.get_flag("check"),
+            list_interval,
+            shutdown_times,
+            timeouts,
+            log_format,
+            check_only: matches.get_flag("check"),
         })
     }
 }
 
-/// Reads settings and gathers what is wrong with them.
+/// Reads settings and collects their faults.
 struct Reader<'a> {
     matches: &'a ArgMatches,
     faults: Vec<String>,
@@ -273,9 +274,9 @@
 
     fn secret(&mut self, name: &str) -> String {
         let text = self.text(name);
-        if !text.is_empty() && text.len() < MIN_SECRET {
+        if !text.is_empty() && text.len() < MIN_SECRET_BYTES {
             self.faults
-                .push(format!("--{name} must have at least {MIN_SECRET} bytes"));
+                .push(format!("--{name} must have at least {MIN_SECRET_BYTES} bytes"));
         }
         text
     }
--- a/src/util/metrics/relay.rs
+++ b/src/util/metrics/relay.rs
@@ -1,4 +1,4 @@
-//! Metrics of forwarding by routes.
+//! Metrics of the forwarding of requests by route.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -22,90 +22,91 @@
 use crate::util::logging::SharedBudget;
 use crate::util::metrics::PREFIX;
 
-/// Bounds of times to the first event, in seconds: around the targets of the users' sheets, 0.1 to 0.2.
-const FIRST: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.4, 0.8, 1.6, 5.0];
+/// Bucket bounds of the time to the first event, in seconds. They are dense around the users' targets of 0.1 to 0.2.
+const FIRST_EVENT_BUCKETS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.4, 0.8, 1.6, 5.0];
 
-/// Bounds of the error of predictions, in seconds.
-const ERRORS: [f64; 9] = [-0.1, -0.03, -0.01, 0.0, 0.01, 0.03, 0.1, 0.3, 1.0];
+/// Bucket bounds of the prediction error, in seconds.
+const PREDICTION_ERROR_BUCKETS: [f64; 9] = [-0.1, -0.03, -0.01, 0.0, 0.01, 0.03, 0.1, 0.3, 1.0];
 
-/// Services that are shown by name; more are shown together as [`OTHERS`]. Operators may configure any number.
+/// Maximum number of services with a label of their own; all others share [`OTHER_SERVICES`]. Operators may configure
+/// any number of services.
 const MAX_SERVICES: usize = 64;
 
-/// Services beyond [`MAX_SERVICES`].
-const OTHERS: &str = "others";
+/// Label of all services beyond [`MAX_SERVICES`].
+const OTHER_SERVICES: &str = "others";
 
-/// The way of a request.
+/// Labels of a request: its service and the kind of its route.
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct Path {
-    /// The service that may answer it.
+pub struct RouteLabels {
+    /// The service that the route leads to.
     pub service: String,
-    /// The kind of its route.
+    /// The kind of the route.
     pub kind: &'static str,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByOutcome {
+struct RouteOutcomeLabels {
     service: String,
     kind: &'static str,
     outcome: String,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct By {
+struct ResultLabels {
     result: String,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByCall {
+struct CallLabels {
     call: &'static str,
     result: &'static str,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByReason {
+struct ReasonLabels {
     reason: &'static str,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByService {
+struct ServiceLabels {
     service: String,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByScope {
+struct ScopeLabels {
     service: String,
     scope: &'static str,
 }
 
-/// Metrics of forwarding by routes.
+/// Metrics of the forwarding of requests by route.
 pub struct RelayMetrics {
-    answers: Family<ByOutcome, Counter>,
-    refusals: Family<ByReason, Counter>,
-    attempts: Family<By, Counter>,
-    store: Family<ByCall, Counter>,
-    extras: Family<By, Counter>,
-    budget: Family<ByService, Gauge<f64, AtomicU64>>,
-    work: Family<ByScope, Gauge>,
-    first: Family<Path, Histogram, fn() -> Histogram>,
-    error: Histogram,
-    /// Seconds since the store confirmed what is known of it.
+    answers: Family<RouteOutcomeLabels, Counter>,
+    refusals: Family<ReasonLabels, Counter>,
+    attempts: Family<ResultLabels, Counter>,
+    store_calls: Family<CallLabels, Counter>,
+    extra_attempts: Family<ResultLabels, Counter>,
+    budget_left: Family<ServiceLabels, Gauge<f64, AtomicU64>>,
+    work: Family<ScopeLabels, Gauge>,
+    first_event: Family<RouteLabels, Histogram, fn() -> Histogram>,
+    prediction_error: Histogram,
+    /// Seconds since the store last confirmed this instance's copy of the configuration and the engines.
     pub store_age: Gauge<f64, AtomicU64>,
-    /// Seconds since the peer that was silent longest told of its work.
+    /// Seconds since the last load report of the peer whose report is the oldest.
     pub peers_age: Gauge<f64, AtomicU64>,
-    /// 1 while this instance watches the store for its zone.
+    /// 1 while this instance watches the store on behalf of its zone, otherwise 0.
     pub watcher: Gauge,
-    /// Seconds since the time up to which everything that happened in the store is known, by proof; -1 without one.
+    /// Age in seconds of the time up to which all changes in the store are proven to be known here; -1 without a proof.
     pub proof_age: Gauge<f64, AtomicU64>,
-    /// Whether this instance acts for all towards the platform's API.
-    pub leads: Gauge,
-    names: Mutex<BTreeSet<String>>,
-    /// Requests that are running.
+    /// 1 while this instance is the leader, which calls the platform's API on behalf of all, otherwise 0.
+    pub is_leader: Gauge,
+    service_names: Mutex<BTreeSet<String>>,
+    /// Number of running requests.
     pub running: Gauge,
     /// Version of the configuration in force.
-    pub version: Gauge,
-    /// Engines that may get work.
+    pub config_version: Gauge,
+    /// Number of engines that may receive requests.
     pub engines: Gauge,
-    /// Instances that callers are told of.
+    /// Number of instances listed to callers.
     pub instances: Gauge,
     registry: Mutex<Registry>,
 }
@@ -117,33 +118,33 @@
 }
 
 impl RelayMetrics {
-    /// All at zero; lines that `budget` dropped are shown too.
+    /// Creates all metrics at zero. The number of log lines dropped is read from `budget`.
     pub fn new(budget: SharedBudget) -> RelayMetrics {
         let mut registry = Registry::with_prefix(PREFIX);
         let metrics = RelayMetrics {
             answers: Family::default(),
             refusals: Family::default(),
             attempts: Family::default(),
-            store: Family::default(),
-            extras: Family::default(),
-            budget: Family::default(),
+            store_calls: Family::default(),
+            extra_attempts: Family::default(),
+            budget_left: Family::default(),
             work: Family::default(),
-            first: Family::new_with_constructor(|| Histogram::new(FIRST)),
+            first_event: Family::new_with_constructor(|| Histogram::new(FIRST_EVENT_BUCKETS)),
             store_age: Gauge::default(),
             peers_age: Gauge::default(),
             watcher: Gauge::default(),
             proof_age: Gauge::default(),
-            leads: Gauge::default(),
-            names: Mutex::default(),
-            error: Histogram::new(ERRORS),
+            is_leader: Gauge::default(),
+            service_names: Mutex::default(),
+            prediction_error: Histogram::new(PREDICTION_ERROR_BUCKETS),
             running: Gauge::default(),
-            version: Gauge::default(),
+            config_version: Gauge::default(),
             engines: Gauge::default(),
             instances: Gauge::default(),
             registry: Mutex::default(),
         };
         metrics.register(&mut registry);
-        registry.register_collector(Box::new(Dropped(budget)));
+        registry.register_collector(Box::new(DroppedLineCollector(budget)));
         RelayMetrics {
             registry: Mutex::new(registry),
             ..metrics
@@ -153,52 +154,56 @@
     fn register(&self, registry: &mut Registry) {
         registry.register(
             "relay_answers",
-            "Final answers by service, kind of route and outcome",
+            "Final answers, by service, kind of route and outcome",
             self.answers.clone(),
         );
         registry.register(
             "relay_refusals",
-            "Final answers of this instance's own, by reason",
+            "Final answers produced by this instance itself, by reason",
             self.refusals.clone(),
         );
         registry.register(
             "relay_attempts",
-            "Attempts at engines by how they ended",
+            "Attempts at engines, by how they ended",
             self.attempts.clone(),
         );
         registry.register(
             "relay_extra_attempts",
-            "Extra attempts that the budget allowed or denied",
-            self.extras.clone(),
+            "Extra attempts allowed or denied by the retry budget",
+            self.extra_attempts.clone(),
         );
         registry.register_with_unit(
             "relay_first_event",
-            "From a request's arrival to its first event, or its whole answer",
+            "Time from a request's arrival to the first event of its answer, or to the complete answer",
             Unit::Seconds,
-            self.first.clone(),
+            self.first_event.clone(),
         );
         registry.register_with_unit(
             "relay_prediction_error",
-            "First event less its prediction",
+            "Measured time to the first event minus its prediction",
             Unit::Seconds,
-            self.error.clone(),
+            self.prediction_error.clone(),
         );
         self.register_work(registry);
         self.register_knowledge(registry);
     }
 
     fn register_work(&self, registry: &mut Registry) {
-        registry.register("relay_running", "Requests that are running", self.running.clone());
-        registry.register("relay_engines", "Engines that may get work", self.engines.clone());
+        registry.register("relay_running", "Running requests", self.running.clone());
+        registry.register(
+            "relay_engines",
+            "Engines that may receive requests",
+            self.engines.clone(),
+        );
         registry.register(
             "relay_work",
-            "Requests at the engines of a service: of this instance, of all, and slots",
+            "Requests at the engines of a service, by scope: of this instance, of the fleet, and engine slots",
             self.work.clone(),
         );
         registry.register(
             "relay_budget_left",
-            "Extra attempts that this instance may still make",
-            self.budget.clone(),
+            "Extra attempts left in the retry budget of this instance",
+            self.budget_left.clone(),
         );
     }
 
@@ -206,148 +211,155 @@
         registry.register(
             "relay_store_calls",
             "Calls to the store, by kind and result",
-            self.store.clone(),
+            self.store_calls.clone(),
         );
         registry.register_with_unit(
             "relay_store_age",
-            "Since the store last confirmed configuration and engines",
+            "Time since the store last confirmed the configuration and the engines",
             Unit::Seconds,
             self.store_age.clone(),
         );
         registry.register(
             "relay_watcher",
-            "Whether this instance watches the store for its zone",
+            "1 while this instance watches the store on behalf of its zone, otherwise 0",
             self.watcher.clone(),
         );
         registry.register_with_unit(
             "relay_proof_age",
-            "Up to how long ago everything that happened in the store is known, by proof; -1 without one",
+            "Age of the time up to which all changes in the store are proven to be known; -1 without a proof",
             Unit::Seconds,
             self.proof_age.clone(),
         );
         registry.register(
             "relay_leads",
-            "Whether this instance acts for all towards the platform's API",
-            self.leads.clone(),
+            "1 while this instance is the leader, which calls the platform's API on behalf of all, otherwise 0",
+            self.is_leader.clone(),
         );
         registry.register_with_unit(
             "relay_peers_age",
-            "Since the peer that was silent longest told of its work",
+            "Time since the last load report of the peer whose report is the oldest",
             Unit::Seconds,
             self.peers_age.clone(),
         );
         registry.register(
             "relay_config_version",
             "Version of the configuration in force",
-            self.version.clone(),
+            self.config_version.clone(),
         );
         registry.register(
             "relay_instances",
-            "Instances that callers are told of",
+            "Instances listed to callers",
             self.instances.clone(),
         );
     }
 
     /// Counts a final answer.
-    pub fn answer(&self, path: &Path, outcome: &str) {
-        let by = ByOutcome {
-            service: self.name(&path.service),
-            kind: path.kind,
+    pub fn count_answer(&self, route: &RouteLabels, outcome: &str) {
+        let labels = RouteOutcomeLabels {
+            service: self.service_label(&route.service),
+            kind: route.kind,
             outcome: outcome.to_string(),
         };
-        self.answers.get_or_create(&by).inc();
+        self.answers.get_or_create(&labels).inc();
     }
 
-    /// Counts a final answer of this instance's own.
-    pub fn refusal(&self, reason: &'static str) {
-        self.refusals.get_or_create(&ByReason { reason }).inc();
+    /// Counts a final answer produced by this instance itself.
+    pub fn count_refusal(&self, reason: &'static str) {
+        self.refusals.get_or_create(&ReasonLabels { reason }).inc();
     }
 
-    /// Counts the end of an attempt.
-    pub fn attempt(&self, result: &str) {
+    /// Counts an attempt that ended with `result`.
+    pub fn count_attempt(&self, result: &str) {
         let result = result.to_string();
-        self.attempts.get_or_create(&By { result }).inc();
+        self.attempts.get_or_create(&ResultLabels { result }).inc();
     }
 
     /// Counts a call to the store.
-    pub fn store(&self, call: &'static str, result: &'static str) {
-        self.store.get_or_create(&ByCall { call, result }).inc();
+    pub fn count_store_call(&self, call: &'static str, result: &'static str) {
+        self.store_calls.get_or_create(&CallLabels { call, result }).inc();
     }
 
-    /// Counts an extra attempt that was asked for.
-    pub fn extra(&self, allowed: bool) {
+    /// Counts an extra attempt, allowed or denied by the retry budget.
+    pub fn count_extra(&self, allowed: bool) {
         let result = if allowed { "allowed" } else { "denied" }.to_string();
-        self.extras.get_or_create(&By { result }).inc();
+        self.extra_attempts.get_or_create(&ResultLabels { result }).inc();
     }
 
-    /// Notes the time to a first event, or to a whole answer.
-    pub fn first(&self, path: &Path, took: Duration) {
-        let path = Path {
-            service: self.name(&path.service),
-            kind: path.kind,
+    /// Records the time to the first event of an answer, or to a complete answer.
+    pub fn observe_first_event(&self, route: &RouteLabels, elapsed: Duration) {
+        let labels = RouteLabels {
+            service: self.service_label(&route.service),
+            kind: route.kind,
         };
-        self.first.get_or_create(&path).observe(took.as_secs_f64());
+        self.first_event
+            .get_or_create(&labels)
+            .observe(elapsed.as_secs_f64());
     }
 
-    /// Notes a first event against its prediction.
-    pub fn error(&self, took: Duration, predicted: Duration) {
-        self.error.observe(took.as_secs_f64() - predicted.as_secs_f64());
+    /// Records the difference between the measured and the predicted time to the first event.
+    pub fn observe_prediction_error(&self, elapsed: Duration, predicted: Duration) {
+        self.prediction_error
+            .observe(elapsed.as_secs_f64() - predicted.as_secs_f64());
     }
 
-    /// Drops what is shown of services at a moment: one whose engines are gone would be shown as it was, for good.
-    pub fn forget_services(&self) {
+    /// Clears the gauges of all services, before the current values are set. Otherwise, a service whose engines have
+    /// been removed would keep its last values indefinitely.
+    pub fn clear_services(&self) {
         self.work.clear();
-        self.budget.clear();
+        self.budget_left.clear();
     }
 
-    /// Shows the requests at the engines of a service.
-    pub fn work(&self, service: &str, scope: &'static str, requests: u32) {
-        let service = self.name(service);
-        let work = self.work.get_or_create(&ByScope { service, scope });
-        work.set(i64::from(requests));
+    /// Sets the number of requests at the engines of a service.
+    pub fn set_work(&self, service: &str, scope: &'static str, requests: u32) {
+        let service = self.service_label(service);
+        let gauge = self.work.get_or_create(&ScopeLabels { service, scope });
+        gauge.set(i64::from(requests));
     }
 
-    /// Shows the extra attempts that are left for a service.
-    pub fn budget(&self, service: &str, left: f64) {
-        let service = self.name(service);
-        self.budget.get_or_create(&ByService { service }).set(left);
+    /// Sets the number of extra attempts left in the retry budget of a service.
+    pub fn set_retry_budget(&self, service: &str, left: f64) {
+        let service = self.service_label(service);
+        self.budget_left
+            .get_or_create(&ServiceLabels { service })
+            .set(left);
     }
 
-    /// The name that a service is shown by.
-    fn name(&self, service: &str) -> String {
+    /// The label of a service: its name, or [`OTHER_SERVICES`] once [`MAX_SERVICES`] names are in use.
+    fn service_label(&self, service: &str) -> String {
         let mut names = self
-            .names
+            .service_names
             .lock()
             .expect("no thread panics while it holds the names");
         if names.contains(service) || names.len() < MAX_SERVICES {
             names.insert(service.to_string());
             return service.to_string();
         }
-        OTHERS.to_string()
+        OTHER_SERVICES.to_string()
     }
 
-    /// The page that a Prometheus server reads.
-    pub fn page(&self) -> String {
-        super::page(&self.registry)
+    /// The metrics in the Prometheus text format.
+    pub fn render(&self) -> String {
+        super::render(&self.registry)
     }
 }
 
-/// Shows the log lines that were not written.
+/// Exports the number of log lines dropped.
 #[derive(Debug)]
-struct Dropped(SharedBudget);
+struct DroppedLineCollector(SharedBudget);
 
-impl Collector for Dropped {
+impl Collector for DroppedLineCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        self.family(
-            &mut encoder,
-            "log_lines_dropped",
-            "Log lines that were not written, by event",
-        )
+        self.encode_counters(&mut encoder, "log_lines_dropped", "Log lines dropped, by event")
     }
 }
 
-impl Dropped {
-    fn family(&self, encoder: &mut DescriptorEncoder<'_>, name: &str, help: &str) -> Result<(), fmt::Error> {
+impl DroppedLineCollector {
+    fn encode_counters(
+        &self,
+        encoder: &mut DescriptorEncoder<'_>,
+        name: &str,
+        help: &str,
+    ) -> Result<(), fmt::Error> {
         let budget = self.0.lock().expect("no thread panics while it holds the budget");
         let mut family = encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
         for (event, count) in budget.dropped() {
--- a/tests/testsuite/relay/acts.rs
+++ b/tests/testsuite/relay/acts.rs
@@ -139,7 +139,7 @@
     let store = FakeStore::new();
     let api = api(&store, |_| 200).await;
     let shared = start_leader(&api, &store, 0).await;
-    let is_leading = || shared.metrics.leads.get() == 1;
+    let is_leading = || shared.metrics.is_leader.get() == 1;
     super::wait_until(is_leading).await;
     store.set_next_write(WriteOutcome::DroppedUnanswered);
     let writes = store.calls().writes;
--- a/tests/testsuite/relay/metrics.rs
+++ b/tests/testsuite/relay/metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics page of an instance.
 
-use sequoiastream::util::metrics::Path;
+use sequoiastream::util::metrics::RouteLabels;
 use sequoiastream_core::relay::engines::Stage;
 use sequoiastream_core::relay::routes::RouteKind;
 
@@ -58,7 +58,10 @@
 async fn page_bounded() {
     let instance = Instance::start(RouteKind::Idempotent, &[], |_| {});
     for number in 0..1_500 {
-        instance.shared.metrics.budget(&format!("s{number}"), 1.0);
+        instance
+            .shared
+            .metrics
+            .set_retry_budget(&format!("s{number}"), 1.0);
     }
     let names = ["sequoiastream_relay_budget_left"];
     let samples = samples(&instance, &names).await;
@@ -66,11 +69,11 @@
     let chat = "sequoiastream_relay_budget_left{service=\"others\"} 39.";
     assert!(samples.len() == 1 && samples[0].starts_with(chat), "{samples:?}");
     for number in 0..1_500 {
-        let path = Path {
+        let path = RouteLabels {
             service: format!("s{number}"),
             kind: "once",
         };
-        instance.shared.metrics.answer(&path, "answered");
+        instance.shared.metrics.count_answer(&path, "answered");
     }
     let names = ["sequoiastream_relay_answers"];
     let samples = self::samples(&instance, &names).await;
