--- a/crates/caller/src/addresses.rs
+++ b/crates/caller/src/addresses.rs
@@ -61,7 +61,7 @@
     let list = gateway.addresses(call)?;
     let answer = AddressBody {
         addresses: list.addresses,
-        keep: list.keep.as_secs_f64(),
+        keep: list.max_age.as_secs_f64(),
     };
     Ok(HttpResponse::Ok()
         .insert_header(("cache-control", "no-store"))
--- a/crates/caller/src/gateway.rs
+++ b/crates/caller/src/gateway.rs
@@ -28,7 +28,7 @@
     /// The prompt.
     pub prompt: String,
     /// Most tokens to generate.
-    pub limit: u32,
+    pub max_tokens: u32,
     /// Seed of the sampling.
     pub seed: u64,
     /// What the caller has already.
@@ -45,11 +45,11 @@
     /// `stop` or `length`.
     pub reason: String,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Of these, tokens found in a prefix cache.
-    pub cached: u32,
+    pub cached_tokens: u32,
     /// Tokens generated.
-    pub output: u32,
+    pub output_tokens: u32,
 }
 
 /// A token of an answer.
@@ -96,9 +96,9 @@
     /// Path and query, beginning with `/`.
     pub path: String,
     /// Idempotency key, if the caller gave one.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Content type, if the caller gave one.
-    pub content: Option<String>,
+    pub content_type: Option<String>,
     /// Body.
     pub body: Bytes,
     /// How long the caller waits; `None` for the product's default.
@@ -111,7 +111,7 @@
     /// HTTP status.
     pub status: u16,
     /// Content type, if it said one.
-    pub content: Option<String>,
+    pub content_type: Option<String>,
     /// Body.
     pub body: Bytes,
 }
@@ -137,7 +137,7 @@
     /// The addresses, the best first.
     pub addresses: Vec<SocketAddr>,
     /// How long the answer may be kept.
-    pub keep: Duration,
+    pub max_age: Duration,
 }
 
 /// Decides what requests lead to.
@@ -149,7 +149,7 @@
     fn ready(&self) -> bool;
 
     /// How long a caller may take to send the body of a request.
-    fn body_time(&self) -> Duration;
+    fn body_timeout(&self) -> Duration;
 
     /// The models and services that callers can name.
     fn models(&self) -> Vec<String>;
--- a/crates/caller/src/http.rs
+++ b/crates/caller/src/http.rs
@@ -25,7 +25,7 @@
 use crate::wire::ModelsBody;
 
 /// Header that carries the outcome of a final answer.
-pub const OUTCOME: &str = "sequoiastream-outcome";
+pub const OUTCOME_HEADER: &str = "sequoiastream-outcome";
 
 /// Registers the routes for `gateway`.
 pub fn configure<G>(config: &mut ServiceConfig, gateway: G)
@@ -43,13 +43,13 @@
         .route("/healthz", web::get().to(health))
         .route("/readyz", web::get().to(ready::<G>))
         .route("/metrics", web::get().to(metrics::<G>))
-        .default_service(web::route().to(nowhere));
+        .default_service(web::route().to(not_found));
 }
 
 /// What no route takes.
-async fn nowhere(request: HttpRequest) -> HttpResponse {
+async fn not_found(request: HttpRequest) -> HttpResponse {
     let message = format!("there is no {} {}", request.method(), request.path());
-    refuse(&Refusal::unknown_path(message))
+    refusal_response(&Refusal::unknown_path(message))
 }
 
 /// `GET /v1/models`
@@ -58,7 +58,7 @@
     G: Gateway,
 {
     match product(gateway.get_ref(), &request) {
-        Err(refusal) => refuse(&refusal),
+        Err(refusal) => refusal_response(&refusal),
         Ok(_) => HttpResponse::Ok().json(ModelsBody::of(gateway.models())),
     }
 }
@@ -111,10 +111,10 @@
 where
     G: Gateway,
 {
-    respond(pass(gateway.get_ref(), &request, path.into_inner(), payload).await)
+    respond(forward_request(gateway.get_ref(), &request, path.into_inner(), payload).await)
 }
 
-async fn pass<G>(
+async fn forward_request<G>(
     gateway: &G,
     request: &HttpRequest,
     path: (String, String),
@@ -124,7 +124,7 @@
     G: Gateway,
 {
     let product = product(gateway, request)?;
-    let body = read_body(payload, gateway.body_time()).await?;
+    let body = read_body(payload, gateway.body_timeout()).await?;
     let deadline = deadline(request)?;
     let (service, path) = path;
     let query = match request.query_string() {
@@ -144,15 +144,15 @@
         service,
         method: request.method().to_string(),
         path: format!("/{path}{query}"),
-        key: header("idempotency-key"),
-        content: header("content-type"),
+        idempotency_key: header("idempotency-key"),
+        content_type: header("content-type"),
         body,
         deadline,
     };
     let reply = gateway.forward(call).await?;
-    let mut answer = builder(reply.status);
-    answer.insert_header((OUTCOME, Outcome::Whole.to_string()));
-    if let Some(content) = reply.content {
+    let mut answer = response_builder(reply.status);
+    answer.insert_header((OUTCOME_HEADER, Outcome::Whole.to_string()));
+    if let Some(content) = reply.content_type {
         answer.insert_header(("content-type", content));
     }
     Ok(answer.body(reply.body))
@@ -160,23 +160,23 @@
 
 /// The answer, or the one that tells the refusal.
 pub(crate) fn respond(answer: Result<HttpResponse, Refusal>) -> HttpResponse {
-    answer.unwrap_or_else(|refusal| refuse(&refusal))
+    answer.unwrap_or_else(|refusal| refusal_response(&refusal))
 }
 
 /// The answer that tells a refusal.
-pub(crate) fn refuse(refusal: &Refusal) -> HttpResponse {
-    let mut answer = builder(refusal.status());
-    answer.insert_header((OUTCOME, refusal.outcome().to_string()));
+pub(crate) fn refusal_response(refusal: &Refusal) -> HttpResponse {
+    let mut answer = response_builder(refusal.status());
+    answer.insert_header((OUTCOME_HEADER, refusal.outcome().to_string()));
     if refusal.status() == 422 {
         // Ordinary clients repeat what failed; what is quarantined never succeeds.
         answer.insert_header(("x-should-retry", "false"));
     }
-    if let Some(after) = refusal.after() {
+    if let Some(after) = refusal.retry_after() {
         answer.insert_header(("retry-after", (after.as_secs_f64().ceil() as u64).to_string()));
     }
     answer.json(error_body(refusal))
 }
 
-pub(crate) fn builder(status: u16) -> HttpResponseBuilder {
+pub(crate) fn response_builder(status: u16) -> HttpResponseBuilder {
     HttpResponse::build(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY))
 }
--- a/crates/caller/src/proof.rs
+++ b/crates/caller/src/proof.rs
@@ -12,7 +12,7 @@
 //! let unsent = Unsent::begin();
 //! ```
 //!
-//! An attempt that was lost leaves [`Ran`], from which there is no way back, over any number of attempts:
+//! An attempt that was lost leaves [`MayHaveRun`], from which there is no way back, over any number of attempts:
 //!
 //! ```compile_fail,E0599
 //! # use sequoiastream_caller::NotRun;
@@ -43,7 +43,7 @@
 //! # use sequoiastream_caller::Unsent;
 //! # use sequoiastream_core::outcome::Reason;
 //! fn refuse(unsent: Unsent) -> NotRun {
-//!     let unsent = unsent.send().returned();
+//!     let unsent = unsent.send().not_started();
 //!     unsent.refuse(Reason::UpstreamRefused)
 //! }
 //! ```
@@ -81,24 +81,24 @@
 
 impl Sent {
     /// The upstream vouches that the attempt did not start, or no byte left: another one may be sent.
-    pub fn returned(self) -> Unsent {
+    pub fn not_started(self) -> Unsent {
         Unsent(())
     }
 
-    /// As [`returned`](Sent::returned), giving the request up.
-    pub fn vouched(self) -> NotRun {
-        self.returned().refuse(Reason::UpstreamRefused)
+    /// As [`not_started`](Sent::not_started), giving the request up.
+    pub fn upstream_refused(self) -> NotRun {
+        self.not_started().refuse(Reason::UpstreamRefused)
     }
 
     /// Nobody vouches for the attempt: it may have run.
-    pub fn lost(self) -> Ran {
-        Ran(())
+    pub fn lost(self) -> MayHaveRun {
+        MayHaveRun(())
     }
 }
 
 /// A request that may have run. Nothing leads back from here to a [`NotRun`].
 #[derive(Debug)]
-pub struct Ran(());
+pub struct MayHaveRun(());
 
 /// A refusal that vouches that no upstream started the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -114,12 +114,12 @@
     }
 
     /// When it makes sense to come back, if it does.
-    pub fn after(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         self.after
     }
 
     /// Sets when to come back.
-    pub fn come_back(mut self, after: Duration) -> NotRun {
+    pub fn with_retry_after(mut self, after: Duration) -> NotRun {
         self.after = Some(after);
         self
     }
--- a/crates/caller/src/refusal.rs
+++ b/crates/caller/src/refusal.rs
@@ -39,7 +39,7 @@
     }
 
     /// Another request with the same idempotency key runs; ask for it after this time.
-    pub fn running(after: Duration) -> Refusal {
+    pub fn key_running(after: Duration) -> Refusal {
         Refusal {
             outcome: Outcome::Unknown,
             reason: Some(Reason::KeyRunning),
@@ -72,7 +72,7 @@
             outcome: Outcome::NotRun,
             reason: Some(proof.reason()),
             message: message.into(),
-            after: proof.after(),
+            after: proof.retry_after(),
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// When to come back.
-    pub fn after(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         self.after
     }
 
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -18,10 +18,10 @@
 use crate::wire::Prompt;
 
 /// Tokens generated where the caller sets no limit.
-const DEFAULT_LIMIT: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Most tokens that a caller may ask for.
-const MAX_LIMIT: u32 = 32_768;
+const MAX_TOKENS_LIMIT: u32 = 32_768;
 
 /// Least urgent priority.
 const MAX_PRIORITY: u8 = 9;
@@ -30,7 +30,7 @@
 const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 
 /// Largest request body, in bytes.
-const MAX_BODY: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 /// Reads a request's whole body, which must arrive within `time`.
 ///
@@ -41,11 +41,11 @@
 ///
 /// [`Refusal`] if the body is too large, too slow or breaks off.
 pub async fn read_body(payload: Payload, time: Duration) -> Result<Bytes, Refusal> {
-    let read = payload.to_bytes_limited(MAX_BODY);
+    let read = payload.to_bytes_limited(MAX_BODY_BYTES);
     match tokio::time::timeout(time, read).await {
         Err(_) => Err(Refusal::bad_request("the request's body did not arrive in time")),
         Ok(Err(_)) => Err(Refusal::bad_request(format!(
-            "the request's body has more than {MAX_BODY} bytes"
+            "the request's body has more than {MAX_BODY_BYTES} bytes"
         ))),
         Ok(Ok(Err(error))) => Err(Refusal::bad_request(format!("could not read the body: {error}"))),
         Ok(Ok(Ok(bytes))) => Ok(bytes),
@@ -71,8 +71,8 @@
     }
     match body.limit() {
         Some(0) => Err(Refusal::bad_request("`max_tokens` must be at least 1")),
-        Some(limit) if limit > MAX_LIMIT => Err(Refusal::bad_request(format!(
-            "`max_tokens` must be at most {MAX_LIMIT}"
+        Some(limit) if limit > MAX_TOKENS_LIMIT => Err(Refusal::bad_request(format!(
+            "`max_tokens` must be at most {MAX_TOKENS_LIMIT}"
         ))),
         _ => Ok(body),
     }
@@ -96,21 +96,21 @@
     if prompt.trim().is_empty() {
         return Err(Refusal::bad_request("the prompt is empty"));
     }
-    let limit = body.limit().unwrap_or(DEFAULT_LIMIT);
+    let limit = body.limit().unwrap_or(DEFAULT_MAX_TOKENS);
     let (id, resume) = match header(request, "last-event-id")? {
-        Some(text) => come_back(text, limit)?,
+        Some(text) => parse_resume(text, limit)?,
         None => (Uuid::now_v7(), Resume::default()),
     };
     let seed = body
         .seed
-        .map_or_else(|| seed_of(&product, id), |seed| seed as u64);
+        .map_or_else(|| derive_seed(&product, id), |seed| seed as u64);
     Ok(GenerateCall {
         unsent: Unsent::begin(),
         id,
         product,
         model: body.model.clone(),
         prompt,
-        limit,
+        max_tokens: limit,
         seed,
         resume,
         priority: priority(request)?,
@@ -123,7 +123,7 @@
 /// It must be the same when the caller comes back through another instance, which knows nothing of the request:
 /// so it depends on the id alone. The product goes in too: who learns another product's request id can't have
 /// that request's seed with it.
-fn seed_of(product: &Name, id: Uuid) -> u64 {
+fn derive_seed(product: &Name, id: Uuid) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(product.as_str().as_bytes());
     hasher.update(b"/");
@@ -136,7 +136,7 @@
 /// Reads what a caller that lost its connection sends back: `ID.VERSION/OFFSET`.
 ///
 /// Nothing is looked up by it, so a forged one harms nobody: its sender gets the tokens of its own prompt.
-fn come_back(text: &str, limit: u32) -> Result<(Uuid, Resume), Refusal> {
+fn parse_resume(text: &str, limit: u32) -> Result<(Uuid, Resume), Refusal> {
     let wrong = || Refusal::bad_request("`Last-Event-ID` is none that this service gave");
     let (name, offset) = text.trim().split_once('/').ok_or_else(wrong)?;
     let (id, version) = match name.split_once('.') {
--- a/crates/caller/src/sse.rs
+++ b/crates/caller/src/sse.rs
@@ -19,7 +19,7 @@
 use crate::wire::Usage;
 
 /// Bytes that a token's event mostly has.
-const EVENT: usize = 320;
+const EVENT_CAPACITY: usize = 320;
 
 /// Whether the answer is to a chat or to a completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// What each event of an answer repeats.
 #[derive(Debug, Clone)]
-pub struct Frame {
+pub struct AnswerFormat {
     style: Style,
     id: Uuid,
     model: String,
@@ -40,11 +40,11 @@
     usage: bool,
 }
 
-impl Frame {
+impl AnswerFormat {
     /// The frame of the answer to request `id` for `model`, as the caller named it.
-    pub fn new(style: Style, id: Uuid, model: String) -> Frame {
+    pub fn new(style: Style, id: Uuid, model: String) -> AnswerFormat {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Frame {
+        AnswerFormat {
             style,
             id,
             model,
@@ -54,13 +54,13 @@
     }
 
     /// Whether the counts of tokens come in an event of their own at the end.
-    pub fn usage(mut self, usage: bool) -> Frame {
+    pub fn usage(mut self, usage: bool) -> AnswerFormat {
         self.usage = usage;
         self
     }
 
     /// The request's name, by which a caller comes back: its id, and the model's version that answers.
-    pub fn name(&self, version: Option<u32>) -> String {
+    pub fn resume_id(&self, version: Option<u32>) -> String {
         match version {
             Some(version) => format!("{}.{version}", self.id),
             None => self.id.to_string(),
@@ -92,9 +92,9 @@
             created: self.created,
             id: self.id,
             model: &self.model,
-            object: self.object(),
+            object: self.object_type(),
         };
-        let mut bytes = Vec::with_capacity(EVENT);
+        let mut bytes = Vec::with_capacity(EVENT_CAPACITY);
         // Writing into memory can't fail, and the values are plain.
         let _ = match token.version {
             Some(version) => write!(bytes, "id: {}.{version}/{}\ndata: ", self.id, token.offset + 1),
@@ -152,14 +152,14 @@
     fn chunk(&self, choices: Vec<Value>) -> Value {
         json!({
             "id": self.id.to_string(),
-            "object": self.object(),
+            "object": self.object_type(),
             "created": self.created,
             "model": self.model,
             "choices": choices,
         })
     }
 
-    fn object(&self) -> &'static str {
+    fn object_type(&self) -> &'static str {
         match self.style {
             Style::Chat => "chat.completion.chunk",
             Style::Text => "text_completion",
@@ -196,9 +196,9 @@
 
 fn usage(finish: &Finish) -> Value {
     json!(Usage {
-        prompt_tokens: finish.prompt,
-        completion_tokens: finish.output,
-        total_tokens: finish.prompt + finish.output,
+        prompt_tokens: finish.prompt_tokens,
+        completion_tokens: finish.output_tokens,
+        total_tokens: finish.prompt_tokens + finish.output_tokens,
     })
 }
 
@@ -216,7 +216,7 @@
             param: None,
             outcome: refusal.outcome().to_string(),
             reason,
-            retry_after: refusal.after().map(|d| d.as_secs_f64().ceil() as u64),
+            retry_after: refusal.retry_after().map(|d| d.as_secs_f64().ceil() as u64),
         },
     }
 }
--- a/crates/caller/src/status.rs
+++ b/crates/caller/src/status.rs
@@ -19,7 +19,7 @@
 use crate::refusal::Refusal;
 
 /// When to ask again if nobody could say.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A caller that asks what became of a request.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     /// The product that asks.
     pub product: Name,
     /// The idempotency key of the request.
-    pub key: String,
+    pub idempotency_key: String,
     /// The service; any plain service if absent.
     pub service: Option<String>,
 }
@@ -93,7 +93,7 @@
     let call = StatusCall {
         unsent: Unsent::begin(),
         product,
-        key: key.clone(),
+        idempotency_key: key.clone(),
         service: query.service,
     };
     let state = gateway.status(call).await?;
@@ -109,15 +109,15 @@
         RequestState::Expired => (410, "expired", None),
         RequestState::Unreachable => (503, "unreachable", None),
     };
-    let mut answer = crate::http::builder(code);
+    let mut answer = crate::http::response_builder(code);
     if code == 503 {
-        answer.insert_header(("retry-after", ASK_AGAIN.as_secs().to_string()));
+        answer.insert_header(("retry-after", RETRY_AFTER.as_secs().to_string()));
     }
     answer.json(StatusBody {
         key,
         state: word,
         status: reply.as_ref().map(|r| r.status),
-        content: reply.as_ref().and_then(|r| r.content.clone()),
+        content: reply.as_ref().and_then(|r| r.content_type.clone()),
         answer: reply.map(|r| String::from_utf8_lossy(&r.body).into_owned()),
     })
 }
--- a/crates/caller/src/wire.rs
+++ b/crates/caller/src/wire.rs
@@ -87,13 +87,13 @@
     #[serde(default, rename = "max_completion_tokens")]
     pub max_completion: Option<u32>,
     /// Whether to stream the answer.
-    #[serde(default, deserialize_with = "or_default")]
+    #[serde(default, deserialize_with = "null_as_default")]
     pub stream: bool,
     /// Seed of the sampling.
     #[serde(default)]
     pub seed: Option<i128>,
     /// Options of a streamed answer.
-    #[serde(default, deserialize_with = "or_default")]
+    #[serde(default, deserialize_with = "null_as_default")]
     pub stream_options: StreamOptions,
     /// Answers wanted; only 1 is supported.
     #[serde(default)]
@@ -114,7 +114,7 @@
 }
 
 /// Takes `null` for the default, as ordinary clients do.
-fn or_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+fn null_as_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de> + Default,
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -63,23 +63,23 @@
 /// the same place, either could have stood there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Expected {
-    at: usize,
-    what: BTreeSet<String>,
+    offset: usize,
+    items: BTreeSet<String>,
 }
 
 impl Expected {
     /// The error that `what` was not found at byte `at`.
     pub(crate) fn new(at: usize, what: impl Into<String>) -> Expected {
         Expected {
-            at,
-            what: BTreeSet::from([what.into()]),
+            offset: at,
+            items: BTreeSet::from([what.into()]),
         }
     }
 
     /// The error with the text around it.
     pub(crate) fn in_text(&self, text: &str) -> SyntaxError {
-        let what: Vec<&str> = self.what.iter().map(String::as_str).collect();
-        SyntaxError::new(text, self.at, &what.join(" or "))
+        let what: Vec<&str> = self.items.iter().map(String::as_str).collect();
+        SyntaxError::new(text, self.offset, &what.join(" or "))
     }
 }
 
@@ -88,17 +88,17 @@
 
     fn from_input(input: &LocatingSlice<&'a str>) -> Self {
         Expected {
-            at: input.current_token_start(),
-            what: BTreeSet::new(),
+            offset: input.current_token_start(),
+            items: BTreeSet::new(),
         }
     }
 
     fn or(mut self, mut other: Self) -> Self {
-        match self.at.cmp(&other.at) {
+        match self.offset.cmp(&other.offset) {
             std::cmp::Ordering::Greater => self,
             std::cmp::Ordering::Less => other,
             std::cmp::Ordering::Equal => {
-                self.what.append(&mut other.what);
+                self.items.append(&mut other.items);
                 self
             }
         }
--- a/crates/operator/src/grammar.rs
+++ b/crates/operator/src/grammar.rs
@@ -27,17 +27,17 @@
 use crate::statement::Statement;
 use crate::statement::Table;
 use crate::token::Input;
-use crate::token::Parsed;
-use crate::token::blank;
+use crate::token::ParseResult;
 use crate::token::expected;
 use crate::token::key;
 use crate::token::number;
 use crate::token::quoted;
+use crate::token::skip_blank;
 use crate::token::symbol;
 use crate::token::value;
 
 /// Shortest and longest fingerprint, in hexadecimal digits.
-const FINGERPRINT: std::ops::RangeInclusive<usize> = 16..=64;
+const FINGERPRINT_LENGTH: std::ops::RangeInclusive<usize> = 16..=64;
 
 /// Reads exactly one statement.
 ///
@@ -65,7 +65,7 @@
     })
 }
 
-fn script(input: &mut Input<'_>) -> Parsed<Vec<Statement>> {
+fn script(input: &mut Input<'_>) -> ParseResult<Vec<Statement>> {
     let mut statements = Vec::new();
     loop {
         while opt(symbol(";", "`;`")).parse_next(input)?.is_some() {}
@@ -79,12 +79,12 @@
     }
 }
 
-fn at_end(input: &mut Input<'_>) -> Parsed<bool> {
-    blank(input)?;
+fn at_end(input: &mut Input<'_>) -> ParseResult<bool> {
+    skip_blank(input)?;
     Ok(input.eof_offset() == 0)
 }
 
-fn statement(input: &mut Input<'_>) -> Parsed<Statement> {
+fn statement(input: &mut Input<'_>) -> ParseResult<Statement> {
     alt((
         preceded(key!("show"), cut_err(query)).map(Statement::Show),
         preceded(key!("create"), cut_err(alt((product::create, service::create)))).map(Statement::Change),
@@ -99,7 +99,7 @@
     .parse_next(input)
 }
 
-fn query(input: &mut Input<'_>) -> Parsed<Query> {
+fn query(input: &mut Input<'_>) -> ParseResult<Query> {
     let table = table(input)?;
     let filters = opt(preceded(
         key!("where"),
@@ -118,22 +118,22 @@
     })
 }
 
-fn table(input: &mut Input<'_>) -> Parsed<Table> {
-    blank(input)?;
+fn table(input: &mut Input<'_>) -> ParseResult<Table> {
+    skip_blank(input)?;
     let at = input.current_token_start();
     let word = word("a table").parse_next(input)?;
     match Table::ALL.iter().find(|(name, _)| *name == word) {
         Some((_, table)) => Ok(*table),
-        None => expected(at, names_of_tables()),
+        None => expected(at, table_names()),
     }
 }
 
-fn names_of_tables() -> String {
+fn table_names() -> String {
     let names: Vec<String> = Table::ALL.iter().map(|(name, _)| format!("`{name}`")).collect();
     names.join(" or ")
 }
 
-fn filter(input: &mut Input<'_>) -> Parsed<Filter> {
+fn filter(input: &mut Input<'_>) -> ParseResult<Filter> {
     let column = word("a column").parse_next(input)?;
     let equal = alt((symbol("=", "`=`").value(true), symbol("!=", "`!=`").value(false))).parse_next(input)?;
     let value = alt((quoted("a text in double quotes"), word("a word"))).parse_next(input)?;
@@ -143,7 +143,7 @@
 /// A word of any kind.
 fn word<'a>(what: &'static str) -> impl Parser<Input<'a>, String, ErrMode<Expected>> {
     move |input: &mut Input<'a>| {
-        blank(input)?;
+        skip_blank(input)?;
         let at = input.current_token_start();
         let found: String = value(what).parse_next(input)?;
         match found.is_empty() {
@@ -154,7 +154,7 @@
 }
 
 /// Statements of the form VERB `engine` NAME.
-fn engine_command(input: &mut Input<'_>) -> Parsed<Command> {
+fn engine_command(input: &mut Input<'_>) -> ParseResult<Command> {
     alt((
         preceded(key!("drain"), cut_err(engine)).map(|name| Command::DrainEngine { name }),
         preceded(key!("resume"), cut_err(engine)).map(|name| Command::ResumeEngine { name }),
@@ -165,7 +165,7 @@
     .parse_next(input)
 }
 
-fn fingerprint_command(input: &mut Input<'_>) -> Parsed<Command> {
+fn fingerprint_command(input: &mut Input<'_>) -> ParseResult<Command> {
     alt((
         preceded(key!("quarantine"), cut_err(fingerprint))
             .map(|fingerprint| Command::Quarantine { fingerprint }),
@@ -174,15 +174,15 @@
     .parse_next(input)
 }
 
-fn name(input: &mut Input<'_>) -> Parsed<Name> {
+fn name(input: &mut Input<'_>) -> ParseResult<Name> {
     value("a name (a lower-case letter, then also digits, `-`, `.`, `_`)").parse_next(input)
 }
 
-fn engine(input: &mut Input<'_>) -> Parsed<Name> {
+fn engine(input: &mut Input<'_>) -> ParseResult<Name> {
     preceded(key!("engine"), name).parse_next(input)
 }
 
-fn role(input: &mut Input<'_>) -> Parsed<Option<Role>> {
+fn role(input: &mut Input<'_>) -> ParseResult<Option<Role>> {
     alt((
         key!("prefill").value(Some(Role::Prefill)),
         key!("decode").value(Some(Role::Decode)),
@@ -192,20 +192,20 @@
     .parse_next(input)
 }
 
-fn fingerprint(input: &mut Input<'_>) -> Parsed<String> {
+fn fingerprint(input: &mut Input<'_>) -> ParseResult<String> {
     const WHAT: &str = "a fingerprint of 16 to 64 hexadecimal digits";
     key!("fingerprint").parse_next(input)?;
-    blank(input)?;
+    skip_blank(input)?;
     let at = input.current_token_start();
     let text: String = value(WHAT).parse_next(input)?;
-    let fits = FINGERPRINT.contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
+    let fits = FINGERPRINT_LENGTH.contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
     match fits {
         true => Ok(text.to_ascii_lowercase()),
         false => expected(at, WHAT),
     }
 }
 
-fn release_order(input: &mut Input<'_>) -> Parsed<Command> {
+fn release_order(input: &mut Input<'_>) -> ParseResult<Command> {
     key!("order").parse_next(input)?;
     let name = name(input)?;
     key!("sequence").parse_next(input)?;
--- a/crates/operator/src/grammar/product.rs
+++ b/crates/operator/src/grammar/product.rs
@@ -18,19 +18,19 @@
 use crate::error::Expected;
 use crate::grammar::name;
 use crate::token::Input;
-use crate::token::Parsed;
-use crate::token::blank;
+use crate::token::ParseResult;
 use crate::token::expected;
 use crate::token::key;
 use crate::token::number;
 use crate::token::quoted;
+use crate::token::skip_blank;
 use crate::token::value;
 
 /// Deadline of a product that states none, in milliseconds.
-const DEFAULT_DEADLINE: u32 = 30_000;
+const DEFAULT_DEADLINE_MS: u32 = 30_000;
 
 /// Longest deadline, in milliseconds: a day.
-const MAX_DEADLINE: u32 = 86_400_000;
+const MAX_DEADLINE_MS: u32 = 86_400_000;
 
 /// One setting of a product.
 #[derive(Debug, Clone)]
@@ -41,39 +41,39 @@
     Weight(u32),
 }
 
-pub fn create(input: &mut Input<'_>) -> Parsed<Command> {
+pub fn create(input: &mut Input<'_>) -> ParseResult<Command> {
     let name = preceded(key!("product"), cut_err(name)).parse_next(input)?;
     let alter = cut_err(settings).parse_next(input)?;
     let Some(share) = alter.share else {
-        return cut(input, "`share` and a percentage");
+        return cut_error(input, "`share` and a percentage");
     };
     let product = Product {
         keys: BTreeSet::from_iter(alter.key),
         share,
-        deadline: alter.deadline.unwrap_or(DEFAULT_DEADLINE),
+        deadline: alter.deadline.unwrap_or(DEFAULT_DEADLINE_MS),
         weight: alter.weight.unwrap_or(0),
     };
     Ok(Command::CreateProduct { name, product })
 }
 
-pub fn alter(input: &mut Input<'_>) -> Parsed<Command> {
+pub fn alter(input: &mut Input<'_>) -> ParseResult<Command> {
     let name = preceded(key!("product"), cut_err(name)).parse_next(input)?;
     let alter = cut_err(settings).parse_next(input)?;
     match alter == AlterProduct::default() {
-        true => cut(input, "`key`, `share`, `deadline` or `weight`"),
+        true => cut_error(input, "`key`, `share`, `deadline` or `weight`"),
         false => Ok(Command::AlterProduct { name, alter }),
     }
 }
 
-pub fn drop(input: &mut Input<'_>) -> Parsed<Command> {
+pub fn drop(input: &mut Input<'_>) -> ParseResult<Command> {
     preceded(key!("product"), cut_err(name))
         .map(|name| Command::DropProduct { name })
         .parse_next(input)
 }
 
 /// Settings in any order, each at most once.
-fn settings(input: &mut Input<'_>) -> Parsed<AlterProduct> {
-    let all: Vec<(usize, Setting)> = repeat(0.., placed_setting).parse_next(input)?;
+fn settings(input: &mut Input<'_>) -> ParseResult<AlterProduct> {
+    let all: Vec<(usize, Setting)> = repeat(0.., located_setting).parse_next(input)?;
     let mut alter = AlterProduct::default();
     for (at, setting) in all {
         let twice = match setting {
@@ -89,17 +89,17 @@
     Ok(alter)
 }
 
-fn placed_setting(input: &mut Input<'_>) -> Parsed<(usize, Setting)> {
-    blank(input)?;
+fn located_setting(input: &mut Input<'_>) -> ParseResult<(usize, Setting)> {
+    skip_blank(input)?;
     let at = input.current_token_start();
     let setting = setting(input)?;
     Ok((at, setting))
 }
 
-fn setting(input: &mut Input<'_>) -> Parsed<Setting> {
+fn setting(input: &mut Input<'_>) -> ParseResult<Setting> {
     let key = quoted("an API key in double quotes").map(|secret| KeyHash::of(&secret));
     let share = value("a share in percent, 0 to 100");
-    let deadline = number(1..=MAX_DEADLINE, "a deadline in milliseconds, 1 to 86400000");
+    let deadline = number(1..=MAX_DEADLINE_MS, "a deadline in milliseconds, 1 to 86400000");
     let weight = number(0..=100, "a weight, 0 to 100");
     alt((
         preceded(key!("key"), cut_err(key)).map(Setting::Key),
@@ -110,8 +110,8 @@
     .parse_next(input)
 }
 
-fn cut<T>(input: &mut Input<'_>, what: &'static str) -> Parsed<T> {
-    blank(input)?;
+fn cut_error<T>(input: &mut Input<'_>, what: &'static str) -> ParseResult<T> {
+    skip_blank(input)?;
     let at = input.current_token_start();
     expected(at, what).map_err(ErrMode::cut)
 }
--- a/crates/operator/src/grammar/service.rs
+++ b/crates/operator/src/grammar/service.rs
@@ -22,14 +22,14 @@
 use crate::grammar::role;
 use crate::grammar::word;
 use crate::token::Input;
-use crate::token::Parsed;
-use crate::token::blank;
+use crate::token::ParseResult;
 use crate::token::expected;
 use crate::token::key;
 use crate::token::quoted;
+use crate::token::skip_blank;
 use crate::token::value;
 
-pub fn create(input: &mut Input<'_>) -> Parsed<Command> {
+pub fn create(input: &mut Input<'_>) -> ParseResult<Command> {
     let name = preceded(key!("service"), cut_err(name)).parse_next(input)?;
     let model = quoted("the model's name in double quotes");
     let kind = cut_err(alt((
@@ -41,25 +41,25 @@
     Ok(Command::CreateService { name, service })
 }
 
-pub fn drop(input: &mut Input<'_>) -> Parsed<Command> {
+pub fn drop(input: &mut Input<'_>) -> ParseResult<Command> {
     preceded(key!("service"), cut_err(name))
         .map(|name| Command::DropService { name })
         .parse_next(input)
 }
 
-pub fn place(input: &mut Input<'_>) -> Parsed<Command> {
+pub fn place(input: &mut Input<'_>) -> ParseResult<Command> {
     (engine, placement)
         .map(|(name, place)| Command::PlaceEngine { name, place })
         .parse_next(input)
 }
 
-pub fn replace(input: &mut Input<'_>) -> Parsed<Command> {
+pub fn replace(input: &mut Input<'_>) -> ParseResult<Command> {
     (engine, preceded(key!("with"), name), placement)
         .map(|(name, with, place)| Command::ReplaceEngine { name, with, place })
         .parse_next(input)
 }
 
-fn route(input: &mut Input<'_>) -> Parsed<Route> {
+fn route(input: &mut Input<'_>) -> ParseResult<Route> {
     let repeat = alt((
         key!("safe").value(Repeat::Safe),
         key!("never").value(Repeat::Never),
@@ -75,9 +75,9 @@
         .parse_next(input)
 }
 
-fn path(input: &mut Input<'_>) -> Parsed<String> {
+fn path(input: &mut Input<'_>) -> ParseResult<String> {
     const WHAT: &str = "a path in double quotes, beginning with `/`";
-    blank(input)?;
+    skip_blank(input)?;
     let at = input.current_token_start();
     let path = quoted(WHAT).parse_next(input)?;
     match path.starts_with('/') {
@@ -86,7 +86,7 @@
     }
 }
 
-fn placement(input: &mut Input<'_>) -> Parsed<PlaceEngine> {
+fn placement(input: &mut Input<'_>) -> ParseResult<PlaceEngine> {
     let address = value::<SocketAddr>("an address such as 10.0.0.7:8000");
     let fencing = alt((
         key!("checked").value(Fencing::Checked),
--- a/crates/operator/src/http.rs
+++ b/crates/operator/src/http.rs
@@ -31,7 +31,7 @@
     Mixed,
     /// A query names a column that its table doesn't have.
     #[error("there is no column `{column}` in `{table}`; it has {columns}")]
-    Column {
+    UnknownColumn {
         /// The column.
         column: String,
         /// The table.
@@ -47,19 +47,19 @@
     Conflict(String),
     /// The platform's key-value service gave no sure answer. Giving the same command id again is safe.
     #[error("could not reach the key-value service: {0}")]
-    Platform(String),
+    KvUnreachable(String),
 }
 
 impl OperatorError {
     fn status(&self) -> StatusCode {
         match self {
             OperatorError::Unauthorized => StatusCode::UNAUTHORIZED,
-            OperatorError::Syntax(_) | OperatorError::Mixed | OperatorError::Column { .. } => {
+            OperatorError::Syntax(_) | OperatorError::Mixed | OperatorError::UnknownColumn { .. } => {
                 StatusCode::BAD_REQUEST
             }
             OperatorError::Rejected(_) => StatusCode::UNPROCESSABLE_ENTITY,
             OperatorError::Conflict(_) => StatusCode::CONFLICT,
-            OperatorError::Platform(_) => StatusCode::SERVICE_UNAVAILABLE,
+            OperatorError::KvUnreachable(_) => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 
@@ -67,9 +67,9 @@
         match self {
             OperatorError::Unauthorized => Some("set SEQUOIASTREAM_OPERATOR_TOKEN"),
             OperatorError::Syntax(_) => Some("see docs/GRAMMAR.md"),
-            OperatorError::Rejected(_) | OperatorError::Mixed | OperatorError::Column { .. } => None,
+            OperatorError::Rejected(_) | OperatorError::Mixed | OperatorError::UnknownColumn { .. } => None,
             OperatorError::Conflict(_) => Some("look at `show changes` and decide again"),
-            OperatorError::Platform(_) => {
+            OperatorError::KvUnreachable(_) => {
                 Some("give the same command id again: it takes effect at most once")
             }
         }
--- a/crates/operator/src/select.rs
+++ b/crates/operator/src/select.rs
@@ -9,10 +9,10 @@
 ///
 /// # Errors
 ///
-/// [`OperatorError::Column`] if a condition names a column that the table doesn't have.
+/// [`OperatorError::UnknownColumn`] if a condition names a column that the table doesn't have.
 pub fn select(mut table: TableBody, query: &Query) -> Result<TableBody, OperatorError> {
     for filter in &query.filters {
-        let index = column(&table, query, filter)?;
+        let index = column_index(&table, query, filter)?;
         table
             .rows
             .retain(|row| (row[index] == filter.value) == filter.equal);
@@ -21,9 +21,9 @@
     Ok(table)
 }
 
-fn column(table: &TableBody, query: &Query, filter: &Filter) -> Result<usize, OperatorError> {
+fn column_index(table: &TableBody, query: &Query, filter: &Filter) -> Result<usize, OperatorError> {
     let found = table.columns.iter().position(|c| *c == filter.column);
-    found.ok_or_else(|| OperatorError::Column {
+    found.ok_or_else(|| OperatorError::UnknownColumn {
         column: filter.column.clone(),
         table: query.table,
         columns: table.columns.join(", "),
--- a/crates/operator/src/summary.rs
+++ b/crates/operator/src/summary.rs
@@ -12,11 +12,11 @@
 
 use crate::error::Expected;
 use crate::token::Input;
-use crate::token::Parsed;
-use crate::token::blank;
+use crate::token::ParseResult;
+use crate::token::skip_blank;
 
 /// What stands in the audit trail in place of a secret.
-const SECRET: &str = "\"***\"";
+const REDACTED: &str = "\"***\"";
 
 /// The text of statements on one line, without comments, and with API keys replaced.
 ///
@@ -33,25 +33,25 @@
         if !line.is_empty() && !matches!(token, ";" | ",") {
             line.push(' ');
         }
-        line.push_str(if secret { SECRET } else { token });
+        line.push_str(if secret { REDACTED } else { token });
         after_key = token.eq_ignore_ascii_case("key");
     }
     line
 }
 
-fn token<'a>(input: &mut Input<'a>) -> Parsed<&'a str> {
+fn token<'a>(input: &mut Input<'a>) -> ParseResult<&'a str> {
     let word = take_while(1.., |c: char| !c.is_whitespace() && !";,\"".contains(c));
-    preceded(blank, alt((quoted, word, any_one))).parse_next(input)
+    preceded(skip_blank, alt((quoted, word, any_char))).parse_next(input)
 }
 
 /// A quoted text with its quotes; without a closing one it goes on to the end of the line.
-fn quoted<'a>(input: &mut Input<'a>) -> Parsed<&'a str> {
+fn quoted<'a>(input: &mut Input<'a>) -> ParseResult<&'a str> {
     let inner = || take_while(0.., |c: char| c != '"' && c != '\n');
     let closed = delimited('"', inner(), '"').take();
     let open = ('"', inner()).take();
     alt((closed, open)).parse_next(input)
 }
 
-fn any_one<'a>(input: &mut Input<'a>) -> Result<&'a str, ErrMode<Expected>> {
+fn any_char<'a>(input: &mut Input<'a>) -> Result<&'a str, ErrMode<Expected>> {
     any.take().parse_next(input)
 }
--- a/crates/operator/src/token.rs
+++ b/crates/operator/src/token.rs
@@ -24,15 +24,15 @@
 pub(crate) type Input<'a> = LocatingSlice<&'a str>;
 
 /// What a parser gives.
-pub(crate) type Parsed<T> = Result<T, ErrMode<Expected>>;
+pub(crate) type ParseResult<T> = Result<T, ErrMode<Expected>>;
 
 /// Skips white space and comments.
-pub(crate) fn blank(input: &mut Input<'_>) -> Parsed<()> {
+pub(crate) fn skip_blank(input: &mut Input<'_>) -> ParseResult<()> {
     repeat(0.., alt((multispace1.void(), ("--", till_line_ending).void()))).parse_next(input)
 }
 
 /// The error that `what` was not found at byte `at`; another alternative may still fit.
-pub(crate) fn expected<T>(at: usize, what: impl Into<String>) -> Parsed<T> {
+pub(crate) fn expected<T>(at: usize, what: impl Into<String>) -> ParseResult<T> {
     Err(ErrMode::Backtrack(Expected::new(at, what)))
 }
 
@@ -64,9 +64,9 @@
     quoted: &'static str,
 ) -> impl Parser<Input<'a>, (), ErrMode<Expected>> {
     move |input: &mut Input<'a>| {
-        blank(input)?;
+        skip_blank(input)?;
         let at = input.current_token_start();
-        let found: Parsed<&str> = literal(text).parse_next(input);
+        let found: ParseResult<&str> = literal(text).parse_next(input);
         found.map(|_| ()).or_else(|_| expected(at, quoted))
     }
 }
@@ -99,17 +99,17 @@
 /// A text in double quotes, not empty.
 pub(crate) fn quoted<'a>(what: &'static str) -> impl Parser<Input<'a>, String, ErrMode<Expected>> {
     move |input: &mut Input<'a>| {
-        blank(input)?;
+        skip_blank(input)?;
         let at = input.current_token_start();
         let inner = take_while(1.., |c: char| c != '"' && c != '\n');
-        let found: Parsed<&str> = delimited('"', inner, '"').parse_next(input);
+        let found: ParseResult<&str> = delimited('"', inner, '"').parse_next(input);
         found.map(str::to_string).or_else(|_| expected(at, what))
     }
 }
 
 /// The next word and where it begins; empty if there is none.
-fn next_word<'a>(input: &mut Input<'a>) -> Parsed<(usize, &'a str)> {
-    blank(input)?;
+fn next_word<'a>(input: &mut Input<'a>) -> ParseResult<(usize, &'a str)> {
+    skip_blank(input)?;
     let at = input.current_token_start();
     let word = take_while(0.., |c: char| !c.is_whitespace() && !";,\"=!".contains(c)).parse_next(input)?;
     Ok((at, word))
--- a/crates/operator/src/wire.rs
+++ b/crates/operator/src/wire.rs
@@ -19,7 +19,8 @@
     pub base: Option<u64>,
     /// Only say what would change.
     #[serde(default)]
-    pub dry: bool,
+    #[serde(rename = "dry")]
+    pub dry_run: bool,
     /// Answer only when every reachable instance has the change in force, or after a limit.
     #[serde(default)]
     pub wait: bool,
@@ -42,7 +43,8 @@
     /// Whether it had been accepted before.
     pub repeated: bool,
     /// Instances on which it is known to be in force.
-    pub force: u32,
+    #[serde(rename = "force")]
+    pub in_force: u32,
     /// Instances that are known.
     pub known: u32,
 }
--- a/crates/testsupport/src/fleet.rs
+++ b/crates/testsupport/src/fleet.rs
@@ -279,7 +279,7 @@
             who: "tester".to_string(),
             text: text.to_string(),
             base: None,
-            dry: false,
+            dry_run: false,
             wait: false,
         };
         let url = format!("{}/operator/statement", self.daemons[index].url());
--- a/src/bin/sequoiastream/context.rs
+++ b/src/bin/sequoiastream/context.rs
@@ -54,7 +54,7 @@
             who: self.who.clone(),
             text: request.text,
             base: None,
-            dry: request.dry,
+            dry_run: request.dry,
             wait: request.wait,
         };
         let result = self.client.execute(&statement).await;
--- a/src/bin/sequoiastream/output.rs
+++ b/src/bin/sequoiastream/output.rs
@@ -38,6 +38,6 @@
     };
     format!(
         "{verb} version {}, in force on {} of the {} instances heard of",
-        body.version, body.force, body.known
+        body.version, body.in_force, body.known
     )
 }
--- a/src/ops/control/authority/tables.rs
+++ b/src/ops/control/authority/tables.rs
@@ -20,7 +20,7 @@
 ///
 /// [`OperatorError::Platform`] if the key-value service gave no usable answer.
 pub async fn show(kv: &KvClient, services: Vec<Name>, kind: Table) -> Result<TableBody, OperatorError> {
-    let platform = |error: KvError| OperatorError::Platform(error.to_string());
+    let platform = |error: KvError| OperatorError::KvUnreachable(error.to_string());
     let mut rows = Vec::new();
     for service in services {
         let (_, record) = read_record(kv, &service).await.map_err(platform)?;
--- a/src/ops/control/config/execute.rs
+++ b/src/ops/control/config/execute.rs
@@ -64,7 +64,7 @@
             Ok(Script::Table(table)) => return ready(Ok(ReplyBody::Table(table))),
             Err(error) => return ready(Err(error)),
         };
-        if body.dry {
+        if body.dry_run {
             return ready(difference(state, &commands).map(ReplyBody::Difference));
         }
         let proposal = new_proposal(&body, from, state.version, commands);
@@ -175,7 +175,7 @@
     Ok(ReplyBody::Accepted(AcceptedBody {
         version: version.0,
         repeated,
-        force: count(roster.count_with(version)),
+        in_force: count(roster.count_with(version)),
         known: count(roster.peers.len()),
     }))
 }
@@ -197,6 +197,6 @@
             OperatorError::Rejected(text)
         }
         SubmitError::Rejected(_) => OperatorError::Conflict(text),
-        SubmitError::TimedOut | SubmitError::Unknown => OperatorError::Platform(text),
+        SubmitError::TimedOut | SubmitError::Unknown => OperatorError::KvUnreachable(text),
     }
 }
--- a/src/ops/dispatch/addresses.rs
+++ b/src/ops/dispatch/addresses.rs
@@ -41,7 +41,7 @@
     addresses.truncate(MAX_ADDRESSES);
     Ok(AddressList {
         addresses,
-        keep: settings.times.address_ttl,
+        max_age: settings.times.address_ttl,
     })
 }
 
--- a/src/ops/dispatch/admit.rs
+++ b/src/ops/dispatch/admit.rs
@@ -41,8 +41,8 @@
             .policy
             .limits()
             .at(&view.name)
-            .expected_output(&call.product, call.limit),
-        None => call.limit,
+            .expected_output(&call.product, call.max_tokens),
+        None => call.max_tokens,
     };
     let prompt = call.prompt.split_whitespace().count();
     RouteRequest {
@@ -133,7 +133,7 @@
             Ok(call)
         }
         Admission::Refused(reason, after) => {
-            let proof = call.unsent.refuse(reason).come_back(after);
+            let proof = call.unsent.refuse(reason).with_retry_after(after);
             Err(Refusal::not_run(proof, refusal_message(reason)))
         }
     }
--- a/src/ops/dispatch/forward.rs
+++ b/src/ops/dispatch/forward.rs
@@ -49,9 +49,9 @@
         return Err(Refusal::not_run(proof, "the method is not known"));
     };
     let mut headers = Vec::new();
-    let key = call.key.clone();
+    let key = call.idempotency_key.clone();
     headers.extend(key.map(|key| ("idempotency-key".to_string(), key)));
-    let content = call.content.clone();
+    let content = call.content_type.clone();
     headers.extend(content.map(|content| ("content-type".to_string(), content)));
     let plain = PlainCall {
         method,
@@ -64,7 +64,7 @@
         return once::run(dispatch, &service, call, plain, deadline).await;
     }
     if repeat == Repeat::Dedupes
-        && let Err(invalid) = once::check_key(dispatch, call.key.as_deref())
+        && let Err(invalid) = once::check_key(dispatch, call.idempotency_key.as_deref())
     {
         return Err(invalid.refuse(call.unsent));
     }
@@ -137,7 +137,7 @@
             };
             log_event!(warn, log_event::ATTEMPT_FAILED, engine = %target.name, %error);
             let end = error.end();
-            proof = sent.filter(|_| end.proves_not_run()).map(Sent::returned);
+            proof = sent.filter(|_| end.proves_not_run()).map(Sent::not_started);
             last = Some(error);
             self.tried.push(target.name);
             if self.attempts.on_end(end) != NextStep::Retry {
@@ -159,7 +159,7 @@
             ),
             false => (Reason::NoEngine, "no upstream can take work now"),
         };
-        Refusal::not_run(unsent.refuse(reason).come_back(RETRY_AFTER), message)
+        Refusal::not_run(unsent.refuse(reason).with_retry_after(RETRY_AFTER), message)
     }
 
     /// Whether the product's retry budget and the deadline allow another attempt. A retry is taken from the budget.
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -74,11 +74,11 @@
     let route = admit::route_request(&dispatch.shared, &snapshot, &call, service);
     let request = Request {
         id: call.id,
-        fingerprint: Fingerprint::of(&call.product, model, &call.prompt, call.limit),
+        fingerprint: Fingerprint::of(&call.product, model, &call.prompt, call.max_tokens),
         product: call.product,
         model: model.to_string(),
         prompt: call.prompt,
-        limit: call.limit,
+        limit: call.max_tokens,
         seed: call.seed,
         priority: call.priority,
         service,
@@ -280,7 +280,7 @@
 
     /// Gives up the proof: the attempt may have run.
     fn discard_proof(&mut self) {
-        // A `Ran` can't be turned into a proof, so no later refusal of this request can have the outcome `not-run`.
+        // A `MayHaveRun` can't be turned into a proof, so no later refusal of this request can have the outcome `not-run`.
         let _ = self.sent.take().map(Sent::lost);
     }
 
@@ -303,7 +303,7 @@
                     .await;
             }
             Failure::NotStarted | Failure::VersionMismatch => {
-                self.unsent = self.sent.take().map(Sent::returned);
+                self.unsent = self.sent.take().map(Sent::not_started);
             }
         }
         self.tried.push(open.target.name.clone());
@@ -347,9 +347,9 @@
             Some(finish) => {
                 self.finish = Some(Finish {
                     reason: finish.reason.clone(),
-                    prompt: finish.prompt,
-                    cached: finish.cached,
-                    output: offset,
+                    prompt_tokens: finish.prompt,
+                    cached_tokens: finish.cached,
+                    output_tokens: offset,
                 });
                 Event::Finished(attempt, offset)
             }
--- a/src/ops/dispatch/generate/ending.rs
+++ b/src/ops/dispatch/generate/ending.rs
@@ -45,7 +45,7 @@
         }
         match self.finish.take() {
             Some(finish) => {
-                self.record_output_length(finish.output);
+                self.record_output_length(finish.output_tokens);
                 AnswerEvent::Done(finish)
             }
             None => AnswerEvent::Failed(Refusal::unknown("the final line of the engine's answer was lost")),
@@ -65,7 +65,10 @@
         let after = Duration::from_millis(rand::rng().random_range(RETRY_AFTER_MS));
         let unsent = self.unsent.take();
         match unsent {
-            Some(unsent) => Refusal::not_run(unsent.refuse(reason).come_back(after), not_run_message(reason)),
+            Some(unsent) => Refusal::not_run(
+                unsent.refuse(reason).with_retry_after(after),
+                not_run_message(reason),
+            ),
             None => {
                 // The state machine says `not-run` without the proof for it: only the weaker outcome is certain.
                 log_event!(
--- a/src/ops/dispatch/mod.rs
+++ b/src/ops/dispatch/mod.rs
@@ -107,7 +107,7 @@
 impl Dispatch {
     /// Returns the table `kind` if it shows something other than the configuration.
     async fn show_table(&self, kind: Table) -> Result<Option<TableBody>, OperatorError> {
-        let actor_gone = |error: MailboxError| OperatorError::Platform(error.to_string());
+        let actor_gone = |error: MailboxError| OperatorError::KvUnreachable(error.to_string());
         match kind {
             Table::Claims => self
                 .control
@@ -138,7 +138,7 @@
         !closed && self.shared.snapshot.load().version > Version::default()
     }
 
-    fn body_time(&self) -> Duration {
+    fn body_timeout(&self) -> Duration {
         self.shared.settings.patience.body
     }
 
@@ -203,7 +203,7 @@
         }
         match self.control.config.send(Execute(statement, from)).await {
             Ok(result) => result,
-            Err(error) => Err(OperatorError::Platform(error.to_string())),
+            Err(error) => Err(OperatorError::KvUnreachable(error.to_string())),
         }
     }
 }
--- a/src/ops/dispatch/once.rs
+++ b/src/ops/dispatch/once.rs
@@ -121,7 +121,7 @@
     plain: PlainCall,
     deadline: Time,
 ) -> Result<ForwardReply, Refusal> {
-    let key = match check_key(dispatch, call.key.as_deref()) {
+    let key = match check_key(dispatch, call.idempotency_key.as_deref()) {
         Ok(key) => key,
         Err(invalid) => return Err(invalid.refuse(call.unsent)),
     };
@@ -140,7 +140,7 @@
                 claimed.release();
             }
             let proof = unsent.refuse(refused.reason());
-            let proof = after.map_or(proof, |after| proof.come_back(after));
+            let proof = after.map_or(proof, |after| proof.with_retry_after(after));
             Err(claim_refusal(proof, refused))
         }
         EntryStep::Ask(..) => Err(Refusal::unknown("the claim was lost")),
@@ -182,7 +182,10 @@
     ) -> Result<ForwardReply, Refusal> {
         let Some(target) = self.dispatch.pick_upstream(service, &[]) else {
             self.release();
-            let proof = grant.into_proof().refuse(Reason::NoEngine).come_back(RETRY_AFTER);
+            let proof = grant
+                .into_proof()
+                .refuse(Reason::NoEngine)
+                .with_retry_after(RETRY_AFTER);
             return Err(Refusal::not_run(proof, "no upstream can take work now"));
         };
         let left = self.deadline.since(clock::now());
@@ -226,7 +229,7 @@
             }
             Err(error) if error.is_not_started() => {
                 self.report(Change::Release).await;
-                Err(Refusal::not_run(sent.vouched(), error.to_string()))
+                Err(Refusal::not_run(sent.upstream_refused(), error.to_string()))
             }
             Err(error) => {
                 self.log_unknown(target.address, &error);
@@ -285,13 +288,13 @@
     match status {
         ClaimStatus::Finished(Some(stored)) => Ok(ForwardReply {
             status: stored.status,
-            content: stored.content,
+            content_type: stored.content,
             body: stored.body.into(),
         }),
         ClaimStatus::Finished(None) => Err(Refusal::unknown(
             "the request with this key has run; its answer was too large to be stored",
         )),
-        ClaimStatus::Running(left) => Err(Refusal::running(left.clamp(MIN_RETRY_AFTER, RETRY_AFTER))),
+        ClaimStatus::Running(left) => Err(Refusal::key_running(left.clamp(MIN_RETRY_AFTER, RETRY_AFTER))),
         ClaimStatus::Unknown => Err(Refusal::unknown(
             "a request with this key was sent to the service, and it is not known whether it ran",
         )),
@@ -315,7 +318,7 @@
 
 /// Looks up the state of a request to the named service, or to any plain service if none is named.
 pub(super) async fn status(dispatch: &Dispatch, call: StatusCall) -> Result<RequestState, Refusal> {
-    let Ok(key) = call.key.parse::<IdempotencyKey>() else {
+    let Ok(key) = call.idempotency_key.parse::<IdempotencyKey>() else {
         return Err(InvalidKey::Rejected(KeyError::Malformed).refuse(call.unsent));
     };
     let product = &call.product;
@@ -332,7 +335,7 @@
             Verdict::Held(ClaimStatus::Finished(stored)) => {
                 return Ok(RequestState::Finished(stored.map(|s| ForwardReply {
                     status: s.status,
-                    content: s.content,
+                    content_type: s.content,
                     body: s.body.into(),
                 })));
             }
--- a/src/ops/dispatch/plain.rs
+++ b/src/ops/dispatch/plain.rs
@@ -35,7 +35,7 @@
 pub(super) fn forward_reply(reply: PlainReply) -> ForwardReply {
     ForwardReply {
         status: reply.status,
-        content: reply.content,
+        content_type: reply.content,
         body: reply.body,
     }
 }
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -341,7 +341,7 @@
             id: Uuid::new_v4(),
             who: AUDIT_USER.to_string(),
             text: format!("quarantine fingerprint {fingerprint}"),
-            dry: false,
+            dry_run: false,
             wait: false,
             base: None,
         };
--- a/tests/testsuite/config_fleet.rs
+++ b/tests/testsuite/config_fleet.rs
@@ -26,7 +26,7 @@
     let mut body = statement("amina", "drain engine e0");
     body.wait = true;
     let reply = accepted(&give(&fleet, 0, &body).await);
-    assert_eq!((reply.version, reply.force, reply.known), (2, 4, 4));
+    assert_eq!((reply.version, reply.in_force, reply.known), (2, 4, 4));
     fleet.wait_for_version(2).await;
     let states = column(&fleet, 2, "show engines where engine = e0", "state").await;
     assert_eq!(states, ["draining"]);
@@ -46,7 +46,7 @@
     let mut body = statement("amina", "drain engine e0");
     body.wait = true;
     let reply = accepted(&give(&fleet, 0, &body).await);
-    assert_eq!((reply.version, reply.force, reply.known), (2, 3, 3));
+    assert_eq!((reply.version, reply.in_force, reply.known), (2, 3, 3));
 }
 
 /// Two operators look at the same version and change the same engine through two instances at the same moment.
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -49,7 +49,7 @@
         who: who.to_string(),
         text: text.to_string(),
         base: None,
-        dry: false,
+        dry_run: false,
         wait: false,
     }
 }
