--- a/crates/caller/src/addresses.rs
+++ b/crates/caller/src/addresses.rs
@@ -1,4 +1,4 @@
-//! The answer to "which address": no balancer stands in front, so callers ask any instance where to connect.
+//! Address discovery: there is no load balancer in front, so callers ask any instance where to connect.
 
 use std::net::SocketAddr;
 
@@ -17,24 +17,24 @@
 use crate::proof::Unsent;
 use crate::refusal::Refusal;
 
-/// Query of `GET /v1/addresses`.
+/// Query parameters of `GET /v1/addresses`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct AddressQuery {
     /// The service or model that the caller wants.
     pub service: Option<String>,
-    /// What the caller calls its conversation.
+    /// The caller's own ID of its conversation.
     #[serde(default)]
     pub conversation: String,
-    /// Availability zone of the caller; the asked instance's if absent.
+    /// Availability zone of the caller; defaults to that of the instance that answers.
     pub zone: Option<Name>,
 }
 
-/// Answer to `GET /v1/addresses`.
+/// Response body of `GET /v1/addresses`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AddressBody {
-    /// Where to connect, the best first.
+    /// Where to connect, best address first.
     pub addresses: Vec<SocketAddr>,
-    /// Seconds for which the answer may be kept.
+    /// Seconds for which the response may be cached.
     pub keep: f64,
 }
 
--- a/crates/caller/src/gateway.rs
+++ b/crates/caller/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The daemon's side of this package.
+//! The interface that the daemon implements, and the calls and answers that pass through it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,28 +14,28 @@
 use crate::status::RequestState;
 use crate::status::StatusCall;
 
-/// A request to generate.
+/// A request to generate text.
 #[derive(Debug)]
 pub struct GenerateCall {
-    /// The proof that it has not run; gone once it was sent.
+    /// Proof that the request has not run; consumed when it is sent.
     pub unsent: Unsent,
-    /// Names the request; the answer's events repeat it.
+    /// ID of the request; every event of the answer repeats it.
     pub id: Uuid,
-    /// The product that asks.
+    /// The product that sent the request.
     pub product: Name,
-    /// Service or model.
+    /// Name of the service or model.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: u64,
-    /// What the caller has already.
+    /// Which part of the answer the caller already has.
     pub resume: Resume,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// How long the caller waits; `None` for the product's default.
+    /// How long the caller waits for the answer; `None` for the product's default.
     pub deadline: Option<Duration>,
 }
 
@@ -44,143 +44,145 @@
 pub struct Finish {
     /// `stop` or `length`.
     pub reason: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Of these, tokens found in a prefix cache.
+    /// Number of prompt tokens found in a prefix cache.
     pub cached_tokens: u32,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub output_tokens: u32,
 }
 
 /// A token of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Token {
-    /// Its offset in the whole output.
+    /// Offset of the token in the whole output.
     pub offset: u32,
-    /// Its text.
+    /// Text of the token.
     pub text: String,
-    /// Version of the model that made the text up to here; `None` if several did, so that a caller can't come
-    /// back for the rest.
+    /// Version of the model that generated the text up to this token; `None` if several versions did, in which case
+    /// the caller can't resume the answer.
     pub version: Option<u32>,
 }
 
-/// Part of an answer.
+/// An event of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerEvent {
     /// A token.
     Token(Token),
-    /// The answer is whole.
+    /// The answer is complete.
     Done(Finish),
-    /// The answer ends here without being whole.
+    /// The answer ended before it was complete.
     Failed(Refusal),
 }
 
-/// The events of one answer. Dropping it cancels the request.
+/// The event stream of one answer. Dropping it cancels the request.
 #[derive(Debug)]
 pub struct Answer {
-    /// The events. Bounded, so that a caller that doesn't read holds its engine back instead of filling memory.
+    /// The events. The channel is bounded, so that a caller that doesn't read slows its engine down instead of filling
+    /// memory.
     pub events: mpsc::Receiver<AnswerEvent>,
 }
 
-/// A call to pass through to a plain service.
+/// A request to forward to a plain service.
 #[derive(Debug)]
 pub struct ForwardCall {
-    /// The proof that it has not run; gone once it was sent.
+    /// Proof that the request has not run; consumed when it is sent.
     pub unsent: Unsent,
-    /// The product that asks.
+    /// The product that sent the request.
     pub product: Name,
     /// The service.
     pub service: String,
-    /// HTTP method, upper case.
+    /// HTTP method in upper case.
     pub method: String,
-    /// Path and query, beginning with `/`.
+    /// Path and query, starting with `/`.
     pub path: String,
     /// Idempotency key, if the caller gave one.
     pub idempotency_key: Option<String>,
     /// Content type, if the caller gave one.
     pub content_type: Option<String>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// How long the caller waits; `None` for the product's default.
+    /// How long the caller waits for the answer; `None` for the product's default.
     pub deadline: Option<Duration>,
 }
 
-/// A plain service's answer.
+/// The response of a plain service.
 #[derive(Debug, Clone)]
 pub struct ForwardReply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type, if it said one.
+    /// Content type, if the service gave one.
     pub content_type: Option<String>,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// A caller that asks which addresses to use.
+/// A query for the addresses that a caller should use.
 #[derive(Debug)]
 pub struct AddressCall {
-    /// The proof that nothing of it has run.
+    /// Proof that the query has not run.
     pub unsent: Unsent,
-    /// The product that asks.
+    /// The product that sent the request.
     pub product: Name,
-    /// The service or model that it wants.
+    /// The service or model that the caller wants to use.
     pub service: Option<String>,
-    /// What the caller calls its conversation.
+    /// The caller's own ID of its conversation.
     pub conversation: String,
-    /// Availability zone of the caller; the asked instance's if absent.
+    /// Availability zone of the caller; defaults to that of the instance that answers.
     pub zone: Option<Name>,
 }
 
-/// Which addresses to use.
+/// The addresses that a caller should use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AddressList {
-    /// The addresses, the best first.
+    /// The addresses, best first.
     pub addresses: Vec<SocketAddr>,
-    /// How long the answer may be kept.
+    /// How long the list may be cached.
     pub max_age: Duration,
 }
 
-/// Decides what requests lead to.
+/// Handles the requests of callers; implemented by the daemon.
 pub trait Gateway: Clone + 'static {
-    /// The product that an API key belongs to.
+    /// The product to which an API key belongs.
     fn product(&self, key: &str) -> Option<Name>;
 
-    /// Whether this instance takes new work.
+    /// Whether this instance accepts new work.
     fn ready(&self) -> bool;
 
     /// How long a caller may take to send the body of a request.
     fn body_timeout(&self) -> Duration;
 
-    /// The models and services that callers can name.
+    /// Names of the models and services that callers can use.
     fn models(&self) -> Vec<String>;
 
-    /// Starts to generate.
+    /// Starts to generate an answer.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] if no answer was begun.
+    /// [`Refusal`] if no answer was started.
     fn generate(&self, call: GenerateCall) -> impl Future<Output = Result<Answer, Refusal>>;
 
-    /// Passes a call through to a plain service.
+    /// Forwards a request to a plain service.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] if there is no answer of the service.
+    /// [`Refusal`] if the service gave no response.
     fn forward(&self, call: ForwardCall) -> impl Future<Output = Result<ForwardReply, Refusal>>;
 
-    /// What is known of the product's request with this idempotency key, of one service or of all.
+    /// Looks up the state of the product's request with this idempotency key, in one service or in all of them.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] if the key is none.
+    /// [`Refusal`] if the text is not a valid idempotency key.
     fn status(&self, call: StatusCall) -> impl Future<Output = Result<RequestState, Refusal>>;
-    /// Which addresses the caller should use.
+
+    /// Lists the addresses that the caller should use.
     ///
     /// # Errors
     ///
     /// [`Refusal`] if there is no such service.
     fn addresses(&self, call: AddressCall) -> Result<AddressList, Refusal>;
 
-    /// The metrics page.
+    /// The metrics in OpenMetrics text format.
     fn metrics(&self) -> String;
 }
--- a/crates/caller/src/generate.rs
+++ b/crates/caller/src/generate.rs
@@ -1,4 +1,4 @@
-//! The endpoints that generate: the answer as server-sent events, or whole.
+//! The endpoints that generate text and return the answer as server-sent events or as one body.
 
 use std::time::Duration;
 
@@ -24,10 +24,10 @@
 use crate::sse::AnswerFormat;
 use crate::sse::Style;
 
-/// Header that names a request.
+/// Response header that carries the resume ID of the request.
 const REQUEST_HEADER: &str = "sequoiastream-request";
 
-/// `POST /v1/chat/completions`
+/// Handles `POST /v1/chat/completions`.
 pub async fn chat<G>(gateway: Data<G>, request: HttpRequest, payload: Payload) -> HttpResponse
 where
     G: Gateway,
@@ -35,7 +35,7 @@
     respond(generate(gateway.get_ref(), &request, payload, Style::Chat).await)
 }
 
-/// `POST /v1/completions`
+/// Handles `POST /v1/completions`.
 pub async fn completion<G>(gateway: Data<G>, request: HttpRequest, payload: Payload) -> HttpResponse
 where
     G: Gateway,
@@ -55,27 +55,27 @@
     let product = product(gateway, request)?;
     let body = parse_body(&read_body(payload, gateway.body_timeout()).await?)?;
     let call = generate_call(product, request, &body, style)?;
-    let frame = AnswerFormat::new(style, call.id, body.model).usage(body.stream_options.include_usage);
+    let format = AnswerFormat::new(style, call.id, body.model).usage(body.stream_options.include_usage);
     let answer = gateway.generate(call).await?;
     match body.stream {
-        true => stream(frame, answer).await,
-        false => whole(frame, answer).await,
+        true => stream(format, answer).await,
+        false => whole(format, answer).await,
     }
 }
 
-/// Streams an answer. What ends it before its first token becomes an ordinary refusal with its own status.
-async fn stream(frame: AnswerFormat, mut answer: Answer) -> Result<HttpResponse, Refusal> {
+/// Streams an answer. A failure before the first token becomes an ordinary refusal with its own HTTP status.
+async fn stream(format: AnswerFormat, mut answer: Answer) -> Result<HttpResponse, Refusal> {
     let first = match answer.events.recv().await {
         Some(AnswerEvent::Failed(refusal)) => return Err(refusal),
         Some(event) => event,
         None => return Err(Refusal::unknown("the answer was lost")),
     };
     let mut head = HttpResponse::Ok();
-    head.insert_header((REQUEST_HEADER, frame.resume_id(version_of(&first))));
-    let parts = futures_util::stream::unfold(Pending::Event(first, answer), next_batch);
-    let mut opening = true;
-    let body =
-        parts.map(move |part| Ok::<Bytes, actix_web::Error>(render_batch(&frame, &part, &mut opening)));
+    head.insert_header((REQUEST_HEADER, format.resume_id(version_of(&first))));
+    let batches = futures_util::stream::unfold(Pending::Event(first, answer), next_batch);
+    let mut first_event = true;
+    let body = batches
+        .map(move |batch| Ok::<Bytes, actix_web::Error>(render_batch(&format, &batch, &mut first_event)));
     Ok(head
         .content_type("text/event-stream")
         .insert_header(("cache-control", "no-store"))
@@ -89,30 +89,30 @@
     }
 }
 
-/// After so long without an event a comment is sent, which clients skip.
+/// Time without an event after which a comment is sent, which clients ignore.
 ///
-/// Failure guarded against: a caller leaves while its engine is silent. The server sees that a caller is gone only
-/// when it writes to it, so the engine would be kept busy for nobody until its next token.
+/// Guards against a caller that disconnects while its engine is silent. The server notices that a caller is gone only
+/// when it writes to the connection, so without the comment the engine would work for nobody until its next token.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The comment.
+/// The server-sent comment that keeps an idle stream open.
 const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
 
-/// What of an answer is still to be sent.
+/// The part of an answer that is still to be sent.
 enum Pending {
-    /// An event that has come already, and what follows.
+    /// An event that has already arrived, and the events after it.
     Event(AnswerEvent, Answer),
-    /// Events still to come.
+    /// Events that have not arrived yet.
     Open(Answer),
-    /// Nothing.
+    /// The answer has ended.
     End,
 }
 
-/// Most events that are written at once.
+/// Maximum number of events in one write.
 const MAX_BATCH: usize = 64;
 
-/// The events to write next, none for a comment. Each is sent when it comes; none waits for the one after it. Those
-/// that have come together, since the thread was busy, go out in one write.
+/// Returns the events to write next; an empty batch stands for a comment. Each event is sent when it arrives, without
+/// waiting for the next one. Events that accumulated while the thread was busy are sent in one write.
 async fn next_batch(pending: Pending) -> Option<(Vec<AnswerEvent>, Pending)> {
     let (event, mut answer) = match pending {
         Pending::Event(event, answer) => (event, answer),
@@ -125,43 +125,43 @@
         }
         Pending::End => return None,
     };
-    let mut part = vec![event];
-    while part.len() < MAX_BATCH && matches!(part.last(), Some(AnswerEvent::Token(_))) {
+    let mut batch = vec![event];
+    while batch.len() < MAX_BATCH && matches!(batch.last(), Some(AnswerEvent::Token(_))) {
         match answer.events.try_recv() {
-            Ok(event) => part.push(event),
-            Err(_) => return Some((part, Pending::Open(answer))),
+            Ok(event) => batch.push(event),
+            Err(_) => return Some((batch, Pending::Open(answer))),
         }
     }
-    let pending = match part.last() {
+    let pending = match batch.last() {
         Some(AnswerEvent::Token(_)) => Pending::Open(answer),
         _ => Pending::End,
     };
-    Some((part, pending))
+    Some((batch, pending))
 }
 
-fn render_batch(frame: &AnswerFormat, part: &[AnswerEvent], opening: &mut bool) -> Bytes {
-    match part {
+fn render_batch(format: &AnswerFormat, batch: &[AnswerEvent], first_event: &mut bool) -> Bytes {
+    match batch {
         [] => Bytes::from_static(KEEP_ALIVE_COMMENT),
-        [event] => render(frame, event, std::mem::replace(opening, false)),
+        [event] => render(format, event, std::mem::replace(first_event, false)),
         events => {
             let mut bytes = BytesMut::new();
             for event in events {
-                bytes.extend_from_slice(&render(frame, event, std::mem::replace(opening, false)));
+                bytes.extend_from_slice(&render(format, event, std::mem::replace(first_event, false)));
             }
             bytes.freeze()
         }
     }
 }
 
-fn render(frame: &AnswerFormat, event: &AnswerEvent, opening: bool) -> Bytes {
+fn render(format: &AnswerFormat, event: &AnswerEvent, first_event: bool) -> Bytes {
     match event {
-        AnswerEvent::Token(token) => frame.token(token, opening),
-        AnswerEvent::Done(finish) => frame.done(finish),
-        AnswerEvent::Failed(refusal) => frame.failed(refusal),
+        AnswerEvent::Token(token) => format.token(token, first_event),
+        AnswerEvent::Done(finish) => format.done(finish),
+        AnswerEvent::Failed(refusal) => format.failed(refusal),
     }
 }
 
-async fn whole(frame: AnswerFormat, mut answer: Answer) -> Result<HttpResponse, Refusal> {
+async fn whole(format: AnswerFormat, mut answer: Answer) -> Result<HttpResponse, Refusal> {
     let mut text = String::new();
     let mut version = None;
     loop {
@@ -175,8 +175,8 @@
             Some(AnswerEvent::Done(finish)) => {
                 return Ok(HttpResponse::Ok()
                     .insert_header((OUTCOME_HEADER, Outcome::Whole.to_string()))
-                    .insert_header((REQUEST_HEADER, frame.resume_id(version)))
-                    .json(frame.whole(&text, &finish)));
+                    .insert_header((REQUEST_HEADER, format.resume_id(version)))
+                    .json(format.whole(&text, &finish)));
             }
         }
     }
--- a/crates/caller/src/http.rs
+++ b/crates/caller/src/http.rs
@@ -1,4 +1,4 @@
-//! Handlers.
+//! Routes and request handlers.
 
 use actix_web::HttpRequest;
 use actix_web::HttpResponse;
@@ -24,7 +24,7 @@
 use crate::sse::error_body;
 use crate::wire::ModelsBody;
 
-/// Header that carries the outcome of a final answer.
+/// Response header that carries the outcome of the request.
 pub const OUTCOME_HEADER: &str = "sequoiastream-outcome";
 
 /// Registers the routes for `gateway`.
@@ -46,13 +46,13 @@
         .default_service(web::route().to(not_found));
 }
 
-/// What no route takes.
+/// Handles requests that match no route.
 async fn not_found(request: HttpRequest) -> HttpResponse {
     let message = format!("there is no {} {}", request.method(), request.path());
     refusal_response(&Refusal::unknown_path(message))
 }
 
-/// `GET /v1/models`
+/// Handles `GET /v1/models`.
 async fn models<G>(gateway: Data<G>, request: HttpRequest) -> HttpResponse
 where
     G: Gateway,
@@ -86,7 +86,7 @@
         .body(gateway.metrics())
 }
 
-/// The product that a request's API key belongs to.
+/// Returns the product to which the request's API key belongs, or a refusal if the key is missing or unknown.
 pub(crate) fn product<G>(gateway: &G, request: &HttpRequest) -> Result<Name, Refusal>
 where
     G: Gateway,
@@ -150,31 +150,31 @@
         deadline,
     };
     let reply = gateway.forward(call).await?;
-    let mut answer = response_builder(reply.status);
-    answer.insert_header((OUTCOME_HEADER, Outcome::Whole.to_string()));
+    let mut response = response_builder(reply.status);
+    response.insert_header((OUTCOME_HEADER, Outcome::Whole.to_string()));
     if let Some(content) = reply.content_type {
-        answer.insert_header(("content-type", content));
+        response.insert_header(("content-type", content));
     }
-    Ok(answer.body(reply.body))
+    Ok(response.body(reply.body))
 }
 
-/// The answer, or the one that tells the refusal.
-pub(crate) fn respond(answer: Result<HttpResponse, Refusal>) -> HttpResponse {
-    answer.unwrap_or_else(|refusal| refusal_response(&refusal))
+/// Returns the response, or the error response if the request was refused.
+pub(crate) fn respond(response: Result<HttpResponse, Refusal>) -> HttpResponse {
+    response.unwrap_or_else(|refusal| refusal_response(&refusal))
 }
 
-/// The answer that tells a refusal.
+/// The error response for a refusal.
 pub(crate) fn refusal_response(refusal: &Refusal) -> HttpResponse {
-    let mut answer = response_builder(refusal.status());
-    answer.insert_header((OUTCOME_HEADER, refusal.outcome().to_string()));
+    let mut response = response_builder(refusal.status());
+    response.insert_header((OUTCOME_HEADER, refusal.outcome().to_string()));
     if refusal.status() == 422 {
-        // Ordinary clients repeat what failed; what is quarantined never succeeds.
-        answer.insert_header(("x-should-retry", "false"));
+        // Common clients retry failed requests, but a quarantined request never succeeds.
+        response.insert_header(("x-should-retry", "false"));
     }
     if let Some(after) = refusal.retry_after() {
-        answer.insert_header(("retry-after", (after.as_secs_f64().ceil() as u64).to_string()));
+        response.insert_header(("retry-after", (after.as_secs_f64().ceil() as u64).to_string()));
     }
-    answer.json(error_body(refusal))
+    response.json(error_body(refusal))
 }
 
 pub(crate) fn response_builder(status: u16) -> HttpResponseBuilder {
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP interface of sequoiastream towards callers.
+//! HTTP interface of sequoiastream for callers.
 //!
-//! Ordinary clients of the OpenAI style work unchanged on `/v1/chat/completions` and `/v1/completions`; plain
-//! services are reached under `/services/NAME/...`. What a request leads to is decided by the daemon, through
-//! [`Gateway`]. Every final answer carries its outcome in the header `sequoiastream-outcome` and in the body.
+//! Common OpenAI clients work unchanged with `/v1/chat/completions` and `/v1/completions`; plain services are reached
+//! under `/services/NAME/...`. The daemon handles the requests, by implementing [`Gateway`]. Every final response
+//! carries the outcome of the request in the header `sequoiastream-outcome` and in the body.
 
 mod addresses;
 mod gateway;
--- a/crates/caller/src/proof.rs
+++ b/crates/caller/src/proof.rs
@@ -1,18 +1,18 @@
-//! Proofs that a request did not run.
+//! Type-level proofs that a request did not run.
 //!
-//! A caller acts on the outcome: after `not-run` it may safely send a non-idempotent request again. A wrong
-//! `not-run` doubles an order. So `not-run` can be said only by giving up a [`Unsent`], and there is exactly one
-//! for each request: this package makes it when the request arrives, and nobody else can. Sending consumes it,
-//! and only an upstream's own word that the request did not start gives it back.
+//! Callers act on the outcome: after `not-run` a caller may safely send a non-idempotent request again. A wrong
+//! `not-run` can make an order run twice. Reporting `not-run` therefore consumes an [`Unsent`], and there is exactly
+//! one for each request: this package creates it when the request arrives, and no other package can. Sending the
+//! request consumes it, and it is returned only if the upstream confirms that the request did not start.
 //!
-//! Outside of this package no proof can be made anew, so a refusal after a lost attempt has nothing to show:
+//! No proof can be created outside of this package, so a refusal after a lost attempt can't claim `not-run`:
 //!
 //! ```compile_fail,E0624
 //! # use sequoiastream_caller::Unsent;
 //! let unsent = Unsent::begin();
 //! ```
 //!
-//! An attempt that was lost leaves [`MayHaveRun`], from which there is no way back, over any number of attempts:
+//! A lost attempt leaves [`MayHaveRun`], which can't be turned back into a proof, whatever the number of attempts:
 //!
 //! ```compile_fail,E0599
 //! # use sequoiastream_caller::NotRun;
@@ -24,7 +24,7 @@
 //! }
 //! ```
 //!
-//! A request that was sent can't be refused as if it had not been:
+//! A request that was sent can't be refused as unsent:
 //!
 //! ```compile_fail,E0382
 //! # use sequoiastream_caller::NotRun;
@@ -36,7 +36,7 @@
 //! }
 //! ```
 //!
-//! What does compile is a refusal after an upstream vouched for it:
+//! A refusal after the upstream confirmed that the request did not start compiles:
 //!
 //! ```
 //! # use sequoiastream_caller::NotRun;
@@ -52,55 +52,55 @@
 
 use sequoiastream_core::outcome::Reason;
 
-/// A request of which no upstream has started anything.
+/// Proof that no upstream has started the request.
 ///
-/// Neither `Clone` nor `Copy`, and made by this package alone, once for each request.
+/// Neither `Clone` nor `Copy`, and created only by this package, once for each request.
 #[derive(Debug)]
 pub struct Unsent(());
 
 impl Unsent {
-    /// The one proof of a request that has just arrived.
+    /// Creates the only proof for a request that has just arrived.
     pub(crate) fn begin() -> Unsent {
         Unsent(())
     }
 
-    /// Gives the request up.
+    /// Refuses the request.
     pub fn refuse(self, reason: Reason) -> NotRun {
         NotRun { reason, after: None }
     }
 
-    /// Marks the first byte as sent. From here on only the upstream can vouch that nothing ran.
+    /// Marks the first byte as sent. From here on only the upstream can confirm that nothing ran.
     pub fn send(self) -> Sent {
         Sent(())
     }
 }
 
-/// A request of which one attempt may have reached an upstream.
+/// A request with one attempt that may have reached an upstream.
 #[derive(Debug)]
 pub struct Sent(());
 
 impl Sent {
-    /// The upstream vouches that the attempt did not start, or no byte left: another one may be sent.
+    /// The upstream confirms that the attempt did not start, or no byte was sent: another attempt may be sent.
     pub fn not_started(self) -> Unsent {
         Unsent(())
     }
 
-    /// As [`not_started`](Sent::not_started), giving the request up.
+    /// Like [`not_started`](Sent::not_started), and refuses the request.
     pub fn upstream_refused(self) -> NotRun {
         self.not_started().refuse(Reason::UpstreamRefused)
     }
 
-    /// Nobody vouches for the attempt: it may have run.
+    /// Nothing confirms that the attempt did not start: it may have run.
     pub fn lost(self) -> MayHaveRun {
         MayHaveRun(())
     }
 }
 
-/// A request that may have run. Nothing leads back from here to a [`NotRun`].
+/// A request that may have run. It can't be turned into a [`NotRun`].
 #[derive(Debug)]
 pub struct MayHaveRun(());
 
-/// A refusal that vouches that no upstream started the request.
+/// A refusal with the guarantee that no upstream started the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotRun {
     reason: Reason,
@@ -108,17 +108,17 @@
 }
 
 impl NotRun {
-    /// Why it was refused.
+    /// Why the request was refused.
     pub fn reason(&self) -> Reason {
         self.reason
     }
 
-    /// When it makes sense to come back, if it does.
+    /// Delay after which a retry makes sense, if it does.
     pub fn retry_after(&self) -> Option<Duration> {
         self.after
     }
 
-    /// Sets when to come back.
+    /// Sets the delay after which a retry makes sense.
     pub fn with_retry_after(mut self, after: Duration) -> NotRun {
         self.after = Some(after);
         self
--- a/crates/caller/src/refusal.rs
+++ b/crates/caller/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The answer that is no answer: why, with which outcome, and when to come back.
+//! Refusals: the reason, the outcome, and when to retry.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use crate::proof::NotRun;
 use crate::proof::Unsent;
 
-/// Why a request got no whole answer.
+/// Why a request got no complete answer.
 ///
-/// A refusal with outcome `not-run` can be made only from a [`NotRun`], which proves it.
+/// A refusal with the outcome `not-run` can be created only from a [`NotRun`], which proves it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     outcome: Outcome,
@@ -20,7 +20,7 @@
 }
 
 impl Refusal {
-    /// The request ran and failed for good.
+    /// The request ran and failed permanently.
     pub fn failed(message: impl Into<String>) -> Refusal {
         Refusal {
             outcome: Outcome::Failed,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Another request with the same idempotency key runs; ask for it after this time.
+    /// Another request with the same idempotency key is running; its status can be queried after this delay.
     pub fn key_running(after: Duration) -> Refusal {
         Refusal {
             outcome: Outcome::Unknown,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// It crashed engines, or is suspected to, and may not run.
+    /// The request crashed engines, or is suspected of it, and must not run.
     pub fn quarantined(message: impl Into<String>) -> Refusal {
         Refusal {
             reason: Some(Reason::Quarantined),
@@ -56,12 +56,12 @@
         }
     }
 
-    /// The request itself is wrong.
+    /// The request is invalid.
     pub(crate) fn bad_request(message: impl Into<String>) -> Refusal {
         Refusal::not_run(Unsent::begin().refuse(Reason::BadRequest), message)
     }
 
-    /// Nothing is served there.
+    /// No route matches the path of the request.
     pub(crate) fn unknown_path(message: impl Into<String>) -> Refusal {
         Refusal::not_run(Unsent::begin().refuse(Reason::UnknownService), message)
     }
@@ -81,22 +81,22 @@
         self.outcome
     }
 
-    /// Why it did not run, if it did not, or why its outcome is not known.
+    /// Why the request did not run, or why its outcome is unknown or failed, if there is a reason code.
     pub fn reason(&self) -> Option<Reason> {
         self.reason
     }
 
-    /// What to tell the caller.
+    /// Message for the caller.
     pub fn message(&self) -> &str {
         &self.message
     }
 
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub fn retry_after(&self) -> Option<Duration> {
         self.after
     }
 
-    /// The HTTP status that fits.
+    /// The HTTP status code of the response.
     pub fn status(&self) -> u16 {
         match (self.outcome, self.reason) {
             (Outcome::NotRun, Some(reason)) => status_of(reason),
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading a request to generate: body, headers, and what a caller that comes back says it has.
+//! Parses requests to generate text: the body, the headers, and the position from which a caller resumes.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 use crate::wire::Content;
 use crate::wire::Prompt;
 
-/// Tokens generated where the caller sets no limit.
+/// Maximum number of tokens generated if the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Most tokens that a caller may ask for.
+/// Largest `max_tokens` that a caller may set.
 const MAX_TOKENS_LIMIT: u32 = 32_768;
 
 /// Least urgent priority.
@@ -32,31 +32,33 @@
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Reads a request's whole body, which must arrive within `time`.
+/// Reads the whole body of a request, which must arrive within `timeout`.
 ///
-/// Failure guarded against: a caller that sends its body byte by byte, or without end, holds a connection and
-/// memory for good. Both size and time have a limit.
+/// Guards against a caller that sends its body byte by byte, or without end, and so occupies a connection and memory
+/// forever. Both size and time are limited.
 ///
 /// # Errors
 ///
-/// [`Refusal`] if the body is too large, too slow or breaks off.
-pub async fn read_body(payload: Payload, time: Duration) -> Result<Bytes, Refusal> {
+/// [`Refusal`] if the body is too large, too slow or incomplete.
+pub async fn read_body(payload: Payload, timeout: Duration) -> Result<Bytes, Refusal> {
     let read = payload.to_bytes_limited(MAX_BODY_BYTES);
-    match tokio::time::timeout(time, read).await {
-        Err(_) => Err(Refusal::bad_request("the request's body did not arrive in time")),
+    match tokio::time::timeout(timeout, read).await {
+        Err(_) => Err(Refusal::bad_request("the request body did not arrive in time")),
         Ok(Err(_)) => Err(Refusal::bad_request(format!(
-            "the request's body has more than {MAX_BODY_BYTES} bytes"
+            "the request body is larger than {MAX_BODY_BYTES} bytes"
+        ))),
+        Ok(Ok(Err(error))) => Err(Refusal::bad_request(format!(
+            "could not read the request body: {error}"
         ))),
-        Ok(Ok(Err(error))) => Err(Refusal::bad_request(format!("could not read the body: {error}"))),
         Ok(Ok(Ok(bytes))) => Ok(bytes),
     }
 }
 
-/// Reads a body of the OpenAI style, and checks what is supported.
+/// Parses an OpenAI-style body and rejects unsupported options.
 ///
 /// # Errors
 ///
-/// [`Refusal`] that says what is wrong.
+/// [`Refusal`] that describes what is invalid.
 pub fn parse_body(bytes: &Bytes) -> Result<CompletionBody, Refusal> {
     let body: CompletionBody = serde_json::from_slice(bytes)
         .map_err(|error| Refusal::bad_request(format!("could not read the request: {error}")))?;
@@ -78,11 +80,11 @@
     }
 }
 
-/// Puts a call together.
+/// Builds the call for the gateway from the headers and the body of a request.
 ///
 /// # Errors
 ///
-/// [`Refusal`] that says what is wrong.
+/// [`Refusal`] that describes what is invalid.
 pub fn generate_call(
     product: Name,
     request: &HttpRequest,
@@ -118,11 +120,11 @@
     })
 }
 
-/// The seed of a request that names none.
+/// Derives the sampling seed of a request that sets none.
 ///
-/// It must be the same when the caller comes back through another instance, which knows nothing of the request:
-/// so it depends on the id alone. The product goes in too: who learns another product's request id can't have
-/// that request's seed with it.
+/// The seed must be the same when the caller resumes through another instance, which knows nothing of the request, so
+/// the only part of the request that it depends on is the ID. The product is hashed as well, so that a caller that
+/// learns the ID of another product's request does not get that request's seed with it.
 fn derive_seed(product: &Name, id: Uuid) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(product.as_str().as_bytes());
@@ -133,26 +135,26 @@
     u64::from_be_bytes(bytes)
 }
 
-/// Reads what a caller that lost its connection sends back: `ID.VERSION/OFFSET`.
+/// Parses the `Last-Event-ID` that a caller sends after it lost its connection: `ID.VERSION/OFFSET`.
 ///
-/// Nothing is looked up by it, so a forged one harms nobody: its sender gets the tokens of its own prompt.
+/// Nothing is looked up by it, so a forged value does no harm: its sender gets the tokens of its own prompt.
 fn parse_resume(text: &str, limit: u32) -> Result<(Uuid, Resume), Refusal> {
-    let wrong = || Refusal::bad_request("`Last-Event-ID` is none that this service gave");
-    let (name, offset) = text.trim().split_once('/').ok_or_else(wrong)?;
+    let invalid = || Refusal::bad_request("`Last-Event-ID` is not one that this service issued");
+    let (name, offset) = text.trim().split_once('/').ok_or_else(invalid)?;
     let (id, version) = match name.split_once('.') {
-        Some((id, version)) => (id, Some(version.parse().map_err(|_| wrong())?)),
+        Some((id, version)) => (id, Some(version.parse().map_err(|_| invalid())?)),
         None => (name, None),
     };
-    let id = Uuid::parse_str(id).map_err(|_| wrong())?;
-    let offset: u32 = offset.parse().map_err(|_| wrong())?;
+    let id = Uuid::parse_str(id).map_err(|_| invalid())?;
+    let offset: u32 = offset.parse().map_err(|_| invalid())?;
     if offset > limit {
         return Err(Refusal::bad_request(
-            "`Last-Event-ID` lies behind the end that `max_tokens` sets",
+            "the offset in `Last-Event-ID` is greater than `max_tokens`",
         ));
     }
     if offset > 0 && version.is_none() {
         return Err(Refusal::bad_request(
-            "this answer can't be continued: more than one version of the model made it; ask anew",
+            "this answer can't be resumed: several versions of the model generated it; send the request anew",
         ));
     }
     Ok((id, Resume { offset, version }))
@@ -181,19 +183,19 @@
         Some(Prompt::Text(text)) => Ok(text.clone()),
         Some(Prompt::List(list)) => match list.as_slice() {
             [only] => Ok(only.clone()),
-            _ => Err(Refusal::bad_request("`prompt` must hold one text")),
+            _ => Err(Refusal::bad_request("`prompt` must contain exactly one string")),
         },
     }
 }
 
-/// How long the caller waits, if it says so.
+/// How long the caller waits for the answer, if it sets a deadline; at most [`MAX_DEADLINE`].
 pub(crate) fn deadline(request: &HttpRequest) -> Result<Option<Duration>, Refusal> {
     let Some(text) = header(request, "sequoiastream-deadline-ms")? else {
         return Ok(None);
     };
-    let wrong = || Refusal::bad_request("`sequoiastream-deadline-ms` must be a number of milliseconds");
-    let limit = Duration::from_millis(text.parse().map_err(|_| wrong())?);
-    Ok(Some(limit.min(MAX_DEADLINE)))
+    let invalid = || Refusal::bad_request("`sequoiastream-deadline-ms` must be a number of milliseconds");
+    let deadline = Duration::from_millis(text.parse().map_err(|_| invalid())?);
+    Ok(Some(deadline.min(MAX_DEADLINE)))
 }
 
 fn priority(request: &HttpRequest) -> Result<u8, Refusal> {
@@ -211,5 +213,5 @@
     let value = request.headers().get(name).map(|v| v.to_str());
     value
         .transpose()
-        .map_err(|_| Refusal::bad_request(format!("header `{name}` is no text")))
+        .map_err(|_| Refusal::bad_request(format!("header `{name}` is not valid text")))
 }
--- a/crates/caller/src/sse.rs
+++ b/crates/caller/src/sse.rs
@@ -1,4 +1,4 @@
-//! Answers in the style of OpenAI, streamed as server-sent events or whole.
+//! Renders answers in OpenAI style, as server-sent events or as one body.
 
 use std::io::Write;
 use std::time::SystemTime;
@@ -18,10 +18,10 @@
 use crate::wire::ErrorDetail;
 use crate::wire::Usage;
 
-/// Bytes that a token's event mostly has.
+/// Initial capacity of the buffer for a token's event, in bytes; most events fit.
 const EVENT_CAPACITY: usize = 320;
 
-/// Whether the answer is to a chat or to a completion.
+/// The endpoint whose response format is used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Style {
     /// `/v1/chat/completions`
@@ -30,7 +30,7 @@
     Text,
 }
 
-/// What each event of an answer repeats.
+/// Format of one answer, with the fields that each of its events repeats.
 #[derive(Debug, Clone)]
 pub struct AnswerFormat {
     style: Style,
@@ -41,7 +41,7 @@
 }
 
 impl AnswerFormat {
-    /// The frame of the answer to request `id` for `model`, as the caller named it.
+    /// The format of the answer to request `id`; `model` is the name that the caller used.
     pub fn new(style: Style, id: Uuid, model: String) -> AnswerFormat {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         AnswerFormat {
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Whether the counts of tokens come in an event of their own at the end.
+    /// Sets whether the token counts are sent in a separate event at the end.
     pub fn usage(mut self, usage: bool) -> AnswerFormat {
         self.usage = usage;
         self
     }
 
-    /// The request's name, by which a caller comes back: its id, and the model's version that answers.
+    /// The ID by which a caller resumes the request: the request ID, and the version of the model that answers.
     pub fn resume_id(&self, version: Option<u32>) -> String {
         match version {
             Some(version) => format!("{}.{version}", self.id),
@@ -67,14 +67,14 @@
         }
     }
 
-    /// The event of a token; `opening` if it is the first on its connection. Its id lets the caller come back
-    /// behind it. Written without a tree of JSON values in between, since this runs for each token.
-    pub fn token(&self, token: &Token, opening: bool) -> Bytes {
+    /// The event of a token; `first_event` is set for the first event on a connection. The event ID lets the caller
+    /// resume after this token. Serialized without an intermediate tree of JSON values, since this runs for each token.
+    pub fn token(&self, token: &Token, first_event: bool) -> Bytes {
         let choice = match self.style {
             Style::Chat => TokenChoice {
                 delta: Some(Delta {
                     content: &token.text,
-                    role: opening.then_some("assistant"),
+                    role: first_event.then_some("assistant"),
                 }),
                 finish_reason: None,
                 index: 0,
@@ -95,7 +95,7 @@
             object: self.object_type(),
         };
         let mut bytes = Vec::with_capacity(EVENT_CAPACITY);
-        // Writing into memory can't fail, and the values are plain.
+        // Writing to memory can't fail, and neither can serializing these plain values.
         let _ = match token.version {
             Some(version) => write!(bytes, "id: {}.{version}/{}\ndata: ", self.id, token.offset + 1),
             None => write!(bytes, "id: {}/{}\ndata: ", self.id, token.offset + 1),
@@ -105,7 +105,7 @@
         Bytes::from(bytes)
     }
 
-    /// The last events of a whole answer.
+    /// The last events of a complete answer.
     pub fn done(&self, finish: &Finish) -> Bytes {
         let choice = match self.style {
             Style::Chat => json!({"index": 0, "delta": {}, "finish_reason": finish.reason}),
@@ -123,13 +123,13 @@
         Bytes::from(format!("data: {last}\n\ndata: {counts}\n\ndata: [DONE]\n\n"))
     }
 
-    /// The last event of an answer that is not whole.
+    /// The last event of an incomplete answer.
     pub fn failed(&self, refusal: &Refusal) -> Bytes {
         let body = serde_json::to_string(&error_body(refusal)).unwrap_or_default();
         Bytes::from(format!("event: error\ndata: {body}\n\n"))
     }
 
-    /// The whole answer as one body.
+    /// The complete answer as one body.
     pub fn whole(&self, text: &str, finish: &Finish) -> Value {
         let choice = match self.style {
             Style::Chat => json!({
@@ -167,7 +167,7 @@
     }
 }
 
-/// The JSON of a token's event; fields in the order of their names, as the other events have them.
+/// The JSON of a token's event. The fields are in alphabetical order, as in the other events.
 #[derive(Debug, Serialize)]
 struct TokenChunk<'a> {
     choices: [TokenChoice<'a>; 1],
@@ -202,7 +202,7 @@
     })
 }
 
-/// The body of a refusal.
+/// The response body for a refusal.
 pub fn error_body(refusal: &Refusal) -> ErrorBody {
     let reason = refusal.reason().map(|r| match serde_json::to_value(r) {
         Ok(Value::String(text)) => text,
@@ -221,7 +221,7 @@
     }
 }
 
-/// The type of error by which ordinary clients decide what to raise.
+/// The OpenAI error type, from which common clients choose the exception to raise.
 fn kind(refusal: &Refusal) -> &'static str {
     match refusal.status() {
         400 | 404 | 409 | 422 => "invalid_request_error",
--- a/crates/caller/src/status.rs
+++ b/crates/caller/src/status.rs
@@ -1,4 +1,4 @@
-//! Asking what became of a request, by its idempotency key.
+//! Status queries: the state of a request, looked up by its idempotency key.
 
 use std::time::Duration;
 
@@ -18,36 +18,36 @@
 use crate::proof::Unsent;
 use crate::refusal::Refusal;
 
-/// When to ask again if nobody could say.
+/// Delay before a query is repeated if the state could not be determined.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A caller that asks what became of a request.
+/// A query for the state of a request.
 #[derive(Debug)]
 pub struct StatusCall {
-    /// The proof that nothing of this question has run.
+    /// Proof that the query has not run.
     pub unsent: Unsent,
-    /// The product that asks.
+    /// The product that sent the query.
     pub product: Name,
     /// The idempotency key of the request.
     pub idempotency_key: String,
-    /// The service; any plain service if absent.
+    /// The service to look in; any plain service if absent.
     pub service: Option<String>,
 }
 
-/// What is known of a request.
+/// The known state of a request.
 #[derive(Debug, Clone)]
 pub enum RequestState {
-    /// It was sent on and has not ended.
+    /// The request was sent to an upstream and has not ended.
     Running,
-    /// It ran, and the service answered; the answer is there if it was small enough to be kept.
+    /// The request ran and the service responded; the response is included if it was small enough to be stored.
     Finished(Option<ForwardReply>),
-    /// It was sent on, and nobody knows whether it ran.
+    /// The request was sent to an upstream, and it is not known whether it ran.
     Unknown,
-    /// No claim stands on its key. It may still be on its way: repeat it with the same key, never another.
+    /// There is no claim on the key. The request may still be in transit: repeat it with the same key, never another.
     NeverSeen,
-    /// Its key is older than claims are kept.
+    /// The key is older than the retention time of claims.
     Expired,
-    /// Nobody could say now.
+    /// The state can't be determined at present.
     Unreachable,
 }
 
@@ -77,10 +77,10 @@
 where
     G: Gateway,
 {
-    respond(ask(gateway.get_ref(), &request, key.into_inner(), query.into_inner()).await)
+    respond(query_status(gateway.get_ref(), &request, key.into_inner(), query.into_inner()).await)
 }
 
-async fn ask<G>(
+async fn query_status<G>(
     gateway: &G,
     request: &HttpRequest,
     key: String,
@@ -101,7 +101,7 @@
 }
 
 fn render(key: String, state: RequestState) -> HttpResponse {
-    let (code, word, reply) = match state {
+    let (code, name, reply) = match state {
         RequestState::Running => (200, "running", None),
         RequestState::Finished(reply) => (200, "finished", reply),
         RequestState::Unknown => (200, "unknown", None),
@@ -109,13 +109,13 @@
         RequestState::Expired => (410, "expired", None),
         RequestState::Unreachable => (503, "unreachable", None),
     };
-    let mut answer = crate::http::response_builder(code);
+    let mut response = crate::http::response_builder(code);
     if code == 503 {
-        answer.insert_header(("retry-after", RETRY_AFTER.as_secs().to_string()));
+        response.insert_header(("retry-after", RETRY_AFTER.as_secs().to_string()));
     }
-    answer.json(StatusBody {
+    response.json(StatusBody {
         key,
-        state: word,
+        state: name,
         status: reply.as_ref().map(|r| r.status),
         content: reply.as_ref().and_then(|r| r.content_type.clone()),
         answer: reply.map(|r| String::from_utf8_lossy(&r.body).into_owned()),
--- a/crates/caller/src/wire.rs
+++ b/crates/caller/src/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of the callers' HTTP interface, in the style of OpenAI.
+//! Request and response bodies of the HTTP interface for callers, in OpenAI style.
 
 use serde::Deserialize;
 use serde::Deserializer;
@@ -7,27 +7,27 @@
 /// A message of a chat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who wrote it.
+    /// Role of the author.
     pub role: String,
-    /// What it says.
+    /// Content of the message.
     #[serde(default)]
     pub content: Option<Content>,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Content {
-    /// In one text.
+    /// One string.
     Text(String),
-    /// In parts.
+    /// A list of parts.
     Parts(Vec<Part>),
 }
 
 /// Part of a message; only text is supported.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Its text.
+    /// Text of the part.
     pub text: String,
 }
 
@@ -35,24 +35,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Prompt {
-    /// One text.
+    /// One string.
     Text(String),
-    /// A list, which must hold one text.
+    /// A list, which must contain exactly one string.
     List(Vec<String>),
 }
 
-/// Texts at which an answer would stop.
+/// Stop sequences, at which an answer would end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Stop {
-    /// One text.
+    /// One sequence.
     Text(String),
-    /// Several.
+    /// Several sequences.
     List(Vec<String>),
 }
 
 impl Stop {
-    /// Whether there is none.
+    /// Whether there is no stop sequence.
     pub fn is_empty(&self) -> bool {
         match self {
             Stop::Text(text) => text.is_empty(),
@@ -64,15 +64,15 @@
 /// Options of a streamed answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct StreamOptions {
-    /// Whether the counts of tokens come in an event of their own.
+    /// Whether the token counts are sent in a separate event.
     #[serde(default)]
     pub include_usage: bool,
 }
 
-/// A request to generate: `messages` for a chat, `prompt` for a completion.
+/// A request to generate text: `messages` for a chat, `prompt` for a completion.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionBody {
-    /// Model or service.
+    /// Name of the model or service.
     pub model: String,
     /// Messages of a chat.
     #[serde(default)]
@@ -80,25 +80,25 @@
     /// Prompt of a completion.
     #[serde(default)]
     pub prompt: Option<Prompt>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// The same by its newer name.
+    /// The newer name of `max_tokens`.
     #[serde(default, rename = "max_completion_tokens")]
     pub max_completion: Option<u32>,
     /// Whether to stream the answer.
     #[serde(default, deserialize_with = "null_as_default")]
     pub stream: bool,
-    /// Seed of the sampling.
+    /// Sampling seed.
     #[serde(default)]
     pub seed: Option<i128>,
     /// Options of a streamed answer.
     #[serde(default, deserialize_with = "null_as_default")]
     pub stream_options: StreamOptions,
-    /// Answers wanted; only 1 is supported.
+    /// Number of answers to generate; only 1 is supported.
     #[serde(default)]
     pub n: Option<u32>,
-    /// Texts at which to stop; not supported.
+    /// Stop sequences; not supported.
     #[serde(default)]
     pub stop: Option<Stop>,
     /// Tools that the model may call; not supported.
@@ -107,13 +107,13 @@
 }
 
 impl CompletionBody {
-    /// Most tokens to generate, by whichever name the caller used.
+    /// Maximum number of tokens to generate, from whichever of the two fields the caller used.
     pub fn limit(&self) -> Option<u32> {
         self.max_completion.or(self.max_tokens)
     }
 }
 
-/// Takes `null` for the default, as ordinary clients do.
+/// Deserializes `null` as the default value, since common clients send it.
 fn null_as_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -122,7 +122,7 @@
     Option::deserialize(deserializer).map(Option::unwrap_or_default)
 }
 
-/// The models that can be named.
+/// The models that callers can use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelsBody {
     /// Always `list`.
@@ -134,18 +134,18 @@
 /// A model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelBody {
-    /// Its name.
+    /// Name of the model.
     pub id: String,
     /// Always `model`.
     pub object: String,
-    /// Seconds since the Unix epoch; not known, so 0.
+    /// Creation time in seconds since the Unix epoch; unknown, so 0.
     pub created: u64,
-    /// Who offers it.
+    /// Owner of the model.
     pub owned_by: String,
 }
 
 impl ModelsBody {
-    /// A list of these models.
+    /// The list of the models with these names.
     pub fn of(names: Vec<String>) -> ModelsBody {
         let model = |id| ModelBody {
             id,
@@ -160,42 +160,42 @@
     }
 }
 
-/// Counts of tokens.
+/// Token counts of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub completion_tokens: u32,
-    /// Both together.
+    /// Sum of both.
     pub total_tokens: u32,
 }
 
-/// Why a request got no whole answer.
+/// Response body for a request that got no complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// The error.
     pub error: ErrorDetail,
 }
 
-/// What went wrong.
+/// Details of an error.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// For people.
+    /// Human-readable message.
     pub message: String,
-    /// Kind of error, as ordinary clients know it.
+    /// Error type as defined by OpenAI.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The reason, or the outcome where there is none.
+    /// The reason, or the outcome if there is no reason.
     pub code: String,
-    /// Always absent; ordinary clients look for it.
+    /// Always `null`; common clients expect the field.
     pub param: Option<String>,
     /// How the request ended: `not-run`, `failed` or `unknown`.
     pub outcome: String,
-    /// Why it did not run, if it did not.
+    /// Why the request did not run, or why it failed or its outcome is unknown, if there is a reason code.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// Seconds after which to come back.
+    /// Seconds after which the caller may retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u64>,
 }
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors in the text of statements.
+//! Syntax errors in statements.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,20 +11,20 @@
 /// What is wrong with a statement, and where.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct SyntaxError {
-    /// Line of the text, from 1.
+    /// Line in the text, starting at 1.
     pub line: usize,
-    /// Column in the line, in characters, from 1.
+    /// Column in the line, in characters, starting at 1.
     pub column: usize,
-    /// The line itself.
+    /// Text of the line.
     pub text: String,
-    /// What was found there.
+    /// What was found at this position.
     pub found: String,
-    /// What could have stood there.
+    /// What was expected at this position.
     pub expected: String,
 }
 
 impl SyntaxError {
-    /// The error that `expected` was not found at byte `at` of `text`.
+    /// The error that `expected` was not found at the byte offset `at` of `text`.
     pub(crate) fn new(text: &str, at: usize, expected: &str) -> SyntaxError {
         let at = at.min(text.len());
         let before = &text[..at];
@@ -59,8 +59,8 @@
     }
 }
 
-/// What a parser expected, and where. Of two alternatives the one that got further counts; if both failed at
-/// the same place, either could have stood there.
+/// What a parser expected, and where. If two alternatives fail, the error of the one that read further is kept; if both
+/// failed at the same offset, the items that they expected are combined.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Expected {
     offset: usize,
@@ -68,7 +68,7 @@
 }
 
 impl Expected {
-    /// The error that `what` was not found at byte `at`.
+    /// The error that `what` was not found at the byte offset `at`.
     pub(crate) fn new(at: usize, what: impl Into<String>) -> Expected {
         Expected {
             offset: at,
@@ -76,10 +76,10 @@
         }
     }
 
-    /// The error with the text around it.
+    /// Converts the error to a [`SyntaxError`] that shows the line of `text` around it.
     pub(crate) fn in_text(&self, text: &str) -> SyntaxError {
-        let what: Vec<&str> = self.items.iter().map(String::as_str).collect();
-        SyntaxError::new(text, self.offset, &what.join(" or "))
+        let items: Vec<&str> = self.items.iter().map(String::as_str).collect();
+        SyntaxError::new(text, self.offset, &items.join(" or "))
     }
 }
 
--- a/crates/operator/src/grammar.rs
+++ b/crates/operator/src/grammar.rs
@@ -1,7 +1,7 @@
-//! The grammar of statements. `docs/GRAMMAR.md` is its page.
+//! Parsers for statements. `docs/GRAMMAR.md` documents the grammar.
 //!
-//! Once the words that tell a statement apart have been read, a failure is final (`cut_err`): the caret then
-//! stands under the mistake and not under the beginning.
+//! Once the keywords that identify a statement have been read, a failure is final (`cut_err`), so that the caret in the
+//! error message points at the mistake and not at the start of the statement.
 
 mod product;
 mod service;
@@ -36,14 +36,14 @@
 use crate::token::symbol;
 use crate::token::value;
 
-/// Shortest and longest fingerprint, in hexadecimal digits.
+/// Permitted length of a fingerprint, in hexadecimal digits.
 const FINGERPRINT_LENGTH: std::ops::RangeInclusive<usize> = 16..=64;
 
-/// Reads exactly one statement.
+/// Parses exactly one statement.
 ///
 /// # Errors
 ///
-/// [`SyntaxError`] with the place and what was expected there.
+/// [`SyntaxError`] with the position of the error and what was expected there.
 pub fn parse(text: &str) -> Result<Statement, SyntaxError> {
     let mut statements = parse_script(text)?;
     match (statements.pop(), statements.is_empty()) {
@@ -52,11 +52,11 @@
     }
 }
 
-/// Reads statements separated by `;`.
+/// Parses statements separated by `;`.
 ///
 /// # Errors
 ///
-/// [`SyntaxError`] with the place and what was expected there.
+/// [`SyntaxError`] with the position of the error and what was expected there.
 pub fn parse_script(text: &str) -> Result<Vec<Statement>, SyntaxError> {
     let mut input = LocatingSlice::new(text);
     script(&mut input).map_err(|error| match error {
@@ -140,7 +140,7 @@
     Ok(Filter { column, equal, value })
 }
 
-/// A word of any kind.
+/// Parses any non-empty word.
 fn word<'a>(what: &'static str) -> impl Parser<Input<'a>, String, ErrMode<Expected>> {
     move |input: &mut Input<'a>| {
         skip_blank(input)?;
@@ -153,7 +153,7 @@
     }
 }
 
-/// Statements of the form VERB `engine` NAME.
+/// Parses statements of the form VERB `engine` NAME.
 fn engine_command(input: &mut Input<'_>) -> ParseResult<Command> {
     alt((
         preceded(key!("drain"), cut_err(engine)).map(|name| Command::DrainEngine { name }),
@@ -193,15 +193,15 @@
 }
 
 fn fingerprint(input: &mut Input<'_>) -> ParseResult<String> {
-    const WHAT: &str = "a fingerprint of 16 to 64 hexadecimal digits";
+    const EXPECTED: &str = "a fingerprint of 16 to 64 hexadecimal digits";
     key!("fingerprint").parse_next(input)?;
     skip_blank(input)?;
     let at = input.current_token_start();
-    let text: String = value(WHAT).parse_next(input)?;
-    let fits = FINGERPRINT_LENGTH.contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
-    match fits {
+    let text: String = value(EXPECTED).parse_next(input)?;
+    let valid = FINGERPRINT_LENGTH.contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
+    match valid {
         true => Ok(text.to_ascii_lowercase()),
-        false => expected(at, WHAT),
+        false => expected(at, EXPECTED),
     }
 }
 
--- a/crates/operator/src/grammar/product.rs
+++ b/crates/operator/src/grammar/product.rs
@@ -1,4 +1,4 @@
-//! Statements about products.
+//! Parsers for statements about products.
 
 use std::collections::BTreeSet;
 
@@ -26,10 +26,10 @@
 use crate::token::skip_blank;
 use crate::token::value;
 
-/// Deadline of a product that states none, in milliseconds.
+/// Deadline of a product that sets none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u32 = 30_000;
 
-/// Longest deadline, in milliseconds: a day.
+/// Longest permitted deadline, in milliseconds: one day.
 const MAX_DEADLINE_MS: u32 = 86_400_000;
 
 /// One setting of a product.
@@ -71,18 +71,18 @@
         .parse_next(input)
 }
 
-/// Settings in any order, each at most once.
+/// Parses settings in any order, each at most once.
 fn settings(input: &mut Input<'_>) -> ParseResult<AlterProduct> {
-    let all: Vec<(usize, Setting)> = repeat(0.., located_setting).parse_next(input)?;
+    let located: Vec<(usize, Setting)> = repeat(0.., located_setting).parse_next(input)?;
     let mut alter = AlterProduct::default();
-    for (at, setting) in all {
-        let twice = match setting {
+    for (at, setting) in located {
+        let repeated = match setting {
             Setting::Key(key) => alter.key.replace(key).is_some(),
             Setting::Share(share) => alter.share.replace(share).is_some(),
             Setting::Deadline(deadline) => alter.deadline.replace(deadline).is_some(),
             Setting::Weight(weight) => alter.weight.replace(weight).is_some(),
         };
-        if twice {
+        if repeated {
             return Err(ErrMode::Cut(Expected::new(at, "each setting at most once")));
         }
     }
--- a/crates/operator/src/grammar/service.rs
+++ b/crates/operator/src/grammar/service.rs
@@ -1,4 +1,4 @@
-//! Statements about services and the engines and plain upstreams that are placed in them.
+//! Parsers for statements about services, and about the engines and plain upstreams placed in them.
 
 use std::net::SocketAddr;
 
@@ -76,13 +76,13 @@
 }
 
 fn path(input: &mut Input<'_>) -> ParseResult<String> {
-    const WHAT: &str = "a path in double quotes, beginning with `/`";
+    const EXPECTED: &str = "a path in double quotes, beginning with `/`";
     skip_blank(input)?;
     let at = input.current_token_start();
-    let path = quoted(WHAT).parse_next(input)?;
+    let path = quoted(EXPECTED).parse_next(input)?;
     match path.starts_with('/') {
         true => Ok(path),
-        false => expected(at, WHAT),
+        false => expected(at, EXPECTED),
     }
 }
 
--- a/crates/operator/src/http.rs
+++ b/crates/operator/src/http.rs
@@ -17,26 +17,26 @@
 use crate::wire::ReplyBody;
 use crate::wire::StatementBody;
 
-/// Why statements were not carried out.
+/// Why statements were not executed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum OperatorError {
     /// The token is missing or wrong.
     #[error("the operator token is missing or wrong")]
     Unauthorized,
-    /// The text is no statement.
+    /// The text is not a valid statement.
     #[error("could not read the statement: {0}")]
     Syntax(#[from] SyntaxError),
-    /// The text holds no statement, several queries, or queries and changes together.
-    #[error("could not carry out the statements: give either one query or only changes")]
+    /// The text contains no statement, several queries, or both queries and changes.
+    #[error("could not execute the statements: give either one query or only changes")]
     Mixed,
-    /// A query names a column that its table doesn't have.
+    /// A query uses a column that its table doesn't have.
     #[error("there is no column `{column}` in `{table}`; it has {columns}")]
     UnknownColumn {
-        /// The column.
+        /// Name of the unknown column.
         column: String,
-        /// The table.
+        /// The table of the query.
         table: Table,
-        /// The columns that it has.
+        /// Names of the table's columns, separated by commas.
         columns: String,
     },
     /// The change can't be applied to the configuration in force.
@@ -45,7 +45,8 @@
     /// Another change was accepted first.
     #[error("could not accept the change: {0}")]
     Conflict(String),
-    /// The platform's key-value service gave no sure answer. Giving the same command id again is safe.
+    /// The platform's key-value service gave no definite answer, so the change may have been accepted. Sending the
+    /// statements again with the same command ID is safe.
     #[error("could not reach the key-value service: {0}")]
     KvUnreachable(String),
 }
@@ -68,24 +69,24 @@
             OperatorError::Unauthorized => Some("set SEQUOIASTREAM_OPERATOR_TOKEN"),
             OperatorError::Syntax(_) => Some("see docs/GRAMMAR.md"),
             OperatorError::Rejected(_) | OperatorError::Mixed | OperatorError::UnknownColumn { .. } => None,
-            OperatorError::Conflict(_) => Some("look at `show changes` and decide again"),
+            OperatorError::Conflict(_) => Some("check `show changes`, then decide again"),
             OperatorError::KvUnreachable(_) => {
-                Some("give the same command id again: it takes effect at most once")
+                Some("repeat the command with the same ID: it takes effect at most once")
             }
         }
     }
 }
 
-/// Carries statements out; the daemon's side of this package.
+/// Executes statements; implemented by the daemon.
 pub trait Executor: Clone + 'static {
-    /// Whether `token` may give statements.
+    /// Whether `token` authorizes its sender to send statements.
     fn authorize(&self, token: &str) -> bool;
 
-    /// Carries out `statement`, which came in from the address `from`.
+    /// Executes `statement`, which was received from the address `from`.
     ///
     /// # Errors
     ///
-    /// [`OperatorError`] if nothing changed, or if that is not known.
+    /// [`OperatorError`] if nothing changed, or if it is not known whether anything changed.
     fn execute(
         &self,
         statement: StatementBody,
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,8 +1,8 @@
-//! What operators say to sequoiastream and what they are told.
+//! The statement language and the HTTP interface for operators.
 //!
-//! [`parse`] turns the text of a statement into a typed [`Statement`]; `docs/GRAMMAR.md` is the language's
-//! page. [`http`] is the interface that the command-line tool calls. Statements are carried out by the
-//! daemon, through [`http::Executor`].
+//! [`parse`] turns the text of a statement into a typed [`Statement`]; `docs/GRAMMAR.md` documents the language.
+//! [`http`] is the interface that the command-line tool calls. The daemon executes the statements, by implementing
+//! [`http::Executor`].
 
 mod error;
 mod grammar;
--- a/crates/operator/src/select.rs
+++ b/crates/operator/src/select.rs
@@ -1,15 +1,15 @@
-//! Filters of queries, applied to a whole table.
+//! Applies the filters and the row limit of a query to a table.
 
 use crate::http::OperatorError;
 use crate::statement::Filter;
 use crate::statement::Query;
 use crate::wire::TableBody;
 
-/// Keeps the rows of `table` that `query` asks for.
+/// Returns `table` with only the rows that `query` selects.
 ///
 /// # Errors
 ///
-/// [`OperatorError::UnknownColumn`] if a condition names a column that the table doesn't have.
+/// [`OperatorError::UnknownColumn`] if a filter names a column that the table doesn't have.
 pub fn select(mut table: TableBody, query: &Query) -> Result<TableBody, OperatorError> {
     for filter in &query.filters {
         let index = column_index(&table, query, filter)?;
--- a/crates/operator/src/statement.rs
+++ b/crates/operator/src/statement.rs
@@ -1,36 +1,36 @@
-//! Statements as data.
+//! Types for parsed statements.
 
 use std::fmt;
 
 use sequoiastream_core::config::Command;
 
-/// What a query shows.
+/// A table that can be queried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Table {
-    /// Products and what they are owed.
+    /// Products and their settings, such as the share.
     Products,
-    /// Services and what stands behind them.
+    /// Services, with their kind and number of engines.
     Services,
     /// Engines and plain upstreams.
     Engines,
-    /// The audit trail.
+    /// The audit trail: accepted changes.
     Changes,
-    /// Fingerprints of requests that may not run.
+    /// Fingerprints of requests that must not run.
     Quarantine,
-    /// Who holds the authority of each service.
+    /// Holders of the authority leases, by service.
     Leases,
     /// The last order to each engine, and whether it is settled.
     Orders,
-    /// Claims on requests that may not be repeated, as far as this instance holds them.
+    /// Claims on requests that must not be repeated, as far as this instance holds them.
     Claims,
-    /// Entry instances, as this one sees them.
+    /// Entry instances, as seen by the queried one.
     Instances,
-    /// What products are owed and use of each service through the asked instance.
+    /// Entitlement and use of each product for each service, through the queried instance.
     Limits,
 }
 
 impl Table {
-    /// All tables, with the names by which statements call them.
+    /// All tables, with their names in statements.
     pub const ALL: &[(&'static str, Table)] = &[
         ("products", Table::Products),
         ("services", Table::Services),
@@ -52,33 +52,33 @@
     }
 }
 
-/// Keeps the rows whose cell in `column` is (or is not) `value`.
+/// Condition that the cell in `column` is equal to `value`, or differs from it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Filter {
     /// Name of the column.
     pub column: String,
-    /// Whether the cell must be equal, or must differ.
+    /// Whether the cell must be equal (`true`) or must differ (`false`).
     pub equal: bool,
-    /// What it is compared with.
+    /// The value with which the cell is compared.
     pub value: String,
 }
 
-/// A query.
+/// A query for rows of a table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Query {
-    /// What to show.
+    /// The table to show.
     pub table: Table,
-    /// Conditions, all of which must hold.
+    /// Conditions that must all be met by a row.
     pub filters: Vec<Filter>,
-    /// Most rows to show.
+    /// Maximum number of rows to show.
     pub limit: Option<usize>,
 }
 
 /// A statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
-    /// Asks what holds now.
+    /// Queries the current state.
     Show(Query),
-    /// Tells what shall hold next.
+    /// Changes the configuration.
     Change(Command),
 }
--- a/crates/operator/src/summary.rs
+++ b/crates/operator/src/summary.rs
@@ -1,4 +1,4 @@
-//! Statements as the audit trail keeps them.
+//! Summaries of statements for the audit trail, without secrets.
 
 use winnow::LocatingSlice;
 use winnow::Parser;
@@ -15,14 +15,14 @@
 use crate::token::ParseResult;
 use crate::token::skip_blank;
 
-/// What stands in the audit trail in place of a secret.
+/// Replacement for a secret in the audit trail.
 const REDACTED: &str = "\"***\"";
 
-/// The text of statements on one line, without comments, and with API keys replaced.
+/// Returns the text of statements on one line, without comments and with API keys replaced.
 ///
-/// Failure guarded against: an API key that an operator typed would stand in the configuration's head, readable
-/// by whoever can read the audit trail. Every quoted text that follows the word `key` is replaced, also in a
-/// statement that can't be read, so that a mistake doesn't disclose it either.
+/// Guards against an API key that an operator typed being stored in the configuration's head, where everyone who can
+/// read the audit trail could read it. Every quoted string after the word `key` is replaced, also in a statement that
+/// can't be parsed, so that a typing error doesn't disclose the key either.
 pub fn summary(text: &str) -> String {
     let mut input = LocatingSlice::new(text);
     let tokens: Vec<&str> = repeat(0.., token).parse_next(&mut input).unwrap_or_default();
@@ -44,7 +44,7 @@
     preceded(skip_blank, alt((quoted, word, any_char))).parse_next(input)
 }
 
-/// A quoted text with its quotes; without a closing one it goes on to the end of the line.
+/// Parses a quoted string with its quotes; without a closing quote it extends to the end of the line.
 fn quoted<'a>(input: &mut Input<'a>) -> ParseResult<&'a str> {
     let inner = || take_while(0.., |c: char| c != '"' && c != '\n');
     let closed = delimited('"', inner(), '"').take();
--- a/crates/operator/src/token.rs
+++ b/crates/operator/src/token.rs
@@ -1,7 +1,7 @@
-//! The smallest parts of statements: keywords, names, numbers, quoted texts.
+//! Token parsers for statements: keywords, values, numbers and quoted strings.
 //!
-//! Each skips white space and comments (`--` to the end of the line) before itself and says what it expected
-//! where it fails.
+//! Each parser first skips white space and comments (`--` to the end of the line), and reports what it expected if it
+//! fails.
 
 use std::ops::RangeInclusive;
 use std::str::FromStr;
@@ -20,10 +20,10 @@
 
 use crate::error::Expected;
 
-/// The text of statements.
+/// Input of the parsers: the text of statements.
 pub(crate) type Input<'a> = LocatingSlice<&'a str>;
 
-/// What a parser gives.
+/// Result of a parser.
 pub(crate) type ParseResult<T> = Result<T, ErrMode<Expected>>;
 
 /// Skips white space and comments.
@@ -31,12 +31,12 @@
     repeat(0.., alt((multispace1.void(), ("--", till_line_ending).void()))).parse_next(input)
 }
 
-/// The error that `what` was not found at byte `at`; another alternative may still fit.
+/// The recoverable error that `what` was not found at the byte offset `at`: other alternatives are still tried.
 pub(crate) fn expected<T>(at: usize, what: impl Into<String>) -> ParseResult<T> {
     Err(ErrMode::Backtrack(Expected::new(at, what)))
 }
 
-/// A keyword, in any case. `quoted` is the keyword as error messages show it.
+/// Parses a keyword, ignoring case. `quoted` is the keyword as error messages show it.
 pub(crate) fn keyword<'a>(
     word: &'static str,
     quoted: &'static str,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Writes `keyword("drain", "`drain`")` as `key!("drain")`.
+/// Short form of [`keyword`]: `key!("drain")` stands for `keyword("drain", "`drain`")`.
 macro_rules! key {
     ($word:literal) => {
         $crate::token::keyword($word, concat!("`", $word, "`"))
@@ -58,7 +58,7 @@
 }
 pub(crate) use key;
 
-/// A symbol such as `;`.
+/// Parses a symbol such as `;`. `quoted` is the symbol as error messages show it.
 pub(crate) fn symbol<'a>(
     text: &'static str,
     quoted: &'static str,
@@ -71,7 +71,7 @@
     }
 }
 
-/// A word that `T` can be read from.
+/// Parses a word as a `T`.
 pub(crate) fn value<'a, T>(what: &'static str) -> impl Parser<Input<'a>, T, ErrMode<Expected>>
 where
     T: FromStr,
@@ -82,7 +82,7 @@
     }
 }
 
-/// A number within `range`.
+/// Parses a number within `range`.
 pub(crate) fn number<'a>(
     range: RangeInclusive<u32>,
     what: &'static str,
@@ -96,7 +96,7 @@
     }
 }
 
-/// A text in double quotes, not empty.
+/// Parses a non-empty string in double quotes.
 pub(crate) fn quoted<'a>(what: &'static str) -> impl Parser<Input<'a>, String, ErrMode<Expected>> {
     move |input: &mut Input<'a>| {
         skip_blank(input)?;
@@ -107,7 +107,7 @@
     }
 }
 
-/// The next word and where it begins; empty if there is none.
+/// Reads the next word and its byte offset; the word is empty if there is none.
 fn next_word<'a>(input: &mut Input<'a>) -> ParseResult<(usize, &'a str)> {
     skip_blank(input)?;
     let at = input.current_token_start();
--- a/crates/operator/src/wire.rs
+++ b/crates/operator/src/wire.rs
@@ -1,32 +1,33 @@
-//! Bodies of the operators' HTTP interface.
+//! Request and response bodies of the HTTP interface for operators.
 
 use serde::Deserialize;
 use serde::Serialize;
 use uuid::Uuid;
 
-/// Statements to carry out: one query, or changes that are accepted together or not at all.
+/// Statements to execute: one query, or changes that are accepted together or not at all.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementBody {
-    /// Names the command; giving the same id again is answered with the first outcome.
+    /// ID of the command; a command that is sent again with the same ID is answered with the first outcome.
     pub id: Uuid,
-    /// The operator.
+    /// Name of the operator.
     pub who: String,
-    /// The statements.
+    /// Text of the statements.
     pub text: String,
-    /// The version that the operator decided on. A later change of the same things is then a conflict.
-    /// Without it that holds for changes of other operators after the version in force where this came in.
+    /// The configuration version on which the operator based the decision. A later change to the same items is a
+    /// conflict. If absent, a change by another operator to the same items is a conflict if it is later than the version
+    /// in force on the instance that received the statements.
     #[serde(default)]
     pub base: Option<u64>,
-    /// Only say what would change.
+    /// Only report what would change.
     #[serde(default)]
     #[serde(rename = "dry")]
     pub dry_run: bool,
-    /// Answer only when every reachable instance has the change in force, or after a limit.
+    /// Respond only when the change is in force on every reachable instance, or after a time limit.
     #[serde(default)]
     pub wait: bool,
 }
 
-/// A table of texts.
+/// A table of strings.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TableBody {
     /// Names of the columns.
@@ -35,37 +36,37 @@
     pub rows: Vec<Vec<String>>,
 }
 
-/// What came of a change.
+/// Result of an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedBody {
-    /// The version that the change made.
+    /// The configuration version that the change created.
     pub version: u64,
-    /// Whether it had been accepted before.
+    /// Whether the change had already been accepted before.
     pub repeated: bool,
-    /// Instances on which it is known to be in force.
+    /// Number of instances on which the change is known to be in force.
     #[serde(rename = "force")]
     pub in_force: u32,
-    /// Instances that are known.
+    /// Number of known instances.
     pub known: u32,
 }
 
-/// Answer to statements.
+/// Response to statements.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplyBody {
-    /// Answer to a query.
+    /// Result of a query.
     Table(TableBody),
-    /// Changes were accepted.
+    /// The changes were accepted.
     Accepted(AcceptedBody),
-    /// What the changes would do, were they not only tried: a row for each thing that would differ.
+    /// Result of a dry run: a row for each item that the changes would affect.
     Difference(TableBody),
 }
 
-/// Why statements were not carried out.
+/// Why statements were not executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong, possibly over several lines.
+    /// The error message, possibly of several lines.
     pub error: String,
-    /// What to do next.
+    /// Advice on what to do next.
     pub help: Option<String>,
 }
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -280,7 +280,8 @@
 
     /// Gives up the proof: the attempt may have run.
     fn discard_proof(&mut self) {
-        // A `MayHaveRun` can't be turned into a proof, so no later refusal of this request can have the outcome `not-run`.
+        // A `MayHaveRun` can't be turned into a proof, so no later refusal of this request can have the outcome
+        // `not-run`.
         let _ = self.sent.take().map(Sent::lost);
     }
 
