--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -68,11 +68,11 @@
 }
 
 impl Expected {
-    /// The error that `what` was not found at the byte offset `at`.
-    pub(crate) fn new(at: usize, what: impl Into<String>) -> Expected {
+    /// The error that `item` was not found at the byte offset `at`.
+    pub(crate) fn new(at: usize, item: impl Into<String>) -> Expected {
         Expected {
             offset: at,
-            items: BTreeSet::from([what.into()]),
+            items: BTreeSet::from([item.into()]),
         }
     }
 
--- a/crates/operator/src/grammar.rs
+++ b/crates/operator/src/grammar.rs
@@ -141,13 +141,13 @@
 }
 
 /// Parses any non-empty word.
-fn word<'a>(what: &'static str) -> impl Parser<Input<'a>, String, ErrMode<Expected>> {
+fn word<'a>(item: &'static str) -> impl Parser<Input<'a>, String, ErrMode<Expected>> {
     move |input: &mut Input<'a>| {
         skip_blank(input)?;
         let at = input.current_token_start();
-        let found: String = value(what).parse_next(input)?;
+        let found: String = value(item).parse_next(input)?;
         match found.is_empty() {
-            true => expected(at, what),
+            true => expected(at, item),
             false => Ok(found),
         }
     }
--- a/crates/operator/src/grammar/product.rs
+++ b/crates/operator/src/grammar/product.rs
@@ -110,8 +110,8 @@
     .parse_next(input)
 }
 
-fn cut_error<T>(input: &mut Input<'_>, what: &'static str) -> ParseResult<T> {
+fn cut_error<T>(input: &mut Input<'_>, item: &'static str) -> ParseResult<T> {
     skip_blank(input)?;
     let at = input.current_token_start();
-    expected(at, what).map_err(ErrMode::cut)
+    expected(at, item).map_err(ErrMode::cut)
 }
--- a/crates/operator/src/token.rs
+++ b/crates/operator/src/token.rs
@@ -31,9 +31,9 @@
     repeat(0.., alt((multispace1.void(), ("--", till_line_ending).void()))).parse_next(input)
 }
 
-/// The recoverable error that `what` was not found at the byte offset `at`: other alternatives are still tried.
-pub(crate) fn expected<T>(at: usize, what: impl Into<String>) -> ParseResult<T> {
-    Err(ErrMode::Backtrack(Expected::new(at, what)))
+/// The recoverable error that `item` was not found at the byte offset `at`: other alternatives are still tried.
+pub(crate) fn expected<T>(at: usize, item: impl Into<String>) -> ParseResult<T> {
+    Err(ErrMode::Backtrack(Expected::new(at, item)))
 }
 
 /// Parses a keyword, ignoring case. `quoted` is the keyword as error messages show it.
@@ -72,38 +72,38 @@
 }
 
 /// Parses a word as a `T`.
-pub(crate) fn value<'a, T>(what: &'static str) -> impl Parser<Input<'a>, T, ErrMode<Expected>>
+pub(crate) fn value<'a, T>(item: &'static str) -> impl Parser<Input<'a>, T, ErrMode<Expected>>
 where
     T: FromStr,
 {
     move |input: &mut Input<'a>| {
         let (at, found) = next_word(input)?;
-        found.parse().or_else(|_| expected(at, what))
+        found.parse().or_else(|_| expected(at, item))
     }
 }
 
 /// Parses a number within `range`.
 pub(crate) fn number<'a>(
     range: RangeInclusive<u32>,
-    what: &'static str,
+    item: &'static str,
 ) -> impl Parser<Input<'a>, u32, ErrMode<Expected>> {
     move |input: &mut Input<'a>| {
         let (at, found) = next_word(input)?;
         match found.parse() {
             Ok(number) if range.contains(&number) => Ok(number),
-            _ => expected(at, what),
+            _ => expected(at, item),
         }
     }
 }
 
 /// Parses a non-empty string in double quotes.
-pub(crate) fn quoted<'a>(what: &'static str) -> impl Parser<Input<'a>, String, ErrMode<Expected>> {
+pub(crate) fn quoted<'a>(item: &'static str) -> impl Parser<Input<'a>, String, ErrMode<Expected>> {
     move |input: &mut Input<'a>| {
         skip_blank(input)?;
         let at = input.current_token_start();
         let inner = take_while(1.., |c: char| c != '"' && c != '\n');
         let found: ParseResult<&str> = delimited('"', inner, '"').parse_next(input);
-        found.map(str::to_string).or_else(|_| expected(at, what))
+        found.map(str::to_string).or_else(|_| expected(at, item))
     }
 }
 
--- a/crates/operator/src/wire.rs
+++ b/crates/operator/src/wire.rs
@@ -14,8 +14,8 @@
     /// Text of the statements.
     pub text: String,
     /// The configuration version on which the operator based the decision. A later change to the same items is a
-    /// conflict. If absent, a change by another operator to the same items is a conflict if it is later than the version
-    /// in force on the instance that received the statements.
+    /// conflict. If absent, a change by another operator to the same items is a conflict if it is later than the
+    /// version in force on the instance that received the statements.
     #[serde(default)]
     pub base: Option<u64>,
     /// Only report what would change.
