--- a/crates/operator/src/wire.rs
+++ b/crates/operator/src/wire.rs
@@ -13,8 +13,8 @@
     pub who: String,
     /// Text of the statements.
     pub text: String,
-    /// The configuration version on which the operator based the decision. A later change to the same items is a
-    /// conflict. If absent, a change by another operator to the same items is a conflict if it is later than the
+    /// The configuration version on which the operator based the decision. A later change to the same resources is a
+    /// conflict. If absent, a change by another operator to the same resources is a conflict if it is later than the
     /// version in force on the instance that received the statements.
     #[serde(default)]
     pub base: Option<u64>,
@@ -58,7 +58,7 @@
     Table(TableBody),
     /// The changes were accepted.
     Accepted(AcceptedBody),
-    /// Result of a dry run: a row for each item that the changes would affect.
+    /// Result of a dry run: a row for each resource that the changes would affect.
     Difference(TableBody),
 }
 
