--- a/crates/caller/src/http.rs
+++ b/crates/caller/src/http.rs
@@ -1,4 +1,4 @@
-//! Handlers.
+//! Routes and request handlers.
 
 use actix_web::HttpRequest;
 use actix_web::HttpResponse;
@@ -24,8 +24,8 @@
 use crate::sse::error_body;
 use crate::wire::ModelsBody;
 
-/// Header that carries the outcome of a final answer.
-pub const OUTCOME: &str = "sequoiastream-outcome";
+/// Response header that carries the outcome of the request.
+pub const OUTCOME_HEADER: &str = "sequoiastream-outcome";
 
 /// Registers the routes for `gateway`.
 pub fn configure<G>(config: &mut ServiceConfig, gateway: G)
@@ -43,22 +43,22 @@
         .route("/healthz", web::get().to(health))
         .route("/readyz", web::get().to(ready::<G>))
         .route("/metrics", web::get().to(metrics::<G>))
-        .default_service(web::route().to(nowhere));
+        .default_service(web::route().to(not_found));
 }
 
-/// What no route takes.
-async fn nowhere(request: HttpRequest) -> HttpResponse {
+/// Handles requests that match no route.
+async fn not_found(request: HttpRequest) -> HttpResponse {
     let message = format!("there is no {} {}", request.method(), request.path());
-    refuse(&Refusal::unknown_path(message))
+    refusal_response(&Refusal::unknown_path(message))
 }
 
-/// `GET /v1/models`
+/// Handles `GET /v1/models`.
 async fn models<G>(gateway: Data<G>, request: HttpRequest) -> HttpResponse
 where
     G: Gateway,
 {
     match product(gateway.get_ref(), &request) {
-        Err(refusal) => refuse(&refusal),
+        Err(refusal) => refusal_response(&refusal),
         Ok(_) => HttpResponse::Ok().json(ModelsBody::of(gateway.models())),
     }
 }
@@ -86,7 +86,7 @@
         .body(gateway.metrics())
 }
 
-/// The product that a request's API key belongs to.
+/// Returns the product to which the request's API key belongs, or a refusal if the key is missing or unknown.
 pub(crate) fn product<G>(gateway: &G, request: &HttpRequest) -> Result<Name, Refusal>
 where
     G: Gateway,
@@ -111,10 +111,10 @@
 where
     G: Gateway,
 {
-    respond(pass(gateway.get_ref(), &request, path.into_inner(), payload).await)
+    respond(forward_request(gateway.get_ref(), &request, path.into_inner(), payload).await)
 }
 
-async fn pass<G>(
+async fn forward_request<G>(
     gateway: &G,
     request: &HttpRequest,
     path: (String, String),
@@ -124,7 +124,7 @@
     G: Gateway,
 {
     let product = product(gateway, request)?;
-    let body = read_body(payload, gateway.body_time()).await?;
+    let body = read_body(payload, gateway.body_timeout()).await?;
     let deadline = deadline(request)?;
     let (service, path) = path;
     let query = match request.query_string() {
@@ -144,39 +144,39 @@
         service,
         method: request.method().to_string(),
         path: format!("/{path}{query}"),
-        key: header("idempotency-key"),
-        content: header("content-type"),
+        idempotency_key: header("idempotency-key"),
+        content_type: header("content-type"),
         body,
         deadline,
     };
     let reply = gateway.forward(call).await?;
-    let mut answer = builder(reply.status);
-    answer.insert_header((OUTCOME, Outcome::Whole.to_string()));
-    if let Some(content) = reply.content {
-        answer.insert_header(("content-type", content));
+    let mut response = response_builder(reply.status);
+    response.insert_header((OUTCOME_HEADER, Outcome::Whole.to_string()));
+    if let Some(content) = reply.content_type {
+        response.insert_header(("content-type", content));
     }
-    Ok(answer.body(reply.body))
+    Ok(response.body(reply.body))
 }
 
-/// The answer, or the one that tells the refusal.
-pub(crate) fn respond(answer: Result<HttpResponse, Refusal>) -> HttpResponse {
-    answer.unwrap_or_else(|refusal| refuse(&refusal))
+/// Returns the response, or the error response if the request was refused.
+pub(crate) fn respond(response: Result<HttpResponse, Refusal>) -> HttpResponse {
+    response.unwrap_or_else(|refusal| refusal_response(&refusal))
 }
 
-/// The answer that tells a refusal.
-pub(crate) fn refuse(refusal: &Refusal) -> HttpResponse {
-    let mut answer = builder(refusal.status());
-    answer.insert_header((OUTCOME, refusal.outcome().to_string()));
+/// The error response for a refusal.
+pub(crate) fn refusal_response(refusal: &Refusal) -> HttpResponse {
+    let mut response = response_builder(refusal.status());
+    response.insert_header((OUTCOME_HEADER, refusal.outcome().to_string()));
     if refusal.status() == 422 {
-        // Ordinary clients repeat what failed; what is quarantined never succeeds.
-        answer.insert_header(("x-should-retry", "false"));
+        // Common clients retry failed requests, but a quarantined request never succeeds.
+        response.insert_header(("x-should-retry", "false"));
     }
-    if let Some(after) = refusal.after() {
-        answer.insert_header(("retry-after", (after.as_secs_f64().ceil() as u64).to_string()));
+    if let Some(after) = refusal.retry_after() {
+        response.insert_header(("retry-after", (after.as_secs_f64().ceil() as u64).to_string()));
     }
-    answer.json(error_body(refusal))
+    response.json(error_body(refusal))
 }
 
-pub(crate) fn builder(status: u16) -> HttpResponseBuilder {
+pub(crate) fn response_builder(status: u16) -> HttpResponseBuilder {
     HttpResponse::build(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY))
 }
--- a/crates/operator/src/select.rs
+++ b/crates/operator/src/select.rs
@@ -1,18 +1,18 @@
-//! Filters of queries, applied to a whole table.
+//! Applies the filters and the row limit of a query to a table.
 
 use crate::http::OperatorError;
 use crate::statement::Filter;
 use crate::statement::Query;
 use crate::wire::TableBody;
 
-/// Keeps the rows of `table` that `query` asks for.
+/// Returns `table` with only the rows that `query` selects.
 ///
 /// # Errors
 ///
-/// [`OperatorError::Column`] if a condition names a column that the table doesn't have.
+/// [`OperatorError::UnknownColumn`] if a filter names a column that the table doesn't have.
 pub fn select(mut table: TableBody, query: &Query) -> Result<TableBody, OperatorError> {
     for filter in &query.filters {
-        let index = column(&table, query, filter)?;
+        let index = column_index(&table, query, filter)?;
         table
             .rows
             .retain(|row| (row[index] == filter.value) == filter.equal);
@@ -21,9 +21,9 @@
     Ok(table)
 }
 
-fn column(table: &TableBody, query: &Query, filter: &Filter) -> Result<usize, OperatorError> {
+fn column_index(table: &TableBody, query: &Query, filter: &Filter) -> Result<usize, OperatorError> {
     let found = table.columns.iter().position(|c| *c == filter.column);
-    found.ok_or_else(|| OperatorError::Column {
+    found.ok_or_else(|| OperatorError::UnknownColumn {
         column: filter.column.clone(),
         table: query.table,
         columns: table.columns.join(", "),
--- a/src/bin/sequoiastream/context.rs
+++ b/src/bin/sequoiastream/context.rs
@@ -54,7 +54,7 @@
             who: self.who.clone(),
             text: request.text,
             base: None,
-            dry: request.dry_run,
+            dry_run: request.dry_run,
             wait: request.wait,
         };
         let result = self.client.execute(&statement).await;
