--- a/tests/testsuite/claims/client.rs
+++ b/tests/testsuite/claims/client.rs
@@ -16,15 +16,15 @@
 use crate::support::fleet;
 
 /// Deadline of an order in tests, in milliseconds.
-pub const DEADLINE: u64 = 6_000;
+pub const DEADLINE_MS: u64 = 6_000;
 
 /// Three daemons before one plain service, each knowing the other two.
-pub async fn three() -> Fleet {
-    known(fleet().daemons(3).plain(1)).await
+pub async fn start_three_daemons() -> Fleet {
+    start_fleet(fleet().daemons(3).plain(1)).await
 }
 
 /// Starts the fleet and waits until each daemon knows the others.
-pub async fn known(builder: FleetBuilder) -> Fleet {
+pub async fn start_fleet(builder: FleetBuilder) -> Fleet {
     let builder = builder
         .daemon_arg("--heartbeat-ms=100")
         .daemon_arg("--list-ms=100");
@@ -44,7 +44,7 @@
 }
 
 /// A key of now.
-pub fn key() -> String {
+pub fn new_key() -> String {
     Uuid::now_v7().to_string()
 }
 
@@ -57,7 +57,7 @@
 pub async fn order_at(base: &str, key: &str, body: &str) -> eyre::Result<Reply> {
     let url = format!("{base}/services/ordini/orders");
     let bearer = format!("Bearer {KEY}");
-    let deadline = DEADLINE.to_string();
+    let deadline = DEADLINE_MS.to_string();
     let headers = [
         ("authorization", bearer.as_str()),
         ("idempotency-key", key),
@@ -100,9 +100,9 @@
 }
 
 /// Names the seed of a run that fails.
-pub struct Failing(pub u64);
+pub struct PrintSeedOnPanic(pub u64);
 
-impl Drop for Failing {
+impl Drop for PrintSeedOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("failed with seed {}", self.0);
--- a/tests/testsuite/claims/entry.rs
+++ b/tests/testsuite/claims/entry.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 struct Proof;
 
-fn at(millis: u64) -> Clocks {
+fn clocks_at(millis: u64) -> Clocks {
     Clocks {
         time: Time::from_millis(10_000 + millis),
         wall: WallTime(1_764_700_000_000 + millis),
@@ -38,15 +38,24 @@
     let key = "01936f4e-0000-7000-8000-000000000001".parse().expect("a UUIDv7");
     let claim = ClaimRef::new(&name("dispatch"), &name("ordini"), &key);
     let owners = ["a", "b", "c", "d"].map(name).to_vec();
-    let print = Fingerprint::new("POST", "/orders", b"");
-    let mark = ClaimToken(Uuid::from_u128(1));
-    EntryClaim::new(Proof, claim, mark, print, owners, at(0).time, at(6_000).time).begin(at(0))
+    let fingerprint = Fingerprint::new("POST", "/orders", b"");
+    let token = ClaimToken(Uuid::from_u128(1));
+    EntryClaim::new(
+        Proof,
+        claim,
+        token,
+        fingerprint,
+        owners,
+        clocks_at(0).time,
+        clocks_at(6_000).time,
+    )
+    .begin(clocks_at(0))
 }
 
 /// What is asked and of whom; the machine for the next event.
-fn asked(step: EntryStep<Proof>) -> (EntryClaim<Proof>, String, ClaimRequest) {
+fn expect_ask(step: EntryStep<Proof>) -> (EntryClaim<Proof>, String, ClaimRequest) {
     match step {
-        EntryStep::Ask(machine, owner, ask) => (*machine, owner.to_string(), ask),
+        EntryStep::Ask(claim, owner, request) => (*claim, owner.to_string(), request),
         other => panic!("{other:?}"),
     }
 }
@@ -57,27 +66,27 @@
 
 #[test]
 fn ask_first_owner_half_wait() {
-    let (_, owner, ask) = asked(begin());
+    let (_, owner, request) = expect_ask(begin());
     assert_eq!(owner, "a");
-    assert_eq!(ask.wait, Duration::from_secs(2));
-    assert_eq!(ask.run, Duration::from_secs(2));
+    assert_eq!(request.wait, Duration::from_secs(2));
+    assert_eq!(request.run, Duration::from_secs(2));
 }
 
 /// The first owner is silent and may still write the claim. The next one is asked under the same mark, so that it
 /// takes what it finds for this request's own.
 #[test]
 fn silent_next_owner_same_mark() {
-    let (machine, _, first) = asked(begin());
-    let (machine, owner, second) = asked(machine.on(at(500), EntryEvent::NoAnswer));
+    let (claim, _, first) = expect_ask(begin());
+    let (claim, owner, second) = expect_ask(claim.on(clocks_at(500), EntryEvent::NoAnswer));
     assert_eq!((owner.as_str(), second.token), ("b", first.token));
-    let (_, owner, third) = asked(machine.on(at(600), answered(Verdict::Stopping)));
+    let (_, owner, third) = expect_ask(claim.on(clocks_at(600), answered(Verdict::Stopping)));
     assert_eq!((owner.as_str(), third.token), ("c", first.token));
 }
 
 #[test]
 fn granted_in_time() {
-    let (machine, ..) = asked(begin());
-    let step = machine.on(at(20), answered(Verdict::Granted));
+    let (claim, ..) = expect_ask(begin());
+    let step = claim.on(clocks_at(20), answered(Verdict::Granted));
     assert!(matches!(step, EntryStep::Granted(_)), "{step:?}");
 }
 
@@ -85,8 +94,8 @@
 /// been told that nothing is known, and its key may have been forgotten.
 #[test]
 fn granted_after_deadline() {
-    let (machine, ..) = asked(begin());
-    let step = machine.on(at(3_600_000), answered(Verdict::Granted));
+    let (claim, ..) = expect_ask(begin());
+    let step = claim.on(clocks_at(3_600_000), answered(Verdict::Granted));
     assert!(
         matches!(step, EntryStep::Refused(Proof, Refused::TooLate, None)),
         "{step:?}"
@@ -96,10 +105,10 @@
 #[test]
 fn out_thrice_refused() {
     let out = || answered(Verdict::Unavailable(Duration::from_secs(3)));
-    let (machine, ..) = asked(begin());
-    let (machine, ..) = asked(machine.on(at(1), out()));
-    let (machine, ..) = asked(machine.on(at(2), out()));
-    let step = machine.on(at(3), out());
+    let (claim, ..) = expect_ask(begin());
+    let (claim, ..) = expect_ask(claim.on(clocks_at(1), out()));
+    let (claim, ..) = expect_ask(claim.on(clocks_at(2), out()));
+    let step = claim.on(clocks_at(3), out());
     let EntryStep::Refused(Proof, Refused::Unavailable, after) = step else {
         panic!("{step:?}");
     };
@@ -110,8 +119,8 @@
 fn silent_all_refused() {
     let mut step = begin();
     for _ in 0..4 {
-        let (machine, ..) = asked(step);
-        step = machine.on(at(10), EntryEvent::NoAnswer);
+        let (claim, ..) = expect_ask(step);
+        step = claim.on(clocks_at(10), EntryEvent::NoAnswer);
     }
     assert!(
         matches!(step, EntryStep::Refused(Proof, Refused::Unavailable, Some(_))),
@@ -121,8 +130,8 @@
 
 #[test]
 fn silent_too_long_refused() {
-    let (machine, ..) = asked(begin());
-    let step = machine.on(at(4_000), EntryEvent::NoAnswer);
+    let (claim, ..) = expect_ask(begin());
+    let step = claim.on(clocks_at(4_000), EntryEvent::NoAnswer);
     assert!(
         matches!(step, EntryStep::Refused(Proof, Refused::Unavailable, Some(_))),
         "{step:?}"
@@ -137,14 +146,14 @@
         (Verdict::Full, Refused::Full),
     ];
     for (verdict, expected) in cases {
-        let (machine, ..) = asked(begin());
-        let step = machine.on(at(1), answered(verdict));
+        let (claim, ..) = expect_ask(begin());
+        let step = claim.on(clocks_at(1), answered(verdict));
         let EntryStep::Refused(Proof, refused, _) = step else {
             panic!("{step:?}");
         };
         assert_eq!(refused, expected);
     }
-    let (machine, ..) = asked(begin());
-    let step = machine.on(at(1), answered(Verdict::Held(ClaimStatus::Unknown)));
+    let (claim, ..) = expect_ask(begin());
+    let step = claim.on(clocks_at(1), answered(Verdict::Held(ClaimStatus::Unknown)));
     assert!(matches!(step, EntryStep::Held(ClaimStatus::Unknown)), "{step:?}");
 }
--- a/tests/testsuite/claims/faults.rs
+++ b/tests/testsuite/claims/faults.rs
@@ -21,54 +21,54 @@
 use sequoiastream_testsupport::http::Reply;
 use tokio::sync::watch;
 
-use super::client::Failing;
-use super::client::key;
-use super::client::known;
+use super::client::PrintSeedOnPanic;
+use super::client::new_key;
 use super::client::order;
 use super::client::order_at;
 use super::client::runs;
 use super::client::seeds_or;
-use super::client::three;
+use super::client::start_fleet;
+use super::client::start_three_daemons;
 use crate::support::fleet;
 
 const CALLERS: usize = 8;
-const ORDERS: usize = 10;
-const TRIES: usize = 4;
-const STEPS: usize = 6;
+const ORDERS_PER_CALLER: usize = 10;
+const ATTEMPTS: usize = 4;
+const FAULTS: usize = 6;
 
 /// Longest time between two faults, in case that nobody is answered.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const MAX_FAULT_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// What a caller was told about one key, in order; `None` for a broken connection.
-type Told = Vec<Option<String>>;
+type Outcomes = Vec<Option<String>>;
 
 /// What callers share with the observer.
-struct Board {
+struct SharedState {
     urls: Rc<RefCell<Vec<String>>>,
-    told: Rc<RefCell<BTreeMap<String, Told>>>,
+    outcomes: Rc<RefCell<BTreeMap<String, Outcomes>>>,
     answers: watch::Sender<usize>,
 }
 
 /// Orders ten times and repeats through other entries what it doesn't know the outcome of.
-async fn caller(board: &Board, seed: u64) {
+async fn caller(shared: &SharedState, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    for _ in 0..ORDERS {
-        let key = key();
-        for _ in 0..TRIES {
+    for _ in 0..ORDERS_PER_CALLER {
+        let key = new_key();
+        for _ in 0..ATTEMPTS {
             let url = {
-                let urls = board.urls.borrow();
+                let urls = shared.urls.borrow();
                 urls[rng.random_range(0..urls.len())].clone()
             };
             let reply: Option<Reply> = order_at(&url, &key, "pellets").await.ok();
             let outcome = reply.and_then(|r| r.outcome);
             let done = matches!(outcome.as_deref(), Some("whole" | "not-run"));
-            board
-                .told
+            shared
+                .outcomes
                 .borrow_mut()
                 .entry(key.clone())
                 .or_default()
                 .push(outcome);
-            board.answers.send_modify(|count| *count += 1);
+            shared.answers.send_modify(|count| *count += 1);
             if done {
                 break;
             }
@@ -76,30 +76,30 @@
     }
 }
 
-async fn answered(answers: &mut watch::Receiver<usize>, more: usize) {
+async fn wait_for_answers(answers: &mut watch::Receiver<usize>, more: usize) {
     let until = *answers.borrow() + more;
     // Callers may all be held up by the fault itself: then the time that passed is the event.
-    let _ = tokio::time::timeout(PATIENCE, answers.wait_for(|count| *count >= until)).await;
+    let _ = tokio::time::timeout(MAX_FAULT_INTERVAL, answers.wait_for(|count| *count >= until)).await;
 }
 
 /// Makes one fault after another, each for a random number of answers.
-async fn chaos(fleet: &mut Fleet, board: &Board, seed: u64) {
+async fn inject_faults(fleet: &mut Fleet, shared: &SharedState, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut answers = board.answers.subscribe();
-    for _ in 0..STEPS {
-        answered(&mut answers, rng.random_range(1..8)).await;
+    let mut answers = shared.answers.subscribe();
+    for _ in 0..FAULTS {
+        wait_for_answers(&mut answers, rng.random_range(1..8)).await;
         let index = rng.random_range(0..fleet.daemons.len());
         let length = rng.random_range(2..10);
         match rng.random_range(0..6) {
             0 | 1 => {
                 fleet.daemons[index].kill();
-                answered(&mut answers, length).await;
+                wait_for_answers(&mut answers, length).await;
                 fleet.daemons[index] = fleet.start_daemon(index).await;
-                board.urls.borrow_mut()[index] = fleet.daemons[index].url();
+                shared.urls.borrow_mut()[index] = fleet.daemons[index].url();
             }
             2 | 3 => {
                 fleet.daemons[index].signal("STOP");
-                answered(&mut answers, length).await;
+                wait_for_answers(&mut answers, length).await;
                 fleet.daemons[index].signal("CONT");
             }
             4 => {
@@ -110,7 +110,7 @@
                     ..Fault::default()
                 };
                 fleet.platform_fault(&fault).await;
-                answered(&mut answers, length).await;
+                wait_for_answers(&mut answers, length).await;
                 fleet.platform_fault(&Fault::default()).await;
             }
             _ => {
@@ -119,7 +119,7 @@
                     ..Fault::default()
                 };
                 fleet.platform_fault(&fault).await;
-                answered(&mut answers, length).await;
+                wait_for_answers(&mut answers, length).await;
                 fleet.platform_fault(&Fault::default()).await;
             }
         }
@@ -127,38 +127,40 @@
 }
 
 async fn orders_through_faults(seed: u64) {
-    let mut fleet = three().await;
+    let mut fleet = start_three_daemons().await;
     let urls = fleet.daemons.iter().map(|d| d.url()).collect();
-    let board = Board {
+    let shared = SharedState {
         urls: Rc::new(RefCell::new(urls)),
-        told: Rc::default(),
+        outcomes: Rc::default(),
         answers: watch::Sender::new(0),
     };
-    let callers = (0..CALLERS).map(|i| caller(&board, seed * 100 + i as u64));
+    let callers = (0..CALLERS).map(|i| caller(&shared, seed * 100 + i as u64));
     let callers = futures_util::future::join_all(callers);
-    futures_util::join!(chaos(&mut fleet, &board, seed), callers);
+    futures_util::join!(inject_faults(&mut fleet, &shared, seed), callers);
     let after = http::until("orders go through again", || async {
-        let reply = order_at(&fleet.daemons[0].url(), &key(), "pellets").await.ok()?;
+        let reply = order_at(&fleet.daemons[0].url(), &new_key(), "pellets")
+            .await
+            .ok()?;
         (reply.outcome.as_deref() == Some("whole")).then_some(reply)
     })
     .await;
     assert_eq!(after.status, 200);
-    check(&runs(&fleet).await, &board.told.borrow());
+    check_outcomes(&runs(&fleet).await, &shared.outcomes.borrow());
 }
 
-fn check(runs: &BTreeMap<String, u32>, told: &BTreeMap<String, Told>) {
+fn check_outcomes(runs: &BTreeMap<String, u32>, outcomes: &BTreeMap<String, Outcomes>) {
     let doubled: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
     assert!(doubled.is_empty(), "ran more than once: {doubled:?}");
     let mut whole = 0;
-    for (key, told) in told {
+    for (key, key_outcomes) in outcomes {
         let count = runs.get(key).copied().unwrap_or_default();
-        let told: Vec<&str> = told.iter().map(|t| t.as_deref().unwrap_or("-")).collect();
-        if told.contains(&"whole") {
+        let key_outcomes: Vec<&str> = key_outcomes.iter().map(|t| t.as_deref().unwrap_or("-")).collect();
+        if key_outcomes.contains(&"whole") {
             whole += 1;
-            assert_eq!(count, 1, "{key} was told {told:?}");
+            assert_eq!(count, 1, "{key} was told {key_outcomes:?}");
         }
-        if told == ["not-run"] {
-            assert_eq!(count, 0, "{key} was told {told:?}");
+        if key_outcomes == ["not-run"] {
+            assert_eq!(count, 0, "{key} was told {key_outcomes:?}");
         }
     }
     assert!(whole > CALLERS, "only {whole} orders were whole");
@@ -170,7 +172,7 @@
 #[actix_web::test]
 async fn orders_faults_seed_1() {
     for seed in seeds_or(1..2) {
-        let _failing = Failing(seed);
+        let _seed = PrintSeedOnPanic(seed);
         orders_through_faults(seed).await;
     }
 }
@@ -189,22 +191,22 @@
 /// other entries must not run meanwhile, or the order runs twice once the instance wakes.
 #[actix_web::test]
 async fn order_entry_paused() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     // Every owner has made a write by then, and holds what it needs for the next.
     for _ in 0..32 {
-        order(&fleet, 0, &key(), "pellets").await;
+        order(&fleet, 0, &new_key(), "pellets").await;
     }
     let lost = Fault {
         lose: u32::MAX,
         ..Fault::default()
     };
     fleet.platform_fault(&lost).await;
-    let key = key();
+    let key = new_key();
     let url = fleet.daemons[0].url();
     let first = order_at(&url, &key, "pellets");
     let repeats = async {
         http::until("the claim stands", || async {
-            stands(&fleet, &key).await.then_some(())
+            is_claim_stored(&fleet, &key).await.then_some(())
         })
         .await;
         fleet.daemons[0].signal("STOP");
@@ -229,17 +231,17 @@
 /// the driver repeats it, and would be told for an hour that nobody knows whether it ran.
 #[actix_web::test]
 async fn order_caller_left() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let slow = Fault {
         delay: 400,
         ..Fault::default()
     };
     fleet.platform_fault(&slow).await;
-    let key = key();
+    let key = new_key();
     let url = fleet.daemons[0].url();
-    let before = writes(&fleet).await;
+    let before = kv_write_count(&fleet).await;
     let asked = http::until("the claim is on its way", || async {
-        (writes(&fleet).await > before).then_some(())
+        (kv_write_count(&fleet).await > before).then_some(())
     });
     let order_first = Box::pin(order_at(&url, &key, "pellets"));
     let left = futures_util::future::select(order_first, Box::pin(asked)).await;
@@ -259,7 +261,7 @@
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
 
-async fn writes(fleet: &Fleet) -> u64 {
+async fn kv_write_count(fleet: &Fleet) -> u64 {
     let stats: Stats = http::read(&format!("{}/control/stats", fleet.platform.url())).await;
     stats.calls.get("put").copied().unwrap_or_default()
 }
@@ -268,13 +270,13 @@
 /// third.
 #[actix_web::test]
 async fn order_owners_cut() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let cut = Fault {
         cut: vec!["i1".to_string(), "i2".to_string()],
         ..Fault::default()
     };
     fleet.platform_fault(&cut).await;
-    let keys: Vec<String> = (0..6).map(|_| key()).collect();
+    let keys: Vec<String> = (0..6).map(|_| new_key()).collect();
     let orders = keys.iter().map(|key| order(&fleet, 0, key, "pellets"));
     for reply in futures_util::future::join_all(orders).await {
         assert_eq!(reply.outcome.as_deref(), Some("whole"), "{}", reply.body);
@@ -286,13 +288,13 @@
 /// The key-value service is slow. Its owners are no less alive for it: orders take longer and go through.
 #[actix_web::test]
 async fn order_platform_slow() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let slow = Fault {
         delay: 600,
         ..Fault::default()
     };
     fleet.platform_fault(&slow).await;
-    let keys: Vec<String> = (0..6).map(|_| key()).collect();
+    let keys: Vec<String> = (0..6).map(|_| new_key()).collect();
     let orders = keys.iter().map(|key| order(&fleet, 0, key, "pellets"));
     for reply in futures_util::future::join_all(orders).await {
         assert_eq!(reply.outcome.as_deref(), Some("whole"), "{}", reply.body);
@@ -300,7 +302,7 @@
 }
 
 /// Whether the claim on `key` stands in the key-value service.
-async fn stands(fleet: &Fleet, key: &str) -> bool {
+async fn is_claim_stored(fleet: &Fleet, key: &str) -> bool {
     let name = |text| Name::new(text).expect("a name");
     let claim = ClaimRef::new(
         &name("dispatch"),
@@ -331,44 +333,44 @@
 /// since waiting can't help; orders of which the answer is known are still told it.
 #[actix_web::test]
 async fn order_platform_out() {
-    let fleet = three().await;
-    let known = key();
-    order(&fleet, 0, &known, "pellets").await;
+    let fleet = start_three_daemons().await;
+    let answered_key = new_key();
+    order(&fleet, 0, &answered_key, "pellets").await;
     let outage = Fault {
         outage: true,
         ..Fault::default()
     };
     fleet.platform_fault(&outage).await;
-    let refused = key();
+    let refused_key = new_key();
     for _ in 0..3 {
-        let reply = order(&fleet, 1, &refused, "pellets").await;
+        let reply = order(&fleet, 1, &refused_key, "pellets").await;
         assert_eq!((reply.status, reply.outcome.as_deref()), (503, Some("not-run")));
         assert!(reply.after.is_some(), "{}", reply.body);
     }
-    let told = order(&fleet, 2, &known, "pellets").await;
+    let told = order(&fleet, 2, &answered_key, "pellets").await;
     assert_eq!((told.status, told.outcome.as_deref()), (200, Some("whole")));
     fleet.platform_fault(&Fault::default()).await;
-    assert_eq!(runs(&fleet).await.get(&refused), None);
+    assert_eq!(runs(&fleet).await.get(&refused_key), None);
     let reply = http::until("orders go through again", || async {
-        let reply = order(&fleet, 2, &refused, "pellets").await;
+        let reply = order(&fleet, 2, &refused_key, "pellets").await;
         (reply.outcome.as_deref() == Some("whole")).then_some(reply)
     })
     .await;
     assert_eq!(reply.status, 200);
-    assert_eq!(runs(&fleet).await.get(&refused), Some(&1));
+    assert_eq!(runs(&fleet).await.get(&refused_key), Some(&1));
 }
 
 /// The write of a claim takes effect, and its answer is lost. The order must run all the same, once: its owner
 /// finds its claim where it wrote it.
 #[actix_web::test]
 async fn order_claim_answer_lost() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let lost = Fault {
         lose: 1,
         ..Fault::default()
     };
     fleet.platform_fault(&lost).await;
-    let key = key();
+    let key = new_key();
     let reply = order(&fleet, 0, &key, "pellets").await;
     assert_eq!(reply.outcome.as_deref(), Some("whole"), "{}", reply.body);
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
@@ -377,8 +379,8 @@
 /// The owner of an order's shard is killed between two tries of its buyer. Its successor must know the claim.
 #[actix_web::test]
 async fn order_owner_killed() {
-    let mut fleet = three().await;
-    let keys: Vec<String> = (0..12).map(|_| key()).collect();
+    let mut fleet = start_three_daemons().await;
+    let keys: Vec<String> = (0..12).map(|_| new_key()).collect();
     for key in &keys {
         order(&fleet, 0, key, "pellets").await;
     }
@@ -401,8 +403,8 @@
     let quick = ["--keep-ms=100", "--margin-ms=50", "--refuse-ms=50"];
     let builder = fleet().daemons(3).plain(1);
     let builder = quick.iter().fold(builder, |builder, arg| builder.daemon_arg(arg));
-    let mut fleet = known(builder).await;
-    let keys: Vec<String> = (0..12).map(|_| key()).collect();
+    let mut fleet = start_fleet(builder).await;
+    let keys: Vec<String> = (0..12).map(|_| new_key()).collect();
     for key in &keys {
         order(&fleet, 0, key, "pellets").await;
     }
--- a/tests/testsuite/claims/machines.rs
+++ b/tests/testsuite/claims/machines.rs
@@ -34,7 +34,7 @@
 use sequoiastream_core::time::WallTime;
 use uuid::Uuid;
 
-use super::client::Failing;
+use super::client::PrintSeedOnPanic;
 use super::client::seeds_or;
 
 const INSTANCES: usize = 4;
@@ -48,7 +48,7 @@
 /// What is delivered, and to which process; a process that was killed since gets nothing.
 enum Event {
     Owner(usize, OwnerEvent),
-    Ask(usize, usize, ClaimRequest),
+    Claim(usize, usize, ClaimRequest),
     Entry(usize, EntryEvent),
     Kv(Process, BucketId, Option<(Revision, Bucket)>, bool),
     Start,
@@ -65,39 +65,39 @@
 #[derive(Debug, Clone, Copy)]
 struct Process {
     index: usize,
-    life: u32,
+    incarnation: u32,
 }
 
 struct Request {
     key: usize,
-    at: usize,
-    life: u32,
-    mark: ClaimToken,
-    machine: Option<EntryClaim<Proof>>,
+    entry_index: usize,
+    incarnation: u32,
+    token: ClaimToken,
+    claim: Option<EntryClaim<Proof>>,
     /// Counts the questions, so that the answer to a former one is dropped.
-    asked: u64,
+    attempt: u64,
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     now: Time,
     queue: BTreeMap<(Time, u64), (Option<Process>, Event)>,
-    pushed: u64,
+    sequence: u64,
     kv: BTreeMap<BucketId, (Revision, Bucket)>,
     revision: u64,
-    outage: Time,
+    outage_until: Time,
     owners: Vec<Owner>,
-    lives: Vec<u32>,
-    paused: Vec<Time>,
+    incarnations: Vec<u32>,
+    paused_until: Vec<Time>,
     wakes: Vec<Option<Time>>,
     requests: Vec<Request>,
-    tickets: BTreeMap<u64, (usize, u64)>,
+    queries: BTreeMap<u64, (usize, u64)>,
     runs: BTreeMap<usize, u32>,
-    told: BTreeMap<&'static str, u32>,
+    outcomes: BTreeMap<&'static str, u32>,
 }
 
 /// The idempotency key of this index, the same in each run.
-pub fn keys(index: usize) -> IdempotencyKey {
+pub fn idempotency_key(index: usize) -> IdempotencyKey {
     let time = uuid::Timestamp::from_unix(uuid::NoContext, WALL / 1_000 + index as u64 % 3, 0);
     let mut bytes = *Uuid::new_v7(time).as_bytes();
     bytes[8..].fill(0x80 | index as u8);
@@ -106,34 +106,34 @@
     Uuid::from_bytes(bytes).to_string().parse().expect("a UUIDv7")
 }
 
-fn claim(key: usize) -> ClaimRef {
+fn claim_ref(key: usize) -> ClaimRef {
     let name = |text| Name::new(text).expect("a name");
-    ClaimRef::new(&name("dispatch"), &name("ordini"), &keys(key))
+    ClaimRef::new(&name("dispatch"), &name("ordini"), &idempotency_key(key))
 }
 
-fn print(key: usize) -> Fingerprint {
+fn fingerprint(key: usize) -> Fingerprint {
     Fingerprint::new("POST", "/orders", &[key as u8])
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let owner = |_| Owner::new(OwnerSettings::default());
-        World {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Time::from_millis(1_000),
             queue: BTreeMap::new(),
-            pushed: 0,
+            sequence: 0,
             kv: BTreeMap::new(),
             revision: 0,
-            outage: Time::ZERO,
+            outage_until: Time::ZERO,
             owners: (0..INSTANCES).map(owner).collect(),
-            lives: vec![0; INSTANCES],
-            paused: vec![Time::ZERO; INSTANCES],
+            incarnations: vec![0; INSTANCES],
+            paused_until: vec![Time::ZERO; INSTANCES],
             wakes: vec![None; INSTANCES],
             requests: Vec::new(),
-            tickets: BTreeMap::new(),
+            queries: BTreeMap::new(),
             runs: BTreeMap::new(),
-            told: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
         }
     }
 
@@ -144,45 +144,45 @@
         }
     }
 
-    fn millis(&mut self, most: u64) -> Duration {
-        Duration::from_millis(self.rng.random_range(1..=most))
+    fn random_millis(&mut self, max: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(1..=max))
     }
 
     fn chance(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
-    fn push(&mut self, after: Duration, to: Option<usize>, event: Event) {
-        self.pushed += 1;
+    fn schedule(&mut self, after: Duration, to: Option<usize>, event: Event) {
+        self.sequence += 1;
         let to = to.map(|index| Process {
             index,
-            life: self.lives[index],
+            incarnation: self.incarnations[index],
         });
-        self.queue.insert((self.now + after, self.pushed), (to, event));
+        self.queue.insert((self.now + after, self.sequence), (to, event));
     }
 
     fn run(&mut self) {
         for _ in 0..REQUESTS {
-            let at = self.millis(12_000);
-            self.push(at, None, Event::Start);
+            let at = self.random_millis(12_000);
+            self.schedule(at, None, Event::Start);
         }
         for _ in 0..8 {
-            let at = self.millis(12_000);
+            let at = self.random_millis(12_000);
             let index = self.rng.random_range(0..INSTANCES);
-            let length = self.millis(5_000);
+            let length = self.random_millis(5_000);
             let event = match self.rng.random_range(0..3) {
                 0 => Event::Kill(index),
                 1 => Event::Pause(index, length),
                 _ => Event::Outage(length / 3),
             };
-            self.push(at, None, event);
+            self.schedule(at, None, event);
         }
         while let Some(((at, number), (to, event))) = self.queue.pop_first() {
             self.now = at;
             match to {
-                Some(to) if self.lives[to.index] != to.life => {}
-                Some(Process { index, .. }) if self.paused[index] > at => {
-                    let until = self.paused[index];
+                Some(to) if self.incarnations[to.index] != to.incarnation => {}
+                Some(Process { index, .. }) if self.paused_until[index] > at => {
+                    let until = self.paused_until[index];
                     self.queue.insert((until, number), (to, event));
                 }
                 _ => self.deliver(event),
@@ -192,32 +192,32 @@
 
     fn deliver(&mut self, event: Event) {
         match event {
-            Event::Start => self.start(),
+            Event::Start => self.start_request(),
             Event::Kill(index) => {
-                self.lives[index] += 1;
+                self.incarnations[index] += 1;
                 self.owners[index] = Owner::new(OwnerSettings::default());
-                self.paused[index] = Time::ZERO;
+                self.paused_until[index] = Time::ZERO;
                 self.wakes[index] = None;
             }
-            Event::Pause(index, length) => self.paused[index] = self.now + length,
-            Event::Outage(length) => self.outage = self.now + length,
-            Event::Owner(index, event) => self.owner(index, event),
-            Event::Ask(index, request, ask) => {
-                let ticket = self.pushed + 1;
-                self.pushed = ticket;
-                self.tickets
-                    .insert(ticket, (request, self.requests[request].asked));
-                self.owner(index, OwnerEvent::Claim(QueryId(ticket), ask));
+            Event::Pause(index, length) => self.paused_until[index] = self.now + length,
+            Event::Outage(length) => self.outage_until = self.now + length,
+            Event::Owner(index, event) => self.on_owner_event(index, event),
+            Event::Claim(index, request, claim_request) => {
+                let query = self.sequence + 1;
+                self.sequence = query;
+                self.queries
+                    .insert(query, (request, self.requests[request].attempt));
+                self.on_owner_event(index, OwnerEvent::Claim(QueryId(query), claim_request));
             }
-            Event::Entry(request, event) => self.entry(request, event),
-            Event::Kv(from, bucket, write, answered) => self.call(from, bucket, write, answered),
+            Event::Entry(request, event) => self.on_entry_event(request, event),
+            Event::Kv(from, bucket, write, answered) => self.on_kv_call(from, bucket, write, answered),
         }
     }
 
-    fn start(&mut self) {
+    fn start_request(&mut self) {
         let key = self.rng.random_range(0..KEYS);
         let at = self.rng.random_range(0..INSTANCES);
-        let mark = ClaimToken(Uuid::from_u128(u128::from(self.rng.next_u64())));
+        let token = ClaimToken(Uuid::from_u128(u128::from(self.rng.next_u64())));
         // Lists lag, so entries differ about who owns the shard.
         let first = self.rng.random_range(0..INSTANCES);
         let owners = (0..INSTANCES).map(|i| (first + i) % INSTANCES);
@@ -225,58 +225,66 @@
             .map(|i| Name::new(&format!("i{i}")).expect("a name"))
             .collect();
         let deadline = self.now + Duration::from_millis(6_000);
-        let machine = EntryClaim::new(Proof, claim(key), mark, print(key), owners, self.now, deadline);
+        let claim = EntryClaim::new(
+            Proof,
+            claim_ref(key),
+            token,
+            fingerprint(key),
+            owners,
+            self.now,
+            deadline,
+        );
         let index = self.requests.len();
         self.requests.push(Request {
             key,
-            at,
-            life: self.lives[at],
-            mark,
-            machine: None,
-            asked: 0,
+            entry_index: at,
+            incarnation: self.incarnations[at],
+            token,
+            claim: None,
+            attempt: 0,
         });
-        let step = machine.begin(self.clocks());
-        self.step(index, step);
+        let step = claim.begin(self.clocks());
+        self.on_entry_step(index, step);
     }
 
-    fn entry(&mut self, index: usize, event: EntryEvent) {
+    fn on_entry_event(&mut self, index: usize, event: EntryEvent) {
         let clocks = self.clocks();
-        let Some(machine) = self.requests[index].machine.take() else {
+        let Some(claim) = self.requests[index].claim.take() else {
             return;
         };
-        let step = machine.on(clocks, event);
-        self.step(index, step);
+        let step = claim.on(clocks, event);
+        self.on_entry_step(index, step);
     }
 
-    fn step(&mut self, index: usize, step: EntryStep<Proof>) {
+    fn on_entry_step(&mut self, index: usize, step: EntryStep<Proof>) {
         match step {
-            EntryStep::Ask(machine, owner, ask) => self.ask(index, *machine, &owner, ask),
+            EntryStep::Ask(claim, owner, request) => self.send_claim(index, *claim, &owner, request),
             EntryStep::Granted(grant) => match self.rng.random_range(0..10) {
                 0 => {
                     let Proof = grant.into_proof();
-                    self.tell("no engine");
-                    self.edit(index, Change::Release);
+                    self.count_outcome("no engine");
+                    self.send_edit(index, Change::Release);
                 }
                 1 => {
                     let Proof = grant.into_proof();
-                    self.tell("vouched");
-                    self.edit(index, Change::Release);
+                    self.count_outcome("vouched");
+                    self.send_edit(index, Change::Release);
                 }
                 2 | 3 => {
                     let Proof = grant.into_proof();
-                    self.ran(index);
-                    self.edit(index, Change::Unknown);
+                    self.record_run(index);
+                    self.send_edit(index, Change::Unknown);
                 }
                 _ => {
                     let Proof = grant.into_proof();
-                    self.ran(index);
+                    self.record_run(index);
                     let body = vec![self.requests[index].key as u8];
                     let stored = StoredAnswer {
                         status: 200,
                         content: None,
                         body,
                     };
-                    self.edit(index, Change::Finish(Some(stored)));
+                    self.send_edit(index, Change::Finish(Some(stored)));
                 }
             },
             EntryStep::Held(seen) => {
@@ -285,67 +293,77 @@
                     assert_eq!(answer.as_ref().map(|a| a.body.clone()), Some(vec![key as u8]));
                     assert_eq!(self.runs.get(&key), Some(&1), "told finished, but never ran");
                 }
-                self.tell("seen");
+                self.count_outcome("seen");
             }
             EntryStep::Refused(..) => {
-                self.tell("refused");
-                self.edit(index, Change::Release);
+                self.count_outcome("refused");
+                self.send_edit(index, Change::Release);
             }
         }
     }
 
-    fn tell(&mut self, what: &'static str) {
-        *self.told.entry(what).or_default() += 1;
+    fn count_outcome(&mut self, what: &'static str) {
+        *self.outcomes.entry(what).or_default() += 1;
     }
 
-    fn ran(&mut self, index: usize) {
-        self.tell("ran");
+    fn record_run(&mut self, index: usize) {
+        self.count_outcome("ran");
         let key = self.requests[index].key;
         let runs = self.runs.entry(key).or_default();
         *runs += 1;
         assert!(*runs <= 1, "key {key} ran {runs} times");
     }
 
-    fn ask(&mut self, index: usize, machine: EntryClaim<Proof>, owner: &Name, ask: ClaimRequest) {
+    fn send_claim(
+        &mut self,
+        index: usize,
+        claim: EntryClaim<Proof>,
+        owner: &Name,
+        claim_request: ClaimRequest,
+    ) {
         let request = &mut self.requests[index];
-        request.machine = Some(machine);
-        request.asked += 1;
+        request.claim = Some(claim);
+        request.attempt += 1;
         let owner: usize = owner.as_str()[1..].parse().expect("an index");
-        let alive = self.paused[owner] <= self.now;
+        let alive = self.paused_until[owner] <= self.now;
         if self.chance(90) {
-            let travel = self.millis(5);
-            self.push(travel, Some(owner), Event::Ask(owner, index, ask.clone()));
+            let latency = self.random_millis(5);
+            self.schedule(
+                latency,
+                Some(owner),
+                Event::Claim(owner, index, claim_request.clone()),
+            );
             // A connection that broke: the entry tries elsewhere, while the message arrives all the same.
             if self.chance(10) || !alive {
-                let travel = self.millis(500);
-                self.silent(index, travel);
+                let latency = self.random_millis(500);
+                self.schedule_no_answer(index, latency);
             }
         }
-        let limit = ask.wait + Duration::from_millis(200);
-        self.silent(index, limit);
+        let limit = claim_request.wait + Duration::from_millis(200);
+        self.schedule_no_answer(index, limit);
     }
 
     /// Lets the entry give an owner up, unless it has gone on by then.
-    fn silent(&mut self, index: usize, after: Duration) {
-        let asked = self.requests[index].asked;
-        self.pushed += 1;
-        let ticket = self.pushed;
-        self.tickets.insert(ticket, (index, asked));
-        let verdict = OwnerAction::Answer(QueryId(ticket), Verdict::Stopping);
-        self.answer(after, verdict);
+    fn schedule_no_answer(&mut self, index: usize, after: Duration) {
+        let attempt = self.requests[index].attempt;
+        self.sequence += 1;
+        let query = self.sequence;
+        self.queries.insert(query, (index, attempt));
+        let verdict = OwnerAction::Answer(QueryId(query), Verdict::Stopping);
+        self.schedule_answer(after, verdict);
     }
 
-    fn answer(&mut self, after: Duration, action: OwnerAction) {
-        let OwnerAction::Answer(ticket, verdict) = action else {
+    fn schedule_answer(&mut self, after: Duration, action: OwnerAction) {
+        let OwnerAction::Answer(query, verdict) = action else {
             return;
         };
-        let Some((index, asked)) = self.tickets.get(&ticket.0).copied() else {
+        let Some((index, attempt)) = self.queries.get(&query.0).copied() else {
             return;
         };
         let request = &self.requests[index];
-        if request.asked == asked && self.lives[request.at] == request.life {
-            let at = request.at;
-            self.push(
+        if request.attempt == attempt && self.incarnations[request.entry_index] == request.incarnation {
+            let at = request.entry_index;
+            self.schedule(
                 after,
                 Some(at),
                 Event::Entry(index, EntryEvent::Answered(verdict)),
@@ -353,41 +371,41 @@
         }
     }
 
-    fn edit(&mut self, index: usize, change: Change) {
+    fn send_edit(&mut self, index: usize, change: Change) {
         let request = &self.requests[index];
-        let claim = claim(request.key);
+        let claim = claim_ref(request.key);
         let edit = Edit {
             id: claim.id,
-            token: request.mark,
+            token: request.token,
             change,
         };
         let owner = self.rng.random_range(0..INSTANCES);
         let event = Event::Owner(owner, OwnerEvent::Edit(claim.bucket, edit));
         if self.chance(80) {
-            let travel = self.millis(2_000);
-            self.push(travel, Some(owner), event);
+            let latency = self.random_millis(2_000);
+            self.schedule(latency, Some(owner), event);
         }
     }
 
-    fn owner(&mut self, index: usize, event: OwnerEvent) {
+    fn on_owner_event(&mut self, index: usize, event: OwnerEvent) {
         let clocks = self.clocks();
         for action in self.owners[index].on(clocks, event) {
             match action {
-                OwnerAction::Read(bucket) => self.send(index, bucket, None),
+                OwnerAction::Read(bucket) => self.call_kv(index, bucket, None),
                 OwnerAction::Write(bucket, revision, content) => {
-                    self.send(index, bucket, Some((revision, content)));
+                    self.call_kv(index, bucket, Some((revision, content)));
                 }
                 OwnerAction::Answer(..) => {
                     if self.chance(95) {
-                        let travel = self.millis(5);
-                        self.answer(travel, action);
+                        let latency = self.random_millis(5);
+                        self.schedule_answer(latency, action);
                     }
                 }
                 OwnerAction::Wake(at) if self.wakes[index].is_some_and(|w| w > self.now && w <= at) => {}
                 OwnerAction::Wake(at) => {
                     self.wakes[index] = Some(at);
                     let after = at.since(self.now);
-                    self.push(after, Some(index), Event::Owner(index, OwnerEvent::Tick));
+                    self.schedule(after, Some(index), Event::Owner(index, OwnerEvent::Tick));
                 }
                 OwnerAction::InvariantBroken(rule) => panic!("{rule}"),
             }
@@ -395,55 +413,61 @@
     }
 
     /// Sends a call: it may be late, its answer may get lost, or it may arrive twice.
-    fn send(&mut self, index: usize, bucket: BucketId, write: Option<(Revision, Bucket)>) {
+    fn call_kv(&mut self, index: usize, bucket: BucketId, write: Option<(Revision, Bucket)>) {
         let slow = self.chance(10);
-        let travel = self.millis(if slow { 3_000 } else { 10 });
+        let latency = self.random_millis(if slow { 3_000 } else { 10 });
         let lost = self.chance(10);
-        let twice = self.chance(5);
-        let unsure = write.is_some();
+        let duplicated = self.chance(5);
+        let maybe_written = write.is_some();
         let from = Process {
             index,
-            life: self.lives[index],
+            incarnation: self.incarnations[index],
         };
-        if lost || travel > TIMEOUT {
+        if lost || latency > TIMEOUT {
             let failed = OwnerEvent::Failed {
                 bucket,
-                maybe_written: unsure,
+                maybe_written,
             };
-            self.push(TIMEOUT, Some(index), Event::Owner(index, failed));
-            self.push(travel, None, Event::Kv(from, bucket, write, false));
+            self.schedule(TIMEOUT, Some(index), Event::Owner(index, failed));
+            self.schedule(latency, None, Event::Kv(from, bucket, write, false));
             return;
         }
-        if twice {
-            let later = self.millis(2_000);
-            self.push(
-                travel + later,
+        if duplicated {
+            let later = self.random_millis(2_000);
+            self.schedule(
+                latency + later,
                 None,
                 Event::Kv(from, bucket, write.clone(), false),
             );
         }
-        self.push(travel, None, Event::Kv(from, bucket, write, true));
+        self.schedule(latency, None, Event::Kv(from, bucket, write, true));
     }
 
-    fn call(&mut self, from: Process, bucket: BucketId, write: Option<(Revision, Bucket)>, answered: bool) {
-        let down = self.now < self.outage;
-        let stands = self.kv.get(&bucket).cloned().unwrap_or_default();
+    fn on_kv_call(
+        &mut self,
+        from: Process,
+        bucket: BucketId,
+        write: Option<(Revision, Bucket)>,
+        answered: bool,
+    ) {
+        let unavailable = self.now < self.outage_until;
+        let stored = self.kv.get(&bucket).cloned().unwrap_or_default();
         let event = match write {
-            _ if down => OwnerEvent::Failed {
+            _ if unavailable => OwnerEvent::Failed {
                 bucket,
                 maybe_written: false,
             },
-            Some((expected, content)) if expected == stands.0 => {
+            Some((expected, content)) if expected == stored.0 => {
                 self.revision += 1;
                 self.kv.insert(bucket, (Revision(self.revision), content));
                 OwnerEvent::Written(bucket, Revision(self.revision))
             }
-            _ => OwnerEvent::Current(bucket, stands.0, stands.1),
+            _ => OwnerEvent::Current(bucket, stored.0, stored.1),
         };
         // The connection of a process ends with it: no later life gets its answers.
-        if answered && self.lives[from.index] == from.life {
-            let travel = self.millis(10);
-            self.push(travel, Some(from.index), Event::Owner(from.index, event));
+        if answered && self.incarnations[from.index] == from.incarnation {
+            let latency = self.random_millis(10);
+            self.schedule(latency, Some(from.index), Event::Owner(from.index, event));
         }
     }
 }
@@ -454,20 +478,20 @@
 /// granted without standing in the key-value service, or that was replaced there.
 #[test]
 fn machines_seeds() {
-    let mut told: BTreeMap<&'static str, u32> = BTreeMap::new();
+    let mut outcomes: BTreeMap<&'static str, u32> = BTreeMap::new();
     for seed in seeds_or(0..SEEDS) {
-        let _failing = Failing(seed);
-        let mut world = World::new(seed);
-        world.run();
-        for (what, count) in world.told {
-            *told.entry(what).or_default() += count;
+        let _seed = PrintSeedOnPanic(seed);
+        let mut simulation = Simulation::new(seed);
+        simulation.run();
+        for (what, count) in simulation.outcomes {
+            *outcomes.entry(what).or_default() += count;
         }
     }
     // The run means something only if all ways were taken often.
     for what in ["ran", "seen", "refused", "vouched", "no engine"] {
         assert!(
-            told.get(what).copied().unwrap_or_default() > 100,
-            "{what}: {told:?}"
+            outcomes.get(what).copied().unwrap_or_default() > 100,
+            "{what}: {outcomes:?}"
         );
     }
 }
--- a/tests/testsuite/claims/orders.rs
+++ b/tests/testsuite/claims/orders.rs
@@ -31,21 +31,21 @@
 const KEYS: usize = 4;
 
 /// A call to the key-value service that was not answered yet.
-enum Call {
+enum PendingCall {
     Read,
     Write(Revision, Bucket),
 }
 
-struct World {
+struct Simulation {
     owner: Owner,
     now: u64,
     claims: Vec<ClaimRef>,
-    stands: (Revision, Bucket),
-    call: Option<Call>,
-    late: Vec<(Revision, Bucket)>,
-    marks: u64,
+    stored: (Revision, Bucket),
+    pending: Option<PendingCall>,
+    delayed: Vec<(Revision, Bucket)>,
+    last_token: u64,
     /// Key and mark of each question.
-    asked: BTreeMap<QueryId, (usize, ClaimToken)>,
+    queries: BTreeMap<QueryId, (usize, ClaimToken)>,
     /// Marks that were granted and not given back, by key.
     granted: BTreeMap<usize, ClaimToken>,
 }
@@ -60,61 +60,61 @@
     all.filter(|claim| claim.bucket.shard == 3).take(KEYS).collect()
 }
 
-impl World {
-    fn new() -> World {
-        World {
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation {
             owner: Owner::new(OwnerSettings::default()),
             now: 0,
             claims: claims(),
-            stands: (Revision::default(), Bucket::default()),
-            call: None,
-            late: Vec::new(),
-            marks: 0,
-            asked: BTreeMap::new(),
+            stored: (Revision::default(), Bucket::default()),
+            pending: None,
+            delayed: Vec::new(),
+            last_token: 0,
+            queries: BTreeMap::new(),
             granted: BTreeMap::new(),
         }
     }
 
-    fn mark(&mut self) -> ClaimToken {
-        self.marks += 1;
-        ClaimToken(Uuid::from_u128(u128::from(self.marks)))
+    fn new_token(&mut self) -> ClaimToken {
+        self.last_token += 1;
+        ClaimToken(Uuid::from_u128(u128::from(self.last_token)))
     }
 
     fn step(&mut self, byte: u8) {
         let key = usize::from(byte >> 3) % KEYS;
         match byte & 7 {
-            0 => self.ask(key),
+            0 => self.claim(key),
             1 => self.edit(key, byte),
-            2 => self.answer(),
-            3 => self.fail(false, false),
-            4 => self.fail(true, true),
-            5 => self.fail(true, false),
-            6 => self.interfere(key, byte),
+            2 => self.complete_call(),
+            3 => self.fail_call(false, false),
+            4 => self.fail_call(true, true),
+            5 => self.fail_call(true, false),
+            6 => self.concurrent_write(key, byte),
             _ => {
                 self.now += u64::from(byte >> 3) * 40;
-                self.event(OwnerEvent::Tick);
+                self.on_event(OwnerEvent::Tick);
             }
         }
     }
 
-    fn ask(&mut self, key: usize) {
-        let mark = self.mark();
-        let ticket = QueryId(self.marks);
-        self.asked.insert(ticket, (key, mark));
-        let ask = ClaimRequest {
+    fn claim(&mut self, key: usize) {
+        let token = self.new_token();
+        let query = QueryId(self.last_token);
+        self.queries.insert(query, (key, token));
+        let request = ClaimRequest {
             claim: self.claims[key],
-            token: mark,
+            token,
             fingerprint: Fingerprint::new("POST", "/orders", b""),
             wall: WallTime(WALL + self.now),
             wait: Duration::from_secs(2),
             run: Duration::from_secs(2),
         };
-        self.event(OwnerEvent::Claim(ticket, ask));
+        self.on_event(OwnerEvent::Claim(query, request));
     }
 
     /// The entry that holds the grant tells what became of it.
     fn edit(&mut self, key: usize, byte: u8) {
-        let Some(mark) = self.granted.get(&key).copied() else {
+        let Some(token) = self.granted.get(&key).copied() else {
             return;
         };
         let change = match byte >> 6 {
@@ -129,93 +129,97 @@
         let claim = self.claims[key];
         let edit = Edit {
             id: claim.id,
-            token: mark,
+            token,
             change,
         };
-        self.event(OwnerEvent::Edit(claim.bucket, edit));
+        self.on_event(OwnerEvent::Edit(claim.bucket, edit));
     }
 
-    fn apply(&mut self, expected: Revision, bucket: Bucket) -> bool {
-        let fits = expected == self.stands.0;
+    fn compare_and_swap(&mut self, expected: Revision, bucket: Bucket) -> bool {
+        let fits = expected == self.stored.0;
         if fits {
-            self.stands = (Revision(self.stands.0.0 + 1), bucket);
+            self.stored = (Revision(self.stored.0.0 + 1), bucket);
         }
         fits
     }
 
-    fn answer(&mut self) {
+    fn complete_call(&mut self) {
         let bucket = self.claims[0].bucket;
-        let written = match self.call.take() {
+        let written = match self.pending.take() {
             None => return,
-            Some(Call::Read) => false,
-            Some(Call::Write(expected, content)) => self.apply(expected, content),
+            Some(PendingCall::Read) => false,
+            Some(PendingCall::Write(expected, content)) => self.compare_and_swap(expected, content),
         };
-        let (revision, content) = self.stands.clone();
-        self.event(match written {
+        let (revision, content) = self.stored.clone();
+        self.on_event(match written {
             true => OwnerEvent::Written(bucket, revision),
             false => OwnerEvent::Current(bucket, revision, content),
         });
     }
 
-    fn fail(&mut self, unsure: bool, applied: bool) {
+    fn fail_call(&mut self, maybe_written: bool, applied: bool) {
         let bucket = self.claims[0].bucket;
-        match self.call.take() {
+        match self.pending.take() {
             None => return,
-            Some(Call::Write(expected, content)) if applied => {
-                self.apply(expected, content);
+            Some(PendingCall::Write(expected, content)) if applied => {
+                self.compare_and_swap(expected, content);
+            }
+            Some(PendingCall::Write(expected, content)) if maybe_written => {
+                self.delayed.push((expected, content))
             }
-            Some(Call::Write(expected, content)) if unsure => self.late.push((expected, content)),
             Some(_) => {}
         }
-        self.event(OwnerEvent::Failed {
+        self.on_event(OwnerEvent::Failed {
             bucket,
-            maybe_written: unsure,
+            maybe_written,
         });
     }
 
     /// A write of ours lands late, or another owner claims a key.
-    fn interfere(&mut self, key: usize, byte: u8) {
+    fn concurrent_write(&mut self, key: usize, byte: u8) {
         if byte >> 7 == 0
-            && let Some((expected, content)) = self.late.pop()
+            && let Some((expected, content)) = self.delayed.pop()
         {
-            self.apply(expected, content);
+            self.compare_and_swap(expected, content);
             return;
         }
-        let mark = self.mark();
-        let (revision, mut content) = self.stands.clone();
+        let token = self.new_token();
+        let (revision, mut content) = self.stored.clone();
         let id = self.claims[key].id;
         if content.get(&id).is_none() {
             let record = Record {
-                token: mark,
+                token,
                 fingerprint: Fingerprint::new("POST", "/orders", b""),
                 state: State::Unknown,
             };
             content.add(id, record);
-            self.apply(revision, content);
-            self.grant(key, mark);
+            self.compare_and_swap(revision, content);
+            self.record_grant(key, token);
         }
     }
 
-    fn grant(&mut self, key: usize, mark: ClaimToken) {
-        let before = self.granted.insert(key, mark);
+    fn record_grant(&mut self, key: usize, token: ClaimToken) {
+        let before = self.granted.insert(key, token);
         assert!(
-            before.is_none_or(|m| m == mark),
+            before.is_none_or(|t| t == token),
             "key {key} was granted to two requests"
         );
     }
 
-    fn event(&mut self, event: OwnerEvent) {
+    fn on_event(&mut self, event: OwnerEvent) {
         let clocks = Clocks {
             time: Time::from_millis(10_000 + self.now),
             wall: WallTime(WALL + self.now),
         };
         for action in self.owner.on(clocks, event) {
             match action {
-                OwnerAction::Read(_) => self.call = Some(Call::Read),
-                OwnerAction::Write(_, revision, bucket) => self.call = Some(Call::Write(revision, bucket)),
-                OwnerAction::Answer(ticket, Verdict::Granted) => {
-                    let (key, mark) = self.asked[&ticket];
-                    self.grant(key, mark);
+                OwnerAction::Read(_) => self.pending = Some(PendingCall::Read),
+                OwnerAction::Write(_, revision, bucket) => {
+                    self.pending = Some(PendingCall::Write(revision, bucket))
+                }
+                OwnerAction::Answer(query, Verdict::Granted) => {
+                    let (key, token) = self.queries[&query];
+                    self.record_grant(key, token);
                 }
                 OwnerAction::Answer(..) | OwnerAction::Wake(_) => {}
                 OwnerAction::InvariantBroken(rule) => panic!("{rule}"),
@@ -232,9 +236,9 @@
         .with_iterations(4_000)
         .with_max_len(160)
         .for_each(|bytes: &[u8]| {
-            let mut world = World::new();
+            let mut simulation = Simulation::new();
             for byte in bytes {
-                world.step(*byte);
+                simulation.step(*byte);
             }
         });
 }
--- a/tests/testsuite/claims/owner.rs
+++ b/tests/testsuite/claims/owner.rs
@@ -30,7 +30,7 @@
 
 const WALL: u64 = 1_764_700_000_000;
 
-fn at(millis: u64) -> Clocks {
+fn clocks_at(millis: u64) -> Clocks {
     Clocks {
         time: Time::from_millis(10_000 + millis),
         wall: WallTime(WALL + millis),
@@ -38,7 +38,7 @@
 }
 
 /// Claim `index`; all of them fall into one bucket.
-fn claim(index: u64) -> ClaimRef {
+fn claim_ref(index: u64) -> ClaimRef {
     let name = |text| Name::new(text).expect("a name");
     let key = (0..)
         .map(|salt: u64| {
@@ -55,10 +55,10 @@
     key.expect("some key falls into the shard")
 }
 
-fn ask(index: u64, mark: u128) -> ClaimRequest {
+fn claim_request(index: u64, token: u128) -> ClaimRequest {
     ClaimRequest {
-        claim: claim(index),
-        token: ClaimToken(Uuid::from_u128(mark)),
+        claim: claim_ref(index),
+        token: ClaimToken(Uuid::from_u128(token)),
         fingerprint: Fingerprint::new("POST", "/orders", b""),
         wall: WallTime(WALL),
         wait: Duration::from_secs(4),
@@ -66,8 +66,8 @@
     }
 }
 
-fn asked(ticket: u64, index: u64, mark: u128) -> OwnerEvent {
-    OwnerEvent::Claim(QueryId(ticket), ask(index, mark))
+fn claim_event(query: u64, index: u64, token: u128) -> OwnerEvent {
+    OwnerEvent::Claim(QueryId(query), claim_request(index, token))
 }
 
 fn writes(actions: &[OwnerAction]) -> Vec<(Revision, Bucket)> {
@@ -80,69 +80,69 @@
 
 fn answers(actions: &[OwnerAction]) -> Vec<(u64, Verdict)> {
     let answer = |action: &OwnerAction| match action {
-        OwnerAction::Answer(ticket, verdict) => Some((ticket.0, verdict.clone())),
+        OwnerAction::Answer(query, verdict) => Some((query.0, verdict.clone())),
         _ => None,
     };
     actions.iter().filter_map(answer).collect()
 }
 
 fn written(revision: u64) -> OwnerEvent {
-    OwnerEvent::Written(claim(0).bucket, Revision(revision))
+    OwnerEvent::Written(claim_ref(0).bucket, Revision(revision))
 }
 
 #[test]
 fn ask_alone_written_at_once() {
     let mut owner = Owner::new(OwnerSettings::default());
-    let actions = owner.on(at(0), asked(1, 0, 1));
+    let actions = owner.on(clocks_at(0), claim_event(1, 0, 1));
     assert_eq!(writes(&actions).len(), 1);
     assert!(answers(&actions).is_empty(), "granted before it was written");
-    let actions = owner.on(at(3), written(7));
+    let actions = owner.on(clocks_at(3), written(7));
     assert_eq!(answers(&actions), vec![(1, Verdict::Granted)]);
 }
 
 #[test]
 fn asks_waiting_share_write() {
     let mut owner = Owner::new(OwnerSettings::default());
-    owner.on(at(0), asked(1, 0, 1));
+    owner.on(clocks_at(0), claim_event(1, 0, 1));
     for index in 1..20 {
-        let actions = owner.on(at(1), asked(1 + index, index, u128::from(1 + index)));
+        let actions = owner.on(clocks_at(1), claim_event(1 + index, index, u128::from(1 + index)));
         assert!(
             writes(&actions).is_empty(),
             "a second write while one is under way"
         );
     }
-    let actions = owner.on(at(3), written(7));
+    let actions = owner.on(clocks_at(3), written(7));
     assert!(writes(&actions).is_empty(), "the pace is not kept");
-    let actions = owner.on(at(80), OwnerEvent::Tick);
+    let actions = owner.on(clocks_at(80), OwnerEvent::Tick);
     let all = writes(&actions);
     assert_eq!(all.len(), 1);
     assert_eq!((all[0].0, all[0].1.len()), (Revision(7), 20));
-    assert_eq!(answers(&owner.on(at(83), written(8))).len(), 19);
+    assert_eq!(answers(&owner.on(clocks_at(83), written(8))).len(), 19);
 }
 
 #[test]
 fn end_rides_along() {
     let mut owner = Owner::new(OwnerSettings::default());
-    owner.on(at(0), asked(1, 0, 1));
-    owner.on(at(3), written(7));
+    owner.on(clocks_at(0), claim_event(1, 0, 1));
+    owner.on(clocks_at(3), written(7));
     let edit = Edit {
-        id: claim(0).id,
+        id: claim_ref(0).id,
         token: ClaimToken(Uuid::from_u128(1)),
         change: Change::Finish(None),
     };
-    let actions = owner.on(at(10), OwnerEvent::Edit(claim(0).bucket, edit));
+    let actions = owner.on(clocks_at(10), OwnerEvent::Edit(claim_ref(0).bucket, edit));
     assert!(writes(&actions).is_empty(), "the end has a write of its own");
     // Before it is written, a repeat is told it from memory.
-    let actions = owner.on(at(20), asked(2, 0, 2));
+    let actions = owner.on(clocks_at(20), claim_event(2, 0, 2));
     assert_eq!(
         answers(&actions),
         vec![(2, Verdict::Held(ClaimStatus::Finished(None)))]
     );
-    let actions = owner.on(at(200), asked(3, 1, 3));
+    let actions = owner.on(clocks_at(200), claim_event(3, 1, 3));
     let all = writes(&actions);
-    let record = all[0].1.get(&claim(0).id).expect("it stands");
+    let record = all[0].1.get(&claim_ref(0).id).expect("it stands");
     assert_eq!(record.state, State::Finished { answer: None });
-    let actions = owner.on(at(203), written(8));
+    let actions = owner.on(clocks_at(203), written(8));
     assert_eq!(answers(&actions), vec![(3, Verdict::Granted)]);
     assert!(owner.is_idle());
 }
@@ -152,50 +152,50 @@
 #[test]
 fn ask_when_out_refused_at_once() {
     let mut owner = Owner::new(OwnerSettings::default());
-    owner.on(at(0), asked(1, 0, 1));
+    owner.on(clocks_at(0), claim_event(1, 0, 1));
     let mut now = 5;
     let failed = || OwnerEvent::Failed {
-        bucket: claim(0).bucket,
+        bucket: claim_ref(0).bucket,
         maybe_written: false,
     };
     while now < 2_000 {
-        owner.on(at(now), failed());
+        owner.on(clocks_at(now), failed());
         now += 1_000;
-        owner.on(at(now), OwnerEvent::Tick);
+        owner.on(clocks_at(now), OwnerEvent::Tick);
         now += 5;
     }
-    owner.on(at(now), failed());
-    let actions = owner.on(at(now + 1), asked(2, 1, 2));
+    owner.on(clocks_at(now), failed());
+    let actions = owner.on(clocks_at(now + 1), claim_event(2, 1, 2));
     let all = answers(&actions);
     assert!(
         matches!(all.as_slice(), [(2, Verdict::Unavailable(after))] if *after >= Duration::from_secs(1)),
         "{all:?}"
     );
     assert!(
-        answers(&owner.on(at(now + 1_500), asked(3, 2, 3)))
+        answers(&owner.on(clocks_at(now + 1_500), claim_event(3, 2, 3)))
             .iter()
-            .all(|(ticket, _)| *ticket != 3)
+            .all(|(query, _)| *query != 3)
     );
 }
 
 /// An owner whose first claim ended well, and that then found the key-value service out for two seconds.
-fn owner_out() -> Owner {
+fn owner_in_outage() -> Owner {
     let mut owner = Owner::new(OwnerSettings::default());
-    owner.on(at(0), asked(1, 0, 1));
-    owner.on(at(3), written(7));
+    owner.on(clocks_at(0), claim_event(1, 0, 1));
+    owner.on(clocks_at(3), written(7));
     let edit = Edit {
-        id: claim(0).id,
+        id: claim_ref(0).id,
         token: ClaimToken(Uuid::from_u128(1)),
         change: Change::Finish(None),
     };
-    owner.on(at(10), OwnerEvent::Edit(claim(0).bucket, edit));
+    owner.on(clocks_at(10), OwnerEvent::Edit(claim_ref(0).bucket, edit));
     for now in [100, 1_100, 2_100] {
-        owner.on(at(now), asked(2, 1, 2));
+        owner.on(clocks_at(now), claim_event(2, 1, 2));
         let failed = OwnerEvent::Failed {
-            bucket: claim(0).bucket,
+            bucket: claim_ref(0).bucket,
             maybe_written: false,
         };
-        owner.on(at(now + 5), failed);
+        owner.on(clocks_at(now + 5), failed);
     }
     owner
 }
@@ -204,13 +204,13 @@
 /// and an end never changes: the buyer is told it.
 #[test]
 fn ask_when_out_end_known() {
-    let mut owner = owner_out();
+    let mut owner = owner_in_outage();
     let finished = Verdict::Held(ClaimStatus::Finished(None));
-    let actions = owner.on(at(2_110), asked(3, 0, 3));
+    let actions = owner.on(clocks_at(2_110), claim_event(3, 0, 3));
     assert_eq!(actions, vec![OwnerAction::Answer(QueryId(3), finished.clone())]);
-    let actions = owner.on(at(2_110), OwnerEvent::Query(QueryId(4), claim(0)));
+    let actions = owner.on(clocks_at(2_110), OwnerEvent::Query(QueryId(4), claim_ref(0)));
     assert_eq!(actions, vec![OwnerAction::Answer(QueryId(4), finished)]);
-    let actions = owner.on(at(2_110), OwnerEvent::Query(QueryId(5), claim(1)));
+    let actions = owner.on(clocks_at(2_110), OwnerEvent::Query(QueryId(5), claim_ref(1)));
     assert!(
         matches!(
             actions.as_slice(),
@@ -224,18 +224,18 @@
 #[test]
 fn unsure_write_found() {
     let mut owner = Owner::new(OwnerSettings::default());
-    let actions = owner.on(at(0), asked(1, 0, 1));
+    let actions = owner.on(clocks_at(0), claim_event(1, 0, 1));
     let (_, bucket) = writes(&actions).remove(0);
-    let id = claim(0).bucket;
+    let id = claim_ref(0).bucket;
     let failed = OwnerEvent::Failed {
         bucket: id,
         maybe_written: true,
     };
-    assert!(answers(&owner.on(at(1_000), failed)).is_empty());
-    owner.on(at(1_000), asked(2, 0, 2));
-    let actions = owner.on(at(1_050), OwnerEvent::Tick);
+    assert!(answers(&owner.on(clocks_at(1_000), failed)).is_empty());
+    owner.on(clocks_at(1_000), claim_event(2, 0, 2));
+    let actions = owner.on(clocks_at(1_050), OwnerEvent::Tick);
     assert!(actions.contains(&OwnerAction::Read(id)), "{actions:?}");
-    let actions = owner.on(at(1_053), OwnerEvent::Current(id, Revision(7), bucket));
+    let actions = owner.on(clocks_at(1_053), OwnerEvent::Current(id, Revision(7), bucket));
     let all = answers(&actions);
     assert_eq!(all[0], (1, Verdict::Granted));
     assert!(
@@ -248,15 +248,18 @@
 #[test]
 fn stale_owner_conflict() {
     let mut owner = Owner::new(OwnerSettings::default());
-    owner.on(at(0), asked(1, 0, 1));
-    let mut theirs = Bucket::default();
+    owner.on(clocks_at(0), claim_event(1, 0, 1));
+    let mut current = Bucket::default();
     let record = Record {
         token: ClaimToken(Uuid::from_u128(9)),
-        fingerprint: ask(0, 9).fingerprint,
+        fingerprint: claim_request(0, 9).fingerprint,
         state: State::Unknown,
     };
-    theirs.add(claim(0).id, record);
-    let actions = owner.on(at(3), OwnerEvent::Current(claim(0).bucket, Revision(8), theirs));
+    current.add(claim_ref(0).id, record);
+    let actions = owner.on(
+        clocks_at(3),
+        OwnerEvent::Current(claim_ref(0).bucket, Revision(8), current),
+    );
     assert_eq!(answers(&actions), vec![(1, Verdict::Held(ClaimStatus::Unknown))]);
     assert!(writes(&actions).is_empty());
 }
@@ -268,16 +271,19 @@
 #[test]
 fn release_before_its_claim() {
     let mut owner = Owner::new(OwnerSettings::default());
-    let id = claim(0).bucket;
+    let id = claim_ref(0).bucket;
     let release = Edit {
-        id: claim(0).id,
+        id: claim_ref(0).id,
         token: ClaimToken(Uuid::from_u128(1)),
         change: Change::Release,
     };
-    owner.on(at(0), OwnerEvent::Edit(id, release));
-    let actions = owner.on(at(2_000), OwnerEvent::Tick);
+    owner.on(clocks_at(0), OwnerEvent::Edit(id, release));
+    let actions = owner.on(clocks_at(2_000), OwnerEvent::Tick);
     assert_eq!(actions[0], OwnerAction::Read(id));
-    owner.on(at(2_005), OwnerEvent::Current(id, Revision(3), Bucket::default()));
+    owner.on(
+        clocks_at(2_005),
+        OwnerEvent::Current(id, Revision(3), Bucket::default()),
+    );
     // The other owner's write takes effect now.
     let mut late = Bucket::default();
     let granted = Record {
@@ -287,18 +293,18 @@
             until: WallTime(WALL + 30_000),
         },
     };
-    late.add(claim(0).id, granted);
-    let actions = owner.on(at(2_500), asked(2, 0, 2));
+    late.add(claim_ref(0).id, granted);
+    let actions = owner.on(clocks_at(2_500), claim_event(2, 0, 2));
     assert_eq!(writes(&actions).len(), 1, "nothing is known there");
-    let actions = owner.on(at(2_505), OwnerEvent::Current(id, Revision(4), late));
+    let actions = owner.on(clocks_at(2_505), OwnerEvent::Current(id, Revision(4), late));
     assert_eq!(answers(&actions), Vec::new(), "not running: it was released");
     let all = writes(&actions);
-    let marks: Vec<Option<ClaimToken>> = all
+    let tokens: Vec<Option<ClaimToken>> = all
         .iter()
-        .map(|(_, b)| b.get(&claim(0).id).map(|r| r.token))
+        .map(|(_, b)| b.get(&claim_ref(0).id).map(|r| r.token))
         .collect();
-    assert_eq!(marks, [Some(ClaimToken(Uuid::from_u128(2)))]);
-    let actions = owner.on(at(2_510), OwnerEvent::Written(id, Revision(5)));
+    assert_eq!(tokens, [Some(ClaimToken(Uuid::from_u128(2)))]);
+    let actions = owner.on(clocks_at(2_510), OwnerEvent::Written(id, Revision(5)));
     assert_eq!(answers(&actions), vec![(2, Verdict::Granted)]);
 }
 
@@ -307,9 +313,9 @@
     let mut owner = Owner::new(OwnerSettings::default());
     let wrong = ClaimRequest {
         wall: WallTime(WALL - 6 * 60_000),
-        ..ask(0, 1)
+        ..claim_request(0, 1)
     };
-    let actions = owner.on(at(0), OwnerEvent::Claim(QueryId(1), wrong));
+    let actions = owner.on(clocks_at(0), OwnerEvent::Claim(QueryId(1), wrong));
     assert_eq!(actions, vec![OwnerAction::Answer(QueryId(1), Verdict::ClockSkew)]);
 }
 
@@ -325,16 +331,19 @@
         };
         let record = Record {
             token: ClaimToken(Uuid::from_u128(u128::from(index))),
-            fingerprint: ask(0, 1).fingerprint,
+            fingerprint: claim_request(0, 1).fingerprint,
             state: State::Finished { answer: Some(answer) },
         };
-        full.add(claim(index).id, record);
+        full.add(claim_ref(index).id, record);
         if full.size() > MAX_BUCKET {
             break;
         }
     }
-    owner.on(at(0), asked(1, 0, 1));
-    let actions = owner.on(at(3), OwnerEvent::Current(claim(0).bucket, Revision(8), full));
+    owner.on(clocks_at(0), claim_event(1, 0, 1));
+    let actions = owner.on(
+        clocks_at(3),
+        OwnerEvent::Current(claim_ref(0).bucket, Revision(8), full),
+    );
     assert_eq!(answers(&actions), vec![(1, Verdict::Full)]);
     assert!(writes(&actions).is_empty());
 }
@@ -342,7 +351,7 @@
 #[test]
 fn ask_when_stopping() {
     let mut owner = Owner::new(OwnerSettings::default());
-    owner.on(at(0), OwnerEvent::Stop);
-    let actions = owner.on(at(1), asked(1, 0, 1));
+    owner.on(clocks_at(0), OwnerEvent::Stop);
+    let actions = owner.on(clocks_at(1), claim_event(1, 0, 1));
     assert_eq!(actions, vec![OwnerAction::Answer(QueryId(1), Verdict::Stopping)]);
 }
--- a/tests/testsuite/claims/path.rs
+++ b/tests/testsuite/claims/path.rs
@@ -7,19 +7,19 @@
 use serde_json::json;
 use uuid::Uuid;
 
-use super::client::key;
+use super::client::new_key;
 use super::client::order;
 use super::client::plain_fault;
 use super::client::runs;
+use super::client::start_three_daemons;
 use super::client::status;
-use super::client::three;
 
 /// A dispatch clerk's client gets its answer late, and sends the order again through every instance. One truck
 /// is sent, and each repeat is told the first answer.
 #[actix_web::test]
 async fn order_repeated_elsewhere() {
-    let fleet = three().await;
-    let key = key();
+    let fleet = start_three_daemons().await;
+    let key = new_key();
     let first = order(&fleet, 0, &key, "pellets").await;
     assert_eq!((first.status, first.outcome.as_deref()), (200, Some("whole")));
     for index in [1, 2, 0] {
@@ -36,8 +36,8 @@
 /// the first one's answer.
 #[actix_web::test]
 async fn order_key_reused() {
-    let fleet = three().await;
-    let key = key();
+    let fleet = start_three_daemons().await;
+    let key = new_key();
     order(&fleet, 0, &key, "booth 1").await;
     let other = order(&fleet, 1, &key, "booth 2").await;
     assert_eq!((other.status, other.outcome.as_deref()), (422, Some("not-run")));
@@ -47,7 +47,7 @@
 
 #[actix_web::test]
 async fn order_key_refused_table() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let at = |seconds: u64| {
         let time = uuid::Timestamp::from_unix(uuid::NoContext, seconds, 0);
         Uuid::new_v7(time).to_string()
@@ -74,8 +74,8 @@
 
 #[actix_web::test]
 async fn order_running_then_late() {
-    let fleet = three().await;
-    let key = key();
+    let fleet = start_three_daemons().await;
+    let key = new_key();
     let fault = PlainFault {
         delay: 1_500,
         ..PlainFault::default()
@@ -100,12 +100,12 @@
 /// A product asks for the key of another: it must learn nothing.
 #[actix_web::test]
 async fn status_other_product() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let version = fleet
         .apply(0, "create product rival key \"key-of-the-rival\" share 10;")
         .await;
     fleet.wait_for_version(version).await;
-    let key = key();
+    let key = new_key();
     order(&fleet, 0, &key, "pellets").await;
     let told = status(&fleet, 1, &key, "key-of-the-rival").await;
     assert_eq!(told["state"], "never-seen");
@@ -113,9 +113,9 @@
 
 #[actix_web::test]
 async fn show_claims() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     for _ in 0..8 {
-        order(&fleet, 0, &key(), "pellets").await;
+        order(&fleet, 0, &new_key(), "pellets").await;
     }
     let mut rows = 0;
     for index in 0..3 {
--- a/tests/testsuite/claims/upstreams.rs
+++ b/tests/testsuite/claims/upstreams.rs
@@ -19,26 +19,26 @@
 use serde_json::Value;
 use serde_json::json;
 
-use super::client::key;
-use super::client::known;
+use super::client::new_key;
 use super::client::order;
 use super::client::plain_fault;
 use super::client::runs;
+use super::client::start_fleet;
+use super::client::start_three_daemons;
 use super::client::status;
-use super::client::three;
 use crate::support::fleet;
 
 /// The order desk books an order and answers with a redirect to its own path. Followed, the redirect books
 /// the order again. Cause: an HTTP client that follows redirects by itself.
 #[actix_web::test]
 async fn order_redirected() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let fault = PlainFault {
         redirect: true,
         ..PlainFault::default()
     };
     plain_fault(&fleet, &fault).await;
-    let key = key();
+    let key = new_key();
     let reply = order(&fleet, 0, &key, "pellets").await;
     assert_eq!((reply.status, reply.outcome.as_deref()), (307, Some("whole")));
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
@@ -48,13 +48,13 @@
 /// other instances; taken for an order that did not run, it would be booked again.
 #[actix_web::test]
 async fn order_answer_lost() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let fault = PlainFault {
         lose: 1,
         ..PlainFault::default()
     };
     plain_fault(&fleet, &fault).await;
-    let key = key();
+    let key = new_key();
     for index in 0..3 {
         let reply = order(&fleet, index, &key, "pellets").await;
         assert_eq!(
@@ -71,13 +71,13 @@
 /// The order desk refuses an order and vouches that it did not start: the buyer may repeat it with its key.
 #[actix_web::test]
 async fn order_refused_then_repeated() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let refusing = PlainFault {
         refuse: true,
         ..PlainFault::default()
     };
     plain_fault(&fleet, &refusing).await;
-    let key = key();
+    let key = new_key();
     let reply = order(&fleet, 0, &key, "pellets").await;
     assert_eq!(reply.outcome.as_deref(), Some("not-run"));
     assert_eq!(runs(&fleet).await.get(&key), None);
@@ -95,13 +95,13 @@
 /// answer when it asks again.
 #[actix_web::test]
 async fn order_answered_late() {
-    let fleet = three().await;
+    let fleet = start_three_daemons().await;
     let fault = PlainFault {
         delay: 1_000,
         ..PlainFault::default()
     };
     plain_fault(&fleet, &fault).await;
-    let key = key();
+    let key = new_key();
     let url = format!("{}/services/ordini/orders", fleet.daemons[0].url());
     let bearer = format!("Bearer {KEY}");
     let headers = [
@@ -126,7 +126,7 @@
 /// driver sees nothing of it.
 #[actix_web::test]
 async fn lookup_retried() {
-    let fleet = known(fleet().daemons(1).plain(2)).await;
+    let fleet = start_fleet(fleet().daemons(1).plain(2)).await;
     let fault = PlainFault {
         lose: 2,
         ..PlainFault::default()
@@ -144,7 +144,7 @@
 /// key they are refused. (The stand-in counts what reaches it and drops nothing.)
 #[actix_web::test]
 async fn booking_passed_through() {
-    let fleet = known(fleet().daemons(1).plain(1)).await;
+    let fleet = start_fleet(fleet().daemons(1).plain(1)).await;
     let address = fleet.plain[0].address();
     let statements = format!(
         "withdraw engine p0; create service prenota plain route POST \"/bookings\" dedupes;\
@@ -161,7 +161,7 @@
     let bearer = format!("Bearer {KEY}");
     let bare = http::send("POST", &url, &[("authorization", &bearer)], "booth 1").await;
     assert_eq!((bare.status, bare.outcome.as_deref()), (400, Some("not-run")));
-    let key = key();
+    let key = new_key();
     let headers = [("authorization", bearer.as_str()), ("idempotency-key", &key)];
     let reply = http::send("POST", &url, &headers, "booth 1").await;
     assert_eq!(reply.outcome.as_deref(), Some("whole"), "{}", reply.body);
--- a/tests/testsuite/relay/proofs.rs
+++ b/tests/testsuite/relay/proofs.rs
@@ -15,7 +15,7 @@
 use sequoiastream_core::relay::watchers::proven_until;
 use sequoiastream_core::time::Time;
 
-use crate::claims::client::Failing;
+use crate::claims::client::PrintSeedOnPanic;
 use crate::claims::client::seeds_or;
 
 const STEP: Duration = Duration::from_millis(20);
@@ -213,7 +213,7 @@
 fn proof_never_too_new() {
     let mut proven = 0;
     for seed in seeds_or(0..64) {
-        let _failing = Failing(seed);
+        let _failing = PrintSeedOnPanic(seed);
         let mut world = World::new(seed);
         let mut change = at(0);
         while change < at(40_000) {
--- a/tests/testsuite/relay/seeded.rs
+++ b/tests/testsuite/relay/seeded.rs
@@ -25,7 +25,7 @@
 use sequoiastream_core::time::Time;
 
 use super::entry;
-use crate::claims::client::Failing;
+use crate::claims::client::PrintSeedOnPanic;
 use crate::claims::client::seeds_or;
 
 const SEEDS: std::ops::Range<u64> = 0..200;
@@ -401,7 +401,7 @@
         "the quiet time at the end covers both"
     );
     for seed in seeds_or(SEEDS).chain(SHOWED) {
-        let _failing = Failing(seed);
+        let _failing = PrintSeedOnPanic(seed);
         World::new(seed).run();
     }
 }
@@ -412,7 +412,7 @@
 #[test]
 fn poison_known_to_all() {
     for seed in seeds_or(SEEDS) {
-        let _failing = Failing(seed);
+        let _failing = PrintSeedOnPanic(seed);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut instances = vec![Suspects::new(); INSTANCES];
         let mut deaf = [0; INSTANCES];
--- a/tests/testsuite/relay/watchers.rs
+++ b/tests/testsuite/relay/watchers.rs
@@ -21,7 +21,7 @@
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::ANSWER;
 
-use crate::claims::client::Failing;
+use crate::claims::client::PrintSeedOnPanic;
 use crate::claims::client::seeds_or;
 
 const SEEDS: std::ops::Range<u64> = 0..16;
@@ -485,7 +485,7 @@
 #[test]
 fn lag_within_bound() {
     for seed in seeds_or(SEEDS) {
-        let _failing = Failing(seed);
+        let _failing = PrintSeedOnPanic(seed);
         World::new(seed).run(30);
     }
 }
--- a/tests/testsuite/whole/mod.rs
+++ b/tests/testsuite/whole/mod.rs
@@ -10,7 +10,7 @@
 mod requests;
 mod world;
 
-use crate::claims::client::Failing;
+use crate::claims::client::PrintSeedOnPanic;
 use crate::claims::client::seeds_or;
 use crate::whole::world::World;
 
@@ -29,7 +29,7 @@
 /// It must change nothing.
 #[test]
 fn machines_late_copy() {
-    let _failing = Failing(108);
+    let _failing = PrintSeedOnPanic(108);
     World::new(108).run();
 }
 
@@ -42,7 +42,7 @@
     let mut by_peers = 0;
     let count = seeds.end - seeds.start;
     for seed in seeds {
-        let _failing = Failing(seed);
+        let _failing = PrintSeedOnPanic(seed);
         let mut world = World::new(seed);
         world.run();
         runs += world.runs.len() as u64;
--- a/tests/testsuite/whole/requests.rs
+++ b/tests/testsuite/whole/requests.rs
@@ -28,7 +28,7 @@
 use super::world::Process;
 use super::world::World;
 use super::world::name;
-use crate::claims::machines::keys;
+use crate::claims::machines::idempotency_key;
 
 /// Keys in use at the same time, and in all.
 const KEYS: usize = 4;
@@ -50,7 +50,7 @@
 }
 
 fn claim(index: usize) -> ClaimRef {
-    ClaimRef::new(&name("dispatch"), &name("plain"), &keys(index))
+    ClaimRef::new(&name("dispatch"), &name("plain"), &idempotency_key(index))
 }
 
 impl World {
