--- a/tests/testsuite/claims/client.rs
+++ b/tests/testsuite/claims/client.rs
@@ -1,4 +1,4 @@
-//! What a caller and an observer do in the tests of claims.
+//! Helpers for tests of claims: sending orders, querying their status, and inspecting the plain upstreams.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -15,15 +15,15 @@
 
 use crate::support::fleet;
 
-/// Deadline of an order in tests, in milliseconds.
+/// Deadline of an order, in milliseconds.
 pub const DEADLINE_MS: u64 = 6_000;
 
-/// Three daemons before one plain service, each knowing the other two.
+/// Starts three daemons and one plain upstream, and waits until each daemon lists the other two.
 pub async fn start_three_daemons() -> Fleet {
     start_fleet(fleet().daemons(3).plain(1)).await
 }
 
-/// Starts the fleet and waits until each daemon knows the others.
+/// Starts the fleet and waits until each daemon lists every daemon of the fleet.
 pub async fn start_fleet(builder: FleetBuilder) -> Fleet {
     let builder = builder
         .daemon_arg("--heartbeat-ms=100")
@@ -32,28 +32,28 @@
     let bearer = format!("Bearer {KEY}");
     for daemon in &fleet.daemons {
         let url = format!("{}/v1/addresses", daemon.url());
-        http::until("every instance is named", || async {
+        http::until("the daemon lists all instances", || async {
             let reply = http::send("GET", &url, &[("authorization", &bearer)], "").await;
             let body: Value = reply.json();
-            let named = body["addresses"].as_array().map_or(0, Vec::len);
-            (named == fleet.daemons.len()).then_some(())
+            let listed = body["addresses"].as_array().map_or(0, Vec::len);
+            (listed == fleet.daemons.len()).then_some(())
         })
         .await;
     }
     fleet
 }
 
-/// A key of now.
+/// Creates an idempotency key with the current time.
 pub fn new_key() -> String {
     Uuid::now_v7().to_string()
 }
 
-/// Orders through daemon `index`; the connection may fail.
+/// Sends an order through daemon `index`. Returns an error if the connection fails.
 pub async fn try_order(fleet: &Fleet, index: usize, key: &str, body: &str) -> eyre::Result<Reply> {
     order_at(&fleet.daemons[index].url(), key, body).await
 }
 
-/// Orders through the daemon at `base`; the connection may fail.
+/// Sends an order through the daemon at the URL `base`. Returns an error if the connection fails.
 pub async fn order_at(base: &str, key: &str, body: &str) -> eyre::Result<Reply> {
     let url = format!("{base}/services/ordini/orders");
     let bearer = format!("Bearer {KEY}");
@@ -66,13 +66,13 @@
     http::try_send("POST", &url, &headers, &json!({ "item": body })).await
 }
 
-/// Orders through daemon `index`.
+/// Sends an order through daemon `index`; panics if the connection fails.
 pub async fn order(fleet: &Fleet, index: usize, key: &str, body: &str) -> Reply {
     let reply = try_order(fleet, index, key, body).await;
     reply.expect("the daemon answers")
 }
 
-/// What daemon `index` says of the request with `key`.
+/// Queries daemon `index` for the status of the request with `key`.
 pub async fn status(fleet: &Fleet, index: usize, key: &str, bearer: &str) -> Value {
     let url = format!("{}/v1/requests/{key}", fleet.daemons[index].url());
     let bearer = format!("Bearer {bearer}");
@@ -81,25 +81,25 @@
         .json()
 }
 
-/// Runs of each key at all plain upstreams together.
+/// Number of runs by idempotency key, summed over all plain upstreams.
 pub async fn runs(fleet: &Fleet) -> BTreeMap<String, u32> {
-    let mut sum = BTreeMap::new();
+    let mut total = BTreeMap::new();
     for plain in &fleet.plain {
         let runs: BTreeMap<String, u32> = http::read(&format!("{}/control/runs", plain.url())).await;
         for (key, count) in runs {
-            *sum.entry(key).or_default() += count;
+            *total.entry(key).or_default() += count;
         }
     }
-    sum
+    total
 }
 
-/// Makes plain upstream 0 misbehave.
+/// Injects a fault into plain upstream 0.
 pub async fn plain_fault(fleet: &Fleet, fault: &PlainFault) {
     let url = format!("{}/control/fault", fleet.plain[0].url());
     http::send("PUT", &url, &[], fault).await;
 }
 
-/// Names the seed of a run that fails.
+/// Prints the seed if it is dropped while the thread panics, so that the failed run can be repeated.
 pub struct PrintSeedOnPanic(pub u64);
 
 impl Drop for PrintSeedOnPanic {
@@ -110,12 +110,13 @@
     }
 }
 
-/// The fixed seeds, or those of the variable `SEQUOIASTREAM_SEEDS`, such as `600..1000000`, for long runs.
+/// Returns the range in the environment variable `SEQUOIASTREAM_SEEDS`, such as `600..1000000`, for long runs; `fixed`
+/// if the variable is not set.
 pub fn seeds_or(fixed: Range<u64>) -> Range<u64> {
     let Ok(text) = std::env::var("SEQUOIASTREAM_SEEDS") else {
         return fixed;
     };
-    let (from, to) = text.split_once("..").expect("a range such as 600..1000000");
+    let (start, end) = text.split_once("..").expect("a range such as 600..1000000");
     let number = |text: &str| text.parse().expect("a number");
-    number(from)..number(to)
+    number(start)..number(end)
 }
--- a/tests/testsuite/claims/entry.rs
+++ b/tests/testsuite/claims/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's machine, driven event by event.
+//! Tests of the entry instance's state machine, event by event.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use sequoiastream_core::time::WallTime;
 use uuid::Uuid;
 
-/// Stands for the proof that a request was not sent.
+/// Placeholder for the proof that a request was not sent.
 #[derive(Debug)]
 struct Proof;
 
@@ -33,7 +33,7 @@
     Name::new(text).expect("a name")
 }
 
-/// A claim for a request whose deadline is 6 s away, begun at 0; the owners are `a`, `b`, `c` and `d`.
+/// Begins at time 0 a claim for a request whose deadline is 6 s away. Its owners are `a`, `b`, `c` and `d`.
 fn begin() -> EntryStep<Proof> {
     let key = "01936f4e-0000-7000-8000-000000000001".parse().expect("a UUIDv7");
     let claim = ClaimRef::new(&name("dispatch"), &name("ordini"), &key);
@@ -52,7 +52,7 @@
     .begin(clocks_at(0))
 }
 
-/// What is asked and of whom; the machine for the next event.
+/// Returns the state machine for the next event, the owner that is asked, and the claim request.
 fn expect_ask(step: EntryStep<Proof>) -> (EntryClaim<Proof>, String, ClaimRequest) {
     match step {
         EntryStep::Ask(claim, owner, request) => (*claim, owner.to_string(), request),
@@ -72,8 +72,8 @@
     assert_eq!(request.run, Duration::from_secs(2));
 }
 
-/// The first owner is silent and may still write the claim. The next one is asked under the same mark, so that it
-/// takes what it finds for this request's own.
+/// The first owner does not answer and may still write the claim. The next owner is therefore asked with the same
+/// token: if it finds that claim, it recognizes it as this request's.
 #[test]
 fn silent_next_owner_same_mark() {
     let (claim, _, first) = expect_ask(begin());
@@ -90,8 +90,8 @@
     assert!(matches!(step, EntryStep::Granted(_)), "{step:?}");
 }
 
-/// An entry is paused while its claim is granted, and wakes after its deadline. It must not send: its caller has long
-/// been told that nothing is known, and its key may have been forgotten.
+/// An entry instance is paused while its claim is granted, and resumes after the deadline. It must not send: its caller
+/// has long been told that the outcome is unknown, and the key may have expired.
 #[test]
 fn granted_after_deadline() {
     let (claim, ..) = expect_ask(begin());
@@ -104,15 +104,15 @@
 
 #[test]
 fn out_thrice_refused() {
-    let out = || answered(Verdict::Unavailable(Duration::from_secs(3)));
+    let unavailable = || answered(Verdict::Unavailable(Duration::from_secs(3)));
     let (claim, ..) = expect_ask(begin());
-    let (claim, ..) = expect_ask(claim.on(clocks_at(1), out()));
-    let (claim, ..) = expect_ask(claim.on(clocks_at(2), out()));
-    let step = claim.on(clocks_at(3), out());
-    let EntryStep::Refused(Proof, Refused::Unavailable, after) = step else {
+    let (claim, ..) = expect_ask(claim.on(clocks_at(1), unavailable()));
+    let (claim, ..) = expect_ask(claim.on(clocks_at(2), unavailable()));
+    let step = claim.on(clocks_at(3), unavailable());
+    let EntryStep::Refused(Proof, Refused::Unavailable, retry_after) = step else {
         panic!("{step:?}");
     };
-    assert_eq!(after, Some(Duration::from_secs(3)));
+    assert_eq!(retry_after, Some(Duration::from_secs(3)));
 }
 
 #[test]
--- a/tests/testsuite/claims/faults.rs
+++ b/tests/testsuite/claims/faults.rs
@@ -1,4 +1,4 @@
-//! Orders while instances are killed and paused and the key-value service fails, as real processes.
+//! Orders through real processes while instances are killed or paused and the key-value service fails.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -36,20 +36,20 @@
 const ATTEMPTS: usize = 4;
 const FAULTS: usize = 6;
 
-/// Longest time between two faults, in case that nobody is answered.
+/// Maximum time between two steps of fault injection, for when no caller gets an answer.
 const MAX_FAULT_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// What a caller was told about one key, in order; `None` for a broken connection.
+/// Outcomes that a caller received for one key, in order; `None` for a broken connection.
 type Outcomes = Vec<Option<String>>;
 
-/// What callers share with the observer.
+/// State shared between the callers and the fault injection.
 struct SharedState {
     urls: Rc<RefCell<Vec<String>>>,
     outcomes: Rc<RefCell<BTreeMap<String, Outcomes>>>,
     answers: watch::Sender<usize>,
 }
 
-/// Orders ten times and repeats through other entries what it doesn't know the outcome of.
+/// Sends ten orders, and repeats those with an unknown outcome through randomly chosen entry instances.
 async fn caller(shared: &SharedState, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     for _ in 0..ORDERS_PER_CALLER {
@@ -78,11 +78,11 @@
 
 async fn wait_for_answers(answers: &mut watch::Receiver<usize>, more: usize) {
     let until = *answers.borrow() + more;
-    // Callers may all be held up by the fault itself: then the time that passed is the event.
+    // The fault itself may block all callers; the time-out then ends the wait.
     let _ = tokio::time::timeout(MAX_FAULT_INTERVAL, answers.wait_for(|count| *count >= until)).await;
 }
 
-/// Makes one fault after another, each for a random number of answers.
+/// Injects one fault after another, each for a random number of answers.
 async fn inject_faults(fleet: &mut Fleet, shared: &SharedState, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut answers = shared.answers.subscribe();
@@ -149,8 +149,8 @@
 }
 
 fn check_outcomes(runs: &BTreeMap<String, u32>, outcomes: &BTreeMap<String, Outcomes>) {
-    let doubled: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
-    assert!(doubled.is_empty(), "ran more than once: {doubled:?}");
+    let duplicates: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
+    assert!(duplicates.is_empty(), "ran more than once: {duplicates:?}");
     let mut whole = 0;
     for (key, key_outcomes) in outcomes {
         let count = runs.get(key).copied().unwrap_or_default();
@@ -163,12 +163,13 @@
             assert_eq!(count, 0, "{key} was told {key_outcomes:?}");
         }
     }
-    assert!(whole > CALLERS, "only {whole} orders were whole");
+    assert!(whole > CALLERS, "only {whole} orders were answered in full");
 }
 
-/// Buyers order and repeat through other entries while daemons are killed, paused and woken, and the key-value
-/// service is out or takes writes without answering. A second truck, or a truck after "not run", would be a
-/// claim that was granted without standing in the key-value service, or a send after a refusal.
+/// Callers send and repeat orders through several entry instances while daemons are killed, paused and resumed, and
+/// while the key-value service is unavailable or applies writes without answering. An order that runs twice, or runs
+/// after "not run", means that a claim was granted without being stored in the key-value service, or that a request was
+/// sent after it was refused.
 #[actix_web::test]
 async fn orders_faults_seed_1() {
     for seed in seeds_or(1..2) {
@@ -187,12 +188,12 @@
     orders_through_faults(3).await;
 }
 
-/// An instance is paused while the claim that it asked for stands and its order has not gone out. Repeats through
-/// other entries must not run meanwhile, or the order runs twice once the instance wakes.
+/// An instance is paused after the claim that it requested was stored and before it sent the order. Repeats through
+/// other entry instances must not run in the meantime, or the order runs twice once the instance resumes.
 #[actix_web::test]
 async fn order_entry_paused() {
     let fleet = start_three_daemons().await;
-    // Every owner has made a write by then, and holds what it needs for the next.
+    // After this, every owner has written once and holds what it needs for the next write.
     for _ in 0..32 {
         order(&fleet, 0, &new_key(), "pellets").await;
     }
@@ -205,7 +206,7 @@
     let url = fleet.daemons[0].url();
     let first = order_at(&url, &key, "pellets");
     let repeats = async {
-        http::until("the claim stands", || async {
+        http::until("the claim is stored", || async {
             is_claim_stored(&fleet, &key).await.then_some(())
         })
         .await;
@@ -227,8 +228,8 @@
     }
 }
 
-/// A driver's connection breaks just after its order was claimed. The order must not hang there claimed and never sent:
-/// the driver repeats it, and would be told for an hour that nobody knows whether it ran.
+/// A client's connection breaks just after its order was claimed. The order must not stay claimed without being sent:
+/// the client repeats it, and would be told for an hour that its outcome is unknown.
 #[actix_web::test]
 async fn order_caller_left() {
     let fleet = start_three_daemons().await;
@@ -240,15 +241,15 @@
     let key = new_key();
     let url = fleet.daemons[0].url();
     let before = kv_write_count(&fleet).await;
-    let asked = http::until("the claim is on its way", || async {
+    let claim_sent = http::until("the claim is being written", || async {
         (kv_write_count(&fleet).await > before).then_some(())
     });
     let order_first = Box::pin(order_at(&url, &key, "pellets"));
-    let left = futures_util::future::select(order_first, Box::pin(asked)).await;
-    // What is dropped here is the order with its connection.
+    let left = futures_util::future::select(order_first, Box::pin(claim_sent)).await;
+    // Dropping `left` below drops the order and closes its connection.
     assert!(
         matches!(left, futures_util::future::Either::Right(_)),
-        "answered too early"
+        "the order was answered before its claim was written"
     );
     drop(left);
     fleet.platform_fault(&Fault::default()).await;
@@ -261,13 +262,14 @@
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
 
+/// Number of PUT calls that the platform has received.
 async fn kv_write_count(fleet: &Fleet) -> u64 {
     let stats: Stats = http::read(&format!("{}/control/stats", fleet.platform.url())).await;
     stats.calls.get("put").copied().unwrap_or_default()
 }
 
-/// Two of three instances lose touch with the key-value service alone. Orders of their shards are claimed by the
-/// third.
+/// Two of three instances lose their connection to the key-value service, and only that. Orders of their shards are
+/// claimed by the third instance.
 #[actix_web::test]
 async fn order_owners_cut() {
     let fleet = start_three_daemons().await;
@@ -285,7 +287,7 @@
     assert!(keys.iter().all(|key| runs.get(key) == Some(&1)), "{runs:?}");
 }
 
-/// The key-value service is slow. Its owners are no less alive for it: orders take longer and go through.
+/// The key-value service is slow. This must not count as a failure of the owners: orders take longer but succeed.
 #[actix_web::test]
 async fn order_platform_slow() {
     let fleet = start_three_daemons().await;
@@ -301,7 +303,7 @@
     }
 }
 
-/// Whether the claim on `key` stands in the key-value service.
+/// Whether the claim on `key` is stored in the key-value service.
 async fn is_claim_stored(fleet: &Fleet, key: &str) -> bool {
     let name = |text| Name::new(text).expect("a name");
     let claim = ClaimRef::new(
@@ -324,13 +326,13 @@
     let value = BASE64_STANDARD
         .decode(body.value.unwrap_or_default())
         .expect("base64");
-    // The service's clients put 24 bytes before each value, which name the write.
+    // The clients of the key-value service prefix each value with 24 bytes that identify the write.
     let bucket: Bucket = postcard::from_bytes(value.get(24..).unwrap_or_default()).unwrap_or_default();
     bucket.get(&claim.id).is_some()
 }
 
-/// The key-value service goes out. A caller is refused with the truth and told when to come back, at once,
-/// since waiting can't help; orders of which the answer is known are still told it.
+/// The key-value service becomes unavailable. New orders are refused immediately as not run, with a retry delay, since
+/// waiting does not help; repeats of orders with a known answer still get it.
 #[actix_web::test]
 async fn order_platform_out() {
     let fleet = start_three_daemons().await;
@@ -347,8 +349,11 @@
         assert_eq!((reply.status, reply.outcome.as_deref()), (503, Some("not-run")));
         assert!(reply.after.is_some(), "{}", reply.body);
     }
-    let told = order(&fleet, 2, &answered_key, "pellets").await;
-    assert_eq!((told.status, told.outcome.as_deref()), (200, Some("whole")));
+    let repeated = order(&fleet, 2, &answered_key, "pellets").await;
+    assert_eq!(
+        (repeated.status, repeated.outcome.as_deref()),
+        (200, Some("whole"))
+    );
     fleet.platform_fault(&Fault::default()).await;
     assert_eq!(runs(&fleet).await.get(&refused_key), None);
     let reply = http::until("orders go through again", || async {
@@ -360,8 +365,8 @@
     assert_eq!(runs(&fleet).await.get(&refused_key), Some(&1));
 }
 
-/// The write of a claim takes effect, and its answer is lost. The order must run all the same, once: its owner
-/// finds its claim where it wrote it.
+/// The write of a claim takes effect, but its answer is lost. The order must nevertheless run, and run once: the owner
+/// reads the bucket and finds the claim that it wrote.
 #[actix_web::test]
 async fn order_claim_answer_lost() {
     let fleet = start_three_daemons().await;
@@ -376,7 +381,7 @@
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
 
-/// The owner of an order's shard is killed between two tries of its buyer. Its successor must know the claim.
+/// The owner of an order's shard is killed between two attempts of the client. Its successor must find the claim.
 #[actix_web::test]
 async fn order_owner_killed() {
     let mut fleet = start_three_daemons().await;
@@ -384,7 +389,7 @@
     for key in &keys {
         order(&fleet, 0, key, "pellets").await;
     }
-    // Two of three instances go: whichever owned a shard, most claims change hands.
+    // Two of three instances are killed, so most claims get a new owner, whichever instance owned their shard.
     fleet.daemons[1].kill();
     fleet.daemons[2].kill();
     for key in &keys {
@@ -396,8 +401,8 @@
     assert!(keys.iter().all(|key| runs.get(key) == Some(&1)), "{runs:?}");
 }
 
-/// An instance is told to stop right after it passed orders on. What became of them must have been written
-/// down, or its repeats are told `unknown` for no reason.
+/// An instance is stopped right after it forwarded orders. It must store their outcomes first; otherwise repeats are
+/// answered `unknown` without need.
 #[actix_web::test]
 async fn order_outcome_kept_at_stop() {
     let quick = ["--keep-ms=100", "--margin-ms=50", "--refuse-ms=50"];
--- a/tests/testsuite/claims/machines.rs
+++ b/tests/testsuite/claims/machines.rs
@@ -1,4 +1,4 @@
-//! Owners and entries over a small fake of the key-value service, in seeded random orders of events.
+//! Simulation of owners and entry instances with a fake key-value service; the seed determines the order of events.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -42,10 +42,10 @@
 const REQUESTS: usize = 60;
 const SEEDS: u64 = 600;
 const TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Wall clock at the start, in milliseconds.
+/// Wall clock at the start of a simulation, in milliseconds since the Unix epoch.
 pub const WALL: u64 = 1_764_700_000_000;
 
-/// What is delivered, and to which process; a process that was killed since gets nothing.
+/// An event of the simulation. An event addressed to a process that was killed since is dropped.
 enum Event {
     Owner(usize, OwnerEvent),
     Claim(usize, usize, ClaimRequest),
@@ -57,11 +57,11 @@
     Outage(Duration),
 }
 
-/// Stands for the proof that a request was not sent.
+/// Placeholder for the proof that a request was not sent.
 #[derive(Debug)]
 struct Proof;
 
-/// An instance, in one of its lives.
+/// One incarnation of an instance: a kill starts the next one.
 #[derive(Debug, Clone, Copy)]
 struct Process {
     index: usize,
@@ -74,7 +74,7 @@
     incarnation: u32,
     token: ClaimToken,
     claim: Option<EntryClaim<Proof>>,
-    /// Counts the questions, so that the answer to a former one is dropped.
+    /// Number of claim requests sent so far; the answer to an earlier one is dropped.
     attempt: u64,
 }
 
@@ -96,7 +96,7 @@
     outcomes: BTreeMap<&'static str, u32>,
 }
 
-/// The idempotency key of this index, the same in each run.
+/// Returns the idempotency key with this index, which is the same in every run.
 pub fn idempotency_key(index: usize) -> IdempotencyKey {
     let time = uuid::Timestamp::from_unix(uuid::NoContext, WALL / 1_000 + index as u64 % 3, 0);
     let mut bytes = *Uuid::new_v7(time).as_bytes();
@@ -169,11 +169,11 @@
         for _ in 0..8 {
             let at = self.random_millis(12_000);
             let index = self.rng.random_range(0..INSTANCES);
-            let length = self.random_millis(5_000);
+            let duration = self.random_millis(5_000);
             let event = match self.rng.random_range(0..3) {
                 0 => Event::Kill(index),
-                1 => Event::Pause(index, length),
-                _ => Event::Outage(length / 3),
+                1 => Event::Pause(index, duration),
+                _ => Event::Outage(duration / 3),
             };
             self.schedule(at, None, event);
         }
@@ -199,8 +199,8 @@
                 self.paused_until[index] = Time::ZERO;
                 self.wakes[index] = None;
             }
-            Event::Pause(index, length) => self.paused_until[index] = self.now + length,
-            Event::Outage(length) => self.outage_until = self.now + length,
+            Event::Pause(index, duration) => self.paused_until[index] = self.now + duration,
+            Event::Outage(duration) => self.outage_until = self.now + duration,
             Event::Owner(index, event) => self.on_owner_event(index, event),
             Event::Claim(index, request, claim_request) => {
                 let query = self.sequence + 1;
@@ -218,7 +218,7 @@
         let key = self.rng.random_range(0..KEYS);
         let at = self.rng.random_range(0..INSTANCES);
         let token = ClaimToken(Uuid::from_u128(u128::from(self.rng.next_u64())));
-        // Lists lag, so entries differ about who owns the shard.
+        // Lists of instances lag, so entry instances disagree about who owns the shard.
         let first = self.rng.random_range(0..INSTANCES);
         let owners = (0..INSTANCES).map(|i| (first + i) % INSTANCES);
         let owners = owners
@@ -291,7 +291,11 @@
                 if let ClaimStatus::Finished(answer) = &seen {
                     let key = self.requests[index].key;
                     assert_eq!(answer.as_ref().map(|a| a.body.clone()), Some(vec![key as u8]));
-                    assert_eq!(self.runs.get(&key), Some(&1), "told finished, but never ran");
+                    assert_eq!(
+                        self.runs.get(&key),
+                        Some(&1),
+                        "reported as finished, but did not run exactly once"
+                    );
                 }
                 self.count_outcome("seen");
             }
@@ -325,7 +329,7 @@
         request.claim = Some(claim);
         request.attempt += 1;
         let owner: usize = owner.as_str()[1..].parse().expect("an index");
-        let alive = self.paused_until[owner] <= self.now;
+        let running = self.paused_until[owner] <= self.now;
         if self.chance(90) {
             let latency = self.random_millis(5);
             self.schedule(
@@ -333,17 +337,17 @@
                 Some(owner),
                 Event::Claim(owner, index, claim_request.clone()),
             );
-            // A connection that broke: the entry tries elsewhere, while the message arrives all the same.
-            if self.chance(10) || !alive {
+            // The connection broke: the entry instance asks another owner, although the message does arrive.
+            if self.chance(10) || !running {
                 let latency = self.random_millis(500);
                 self.schedule_no_answer(index, latency);
             }
         }
-        let limit = claim_request.wait + Duration::from_millis(200);
-        self.schedule_no_answer(index, limit);
+        let timeout = claim_request.wait + Duration::from_millis(200);
+        self.schedule_no_answer(index, timeout);
     }
 
-    /// Lets the entry give an owner up, unless it has gone on by then.
+    /// Makes the entry instance ask the next owner after this time, unless it has moved on by then.
     fn schedule_no_answer(&mut self, index: usize, after: Duration) {
         let attempt = self.requests[index].attempt;
         self.sequence += 1;
@@ -412,7 +416,7 @@
         }
     }
 
-    /// Sends a call: it may be late, its answer may get lost, or it may arrive twice.
+    /// Sends a call to the key-value service. The call may be late or arrive twice, and its answer may be lost.
     fn call_kv(&mut self, index: usize, bucket: BucketId, write: Option<(Revision, Bucket)>) {
         let slow = self.chance(10);
         let latency = self.random_millis(if slow { 3_000 } else { 10 });
@@ -464,7 +468,7 @@
             }
             _ => OwnerEvent::Current(bucket, stored.0, stored.1),
         };
-        // The connection of a process ends with it: no later life gets its answers.
+        // The connections of a process close when it ends: a later incarnation does not get its answers.
         if answered && self.incarnations[from.index] == from.incarnation {
             let latency = self.random_millis(10);
             self.schedule(latency, Some(from.index), Event::Owner(from.index, event));
@@ -472,10 +476,10 @@
     }
 }
 
-/// A buyer's client repeats an order through several entries while owners are killed, paused, disagree about
-/// who owns the shard, and the key-value service is out, slow, or loses answers. The truck must come once at
-/// most; a repeat that is told the answer must be told the right one. Cause where it fails: a claim that was
-/// granted without standing in the key-value service, or that was replaced there.
+/// Clients repeat orders through several entry instances while owners are killed, paused, and disagree about who owns a
+/// shard, and while the key-value service is unavailable, slow, or loses answers. An order must run at most once, and a
+/// repeat that gets an answer must get the right one. A failure means that a claim was granted without being stored in
+/// the key-value service, or was replaced there.
 #[test]
 fn machines_seeds() {
     let mut outcomes: BTreeMap<&'static str, u32> = BTreeMap::new();
@@ -487,7 +491,7 @@
             *outcomes.entry(what).or_default() += count;
         }
     }
-    // The run means something only if all ways were taken often.
+    // The test proves something only if each outcome occurred often.
     for what in ["ran", "seen", "refused", "vouched", "no engine"] {
         assert!(
             outcomes.get(what).copied().unwrap_or_default() > 100,
--- a/tests/testsuite/claims/mod.rs
+++ b/tests/testsuite/claims/mod.rs
@@ -1,4 +1,4 @@
-//! At most once: claims on requests that may not be repeated.
+//! At-most-once execution: claims on requests that are not idempotent.
 
 pub mod client;
 mod entry;
--- a/tests/testsuite/claims/orders.rs
+++ b/tests/testsuite/claims/orders.rs
@@ -1,4 +1,4 @@
-//! Any order of events at one owner, and any bytes as a stored bucket.
+//! Property tests: arbitrary orders of events at one owner, and arbitrary bytes as a stored bucket.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,10 +27,10 @@
 
 const WALL: u64 = 1_764_700_000_000;
 
-/// Keys of one bucket.
+/// Number of keys; all belong to one bucket.
 const KEYS: usize = 4;
 
-/// A call to the key-value service that was not answered yet.
+/// A call to the key-value service that has not been answered yet.
 enum PendingCall {
     Read,
     Write(Revision, Bucket),
@@ -44,13 +44,13 @@
     pending: Option<PendingCall>,
     delayed: Vec<(Revision, Bucket)>,
     last_token: u64,
-    /// Key and mark of each question.
+    /// Key and token of each claim request.
     queries: BTreeMap<QueryId, (usize, ClaimToken)>,
-    /// Marks that were granted and not given back, by key.
+    /// Tokens that were granted and not released, by key.
     granted: BTreeMap<usize, ClaimToken>,
 }
 
-/// Claims that fall into one bucket.
+/// Returns claims that belong to one bucket.
 fn claims() -> Vec<ClaimRef> {
     let name = |text| Name::new(text).expect("a name");
     let uuid =
@@ -112,7 +112,7 @@
         self.on_event(OwnerEvent::Claim(query, request));
     }
 
-    /// The entry that holds the grant tells what became of it.
+    /// The entry instance that holds the grant reports the outcome.
     fn edit(&mut self, key: usize, byte: u8) {
         let Some(token) = self.granted.get(&key).copied() else {
             return;
@@ -123,7 +123,7 @@
             _ => Change::Release,
         };
         if change == Change::Release {
-            // It was not sent, so another may be granted.
+            // The request was not sent, so the claim may be granted to another.
             self.granted.remove(&key);
         }
         let claim = self.claims[key];
@@ -136,11 +136,11 @@
     }
 
     fn compare_and_swap(&mut self, expected: Revision, bucket: Bucket) -> bool {
-        let fits = expected == self.stored.0;
-        if fits {
+        let matches = expected == self.stored.0;
+        if matches {
             self.stored = (Revision(self.stored.0.0 + 1), bucket);
         }
-        fits
+        matches
     }
 
     fn complete_call(&mut self) {
@@ -175,7 +175,7 @@
         });
     }
 
-    /// A write of ours lands late, or another owner claims a key.
+    /// Applies a delayed write of this owner, or a claim that another owner writes.
     fn concurrent_write(&mut self, key: usize, byte: u8) {
         if byte >> 7 == 0
             && let Some((expected, content)) = self.delayed.pop()
@@ -199,9 +199,9 @@
     }
 
     fn record_grant(&mut self, key: usize, token: ClaimToken) {
-        let before = self.granted.insert(key, token);
+        let previous = self.granted.insert(key, token);
         assert!(
-            before.is_none_or(|t| t == token),
+            previous.is_none_or(|t| t == token),
             "key {key} was granted to two requests"
         );
     }
@@ -228,8 +228,8 @@
     }
 }
 
-/// Whatever comes in whatever order, a key is granted to one request at a time: to a second only after the first gave
-/// it back unsent.
+/// In any order of events, a key is granted to one request at a time: to a second request only after the first released
+/// it without having been sent.
 #[test]
 fn owner_any_events() {
     bolero::check!()
@@ -247,8 +247,8 @@
 fn bucket_any_bytes() {
     bolero::check!().for_each(|bytes: &[u8]| {
         if let Ok(bucket) = postcard::from_bytes::<Bucket>(bytes) {
-            let again = postcard::to_allocvec(&bucket).expect("a bucket can be stored");
-            assert_eq!(postcard::from_bytes::<Bucket>(&again), Ok(bucket));
+            let encoded = postcard::to_allocvec(&bucket).expect("a bucket can be stored");
+            assert_eq!(postcard::from_bytes::<Bucket>(&encoded), Ok(bucket));
         }
     });
 }
--- a/tests/testsuite/claims/owner.rs
+++ b/tests/testsuite/claims/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's machine, driven event by event.
+//! Tests of the owner's state machine, event by event.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Claim `index`; all of them fall into one bucket.
+/// Returns claim `index`. All claims belong to one bucket.
 fn claim_ref(index: u64) -> ClaimRef {
     let name = |text| Name::new(text).expect("a name");
     let key = (0..)
@@ -52,7 +52,7 @@
             )
         })
         .find(|claim| claim.bucket.shard == 3);
-    key.expect("some key falls into the shard")
+    key.expect("some key belongs to the shard")
 }
 
 fn claim_request(index: u64, token: u128) -> ClaimRequest {
@@ -95,7 +95,10 @@
     let mut owner = Owner::new(OwnerSettings::default());
     let actions = owner.on(clocks_at(0), claim_event(1, 0, 1));
     assert_eq!(writes(&actions).len(), 1);
-    assert!(answers(&actions).is_empty(), "granted before it was written");
+    assert!(
+        answers(&actions).is_empty(),
+        "granted before the claim was written"
+    );
     let actions = owner.on(clocks_at(3), written(7));
     assert_eq!(answers(&actions), vec![(1, Verdict::Granted)]);
 }
@@ -108,11 +111,14 @@
         let actions = owner.on(clocks_at(1), claim_event(1 + index, index, u128::from(1 + index)));
         assert!(
             writes(&actions).is_empty(),
-            "a second write while one is under way"
+            "a second write while another is in flight"
         );
     }
     let actions = owner.on(clocks_at(3), written(7));
-    assert!(writes(&actions).is_empty(), "the pace is not kept");
+    assert!(
+        writes(&actions).is_empty(),
+        "written before the write interval elapsed"
+    );
     let actions = owner.on(clocks_at(80), OwnerEvent::Tick);
     let all = writes(&actions);
     assert_eq!(all.len(), 1);
@@ -131,8 +137,8 @@
         change: Change::Finish(None),
     };
     let actions = owner.on(clocks_at(10), OwnerEvent::Edit(claim_ref(0).bucket, edit));
-    assert!(writes(&actions).is_empty(), "the end has a write of its own");
-    // Before it is written, a repeat is told it from memory.
+    assert!(writes(&actions).is_empty(), "the outcome has a write of its own");
+    // Until the outcome is written, a repeat is answered from memory.
     let actions = owner.on(clocks_at(20), claim_event(2, 0, 2));
     assert_eq!(
         answers(&actions),
@@ -140,15 +146,16 @@
     );
     let actions = owner.on(clocks_at(200), claim_event(3, 1, 3));
     let all = writes(&actions);
-    let record = all[0].1.get(&claim_ref(0).id).expect("it stands");
+    let record = all[0].1.get(&claim_ref(0).id).expect("the claim is stored");
     assert_eq!(record.state, State::Finished { answer: None });
     let actions = owner.on(clocks_at(203), written(8));
     assert_eq!(answers(&actions), vec![(3, Verdict::Granted)]);
     assert!(owner.is_idle());
 }
 
-/// The key-value service is out. Somebody who orders now is told at once, and not near the end of its patience,
-/// that nothing ran and when to come back. Once in a while an order is let through to try.
+/// The key-value service is unavailable. A new claim is refused immediately, as not run and with a retry delay, rather
+/// than shortly before the caller's deadline. From time to time one claim is let through, to test whether the
+/// service has recovered.
 #[test]
 fn ask_when_out_refused_at_once() {
     let mut owner = Owner::new(OwnerSettings::default());
@@ -178,7 +185,7 @@
     );
 }
 
-/// An owner whose first claim ended well, and that then found the key-value service out for two seconds.
+/// Returns an owner whose first claim finished, and for which the key-value service then failed for two seconds.
 fn owner_in_outage() -> Owner {
     let mut owner = Owner::new(OwnerSettings::default());
     owner.on(clocks_at(0), claim_event(1, 0, 1));
@@ -200,8 +207,8 @@
     owner
 }
 
-/// The key-value service is out, and a buyer repeats an order that was answered before. Its owner knows the answer,
-/// and an end never changes: the buyer is told it.
+/// The key-value service is unavailable, and a client repeats an order that has been answered. The owner has the
+/// outcome in memory, and an outcome never changes, so the client gets it.
 #[test]
 fn ask_when_out_end_known() {
     let mut owner = owner_in_outage();
@@ -220,7 +227,8 @@
     );
 }
 
-/// A write is unsure, and its claim is in fact there: the entry that asked may send, and no other.
+/// It is uncertain whether a write took effect, and a read finds its claim: only the request that asked for it is
+/// granted.
 #[test]
 fn unsure_write_found() {
     let mut owner = Owner::new(OwnerSettings::default());
@@ -244,7 +252,7 @@
     );
 }
 
-/// A stale owner wakes with a claim that it wanted to write; its successor has written the key meanwhile.
+/// A stale owner resumes and writes a claim, but its successor has written a claim on that key in the meantime.
 #[test]
 fn stale_owner_conflict() {
     let mut owner = Owner::new(OwnerSettings::default());
@@ -264,10 +272,11 @@
     assert!(writes(&actions).is_empty());
 }
 
-/// An order is refused with "not run", and its key stays "running" until its deadline, 30 s later, though the platform is
-/// well. Order: one owner's write of the claim is unsure; the entry gives up and releases the claim at another owner, which reads
-/// the bucket, finds nothing to free and forgets the release; then the write lands; the buyer comes again. Cause: a release
-/// is taken for done because its claim isn't there yet.
+/// An order is refused as "not run", yet its key stays "running" until the deadline 30 s later, although the platform
+/// works. Sequence: it is uncertain whether one owner's write of the claim took effect; the entry instance gives up and
+/// releases the claim at another owner, which reads the bucket, finds no claim to release and drops the release; then
+/// the write takes effect, and the client repeats the order. Cause: a release counts as done because its claim is not
+/// stored yet.
 #[test]
 fn release_before_its_claim() {
     let mut owner = Owner::new(OwnerSettings::default());
@@ -284,7 +293,7 @@
         clocks_at(2_005),
         OwnerEvent::Current(id, Revision(3), Bucket::default()),
     );
-    // The other owner's write takes effect now.
+    // Now the other owner's write takes effect.
     let mut late = Bucket::default();
     let granted = Record {
         token: ClaimToken(Uuid::from_u128(1)),
@@ -295,9 +304,17 @@
     };
     late.add(claim_ref(0).id, granted);
     let actions = owner.on(clocks_at(2_500), claim_event(2, 0, 2));
-    assert_eq!(writes(&actions).len(), 1, "nothing is known there");
+    assert_eq!(
+        writes(&actions).len(),
+        1,
+        "the owner has no claim for the key and writes one"
+    );
     let actions = owner.on(clocks_at(2_505), OwnerEvent::Current(id, Revision(4), late));
-    assert_eq!(answers(&actions), Vec::new(), "not running: it was released");
+    assert_eq!(
+        answers(&actions),
+        Vec::new(),
+        "reported as running, although it was released"
+    );
     let all = writes(&actions);
     let tokens: Vec<Option<ClaimToken>> = all
         .iter()
--- a/tests/testsuite/claims/path.rs
+++ b/tests/testsuite/claims/path.rs
@@ -1,4 +1,4 @@
-//! The way of an order through real processes when nothing fails.
+//! Orders through real processes without process failures.
 
 use sequoiastream_standin::plain::PlainFault;
 use sequoiastream_testsupport::fleet::KEY;
@@ -14,8 +14,8 @@
 use super::client::start_three_daemons;
 use super::client::status;
 
-/// A dispatch clerk's client gets its answer late, and sends the order again through every instance. One truck
-/// is sent, and each repeat is told the first answer.
+/// A client repeats an order through every instance, because the answer came late. The order runs once, and each
+/// repeat gets the first answer.
 #[actix_web::test]
 async fn order_repeated_elsewhere() {
     let fleet = start_three_daemons().await;
@@ -23,17 +23,16 @@
     let first = order(&fleet, 0, &key, "pellets").await;
     assert_eq!((first.status, first.outcome.as_deref()), (200, Some("whole")));
     for index in [1, 2, 0] {
-        let again = order(&fleet, index, &key, "pellets").await;
-        assert_eq!(again, first);
+        let repeated = order(&fleet, index, &key, "pellets").await;
+        assert_eq!(repeated, first);
     }
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
-    let told = status(&fleet, 1, &key, KEY).await;
-    assert_eq!(told["state"], "finished");
-    assert_eq!(told["answer"], json!(first.body));
+    let request_status = status(&fleet, 1, &key, KEY).await;
+    assert_eq!(request_status["state"], "finished");
+    assert_eq!(request_status["answer"], json!(first.body));
 }
 
-/// Two booths are booked under one key, since a client reuses it: the second must not be told that it has
-/// the first one's answer.
+/// A client uses one key for two different orders: the second order must not get the answer to the first.
 #[actix_web::test]
 async fn order_key_reused() {
     let fleet = start_three_daemons().await;
@@ -82,22 +81,22 @@
     };
     plain_fault(&fleet, &fault).await;
     let repeat = async {
-        http::until("the order runs", || async {
+        http::until("the order is running", || async {
             runs(&fleet).await.contains_key(&key).then_some(())
         })
         .await;
         let repeat = order(&fleet, 1, &key, "pellets").await;
         (repeat, status(&fleet, 2, &key, KEY).await)
     };
-    let (first, (repeat, told)) = futures_util::join!(order(&fleet, 0, &key, "pellets"), repeat);
+    let (first, (repeat, request_status)) = futures_util::join!(order(&fleet, 0, &key, "pellets"), repeat);
     assert_eq!(first.outcome.as_deref(), Some("whole"));
     assert_eq!((repeat.status, repeat.outcome.as_deref()), (409, Some("unknown")));
     assert!(repeat.after.is_some());
-    assert_eq!(told["state"], "running");
+    assert_eq!(request_status["state"], "running");
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
 
-/// A product asks for the key of another: it must learn nothing.
+/// A product queries the key of another product: the answer must not reveal that the request exists.
 #[actix_web::test]
 async fn status_other_product() {
     let fleet = start_three_daemons().await;
@@ -107,8 +106,8 @@
     fleet.wait_for_version(version).await;
     let key = new_key();
     order(&fleet, 0, &key, "pellets").await;
-    let told = status(&fleet, 1, &key, "key-of-the-rival").await;
-    assert_eq!(told["state"], "never-seen");
+    let request_status = status(&fleet, 1, &key, "key-of-the-rival").await;
+    assert_eq!(request_status["state"], "never-seen");
 }
 
 #[actix_web::test]
--- a/tests/testsuite/claims/rules.rs
+++ b/tests/testsuite/claims/rules.rs
@@ -1,4 +1,4 @@
-//! Rules of claims as tables.
+//! Table-driven tests of the rules for claims.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 use sequoiastream_core::time::WallTime;
 use uuid::Uuid;
 
-/// A wall clock in milliseconds.
+/// Wall clock at time 0, in milliseconds since the Unix epoch.
 const WALL: u64 = 1_764_700_000_000;
 
 fn clocks(seconds: i64, step: i64) -> Clocks {
@@ -41,23 +41,23 @@
 #[test]
 fn check_window_table() {
     let clock = KeyAgeCheck::new(clocks(0, 0));
-    let keep = RETENTION.as_secs() as i64;
+    let retention = RETENTION.as_secs() as i64;
     let cases = [
         ("now", key_at(0), clocks(0, 0), Ok(())),
-        ("last second", key_at(0), clocks(keep, 0), Ok(())),
-        ("too old", key_at(0), clocks(keep + 1, 0), Err(KeyError::Old)),
+        ("last second", key_at(0), clocks(retention, 0), Ok(())),
+        ("too old", key_at(0), clocks(retention + 1, 0), Err(KeyError::Old)),
         ("a little ahead", key_at(60), clocks(0, 0), Ok(())),
         ("too far ahead", key_at(62), clocks(0, 0), Err(KeyError::Future)),
         (
             "clock stepped back",
             key_at(0),
-            clocks(keep + 1, -keep),
+            clocks(retention + 1, -retention),
             Err(KeyError::ClockStepped),
         ),
         (
             "clock stepped ahead",
             key_at(0),
-            clocks(10, keep),
+            clocks(10, retention),
             Err(KeyError::ClockStepped),
         ),
         ("small step", key_at(0), clocks(10, 100), Ok(())),
@@ -67,18 +67,18 @@
     }
 }
 
-/// A shipper repeats an order an hour later through an instance whose clock runs slow. If the claim were gone
-/// by then, a second truck would come. Cause: a bucket dropped while some accepted key can still name it.
+/// A client repeats an order an hour later through an instance whose clock is slow. If the claim were deleted by then,
+/// the order would run twice. Cause: a bucket is deleted while a key that belongs to it is still accepted.
 #[test]
 fn keep_outlasts_window() {
     let slot = Duration::from_secs(10);
-    // Created as early and asked for as late as clocks that are off by the most that is put up with allow: each
-    // may be off by MAX_SKEW at its start, and step by as much later.
-    let worst = MAX_SKEW * 2;
-    let needed = MAX_FUTURE + worst + slot + RETENTION + worst + MAX_DEADLINE;
+    // The bucket is created as early, and requested as late, as the largest tolerated clock error permits: each clock
+    // may be off by MAX_SKEW at its start, and later step by the same amount.
+    let max_error = MAX_SKEW * 2;
+    let needed = MAX_FUTURE + max_error + slot + RETENTION + max_error + MAX_DEADLINE;
     assert!(
         needed < BUCKET_TTL,
-        "{needed:?} is needed, {BUCKET_TTL:?} are kept"
+        "buckets must be kept for {needed:?}, but BUCKET_TTL is {BUCKET_TTL:?}"
     );
 }
 
@@ -126,11 +126,11 @@
 #[test]
 fn owners_leave_only_their_shards() {
     let owners = Owners::default();
-    let (all, fewer) = (instances(8), instances(7));
+    let (all, remaining) = (instances(8), instances(7));
     let now = Time::from_millis(1);
     for shard in 0..512 {
         let before = owners.ranked(heard(&all), shard, now);
-        let after = owners.ranked(heard(&fewer), shard, now);
+        let after = owners.ranked(heard(&remaining), shard, now);
         let kept: Vec<_> = before.iter().filter(|n| **n != all[7]).cloned().collect();
         assert_eq!(kept, after, "shard {shard}");
     }
@@ -142,19 +142,19 @@
     let names = instances(3);
     let now = Time::from_millis(1);
     let order = owners.ranked(heard(&names), 5, now);
-    let turned = vec![order[1].clone(), order[2].clone(), order[0].clone()];
+    let suspect_last = vec![order[1].clone(), order[2].clone(), order[0].clone()];
     let unheard = names.iter().map(|name| Candidate {
         name,
         heard: *name != order[0],
     });
-    assert_eq!(owners.ranked(unheard, 5, now), turned);
+    assert_eq!(owners.ranked(unheard, 5, now), suspect_last);
     owners.suspect(&order[0], now);
-    assert_eq!(owners.ranked(heard(&names), 5, now), turned);
+    assert_eq!(owners.ranked(heard(&names), 5, now), suspect_last);
     let later = now + Duration::from_secs(3);
     assert_eq!(owners.ranked(heard(&names), 5, later), order);
 }
 
-/// A clock that is wrong from the start runs as steadily as a right one; only others can tell.
+/// A clock that is wrong from the start runs as steadily as a correct one; only a comparison with peers reveals it.
 #[test]
 fn trust_clocks_table() {
     let names = instances(3);
--- a/tests/testsuite/claims/upstreams.rs
+++ b/tests/testsuite/claims/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that redirect, close connections, lose answers, or answer late.
+//! Orders to upstreams that redirect, close connections, lose answers, or answer late.
 
 use std::io::Read;
 use std::io::Write;
@@ -28,8 +28,8 @@
 use super::client::status;
 use crate::support::fleet;
 
-/// The order desk books an order and answers with a redirect to its own path. Followed, the redirect books
-/// the order again. Cause: an HTTP client that follows redirects by itself.
+/// The upstream runs an order and answers with a redirect to the same path. If the redirect is followed, the order runs
+/// twice. Cause: an HTTP client that follows redirects automatically.
 #[actix_web::test]
 async fn order_redirected() {
     let fleet = start_three_daemons().await;
@@ -44,8 +44,8 @@
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
 
-/// The order desk books an order and its connection breaks before the answer. The buyer repeats through the
-/// other instances; taken for an order that did not run, it would be booked again.
+/// The upstream runs an order, but the connection breaks before the answer, and the client repeats the order through
+/// the other instances. If the broken connection counted as an order that did not run, the order would run twice.
 #[actix_web::test]
 async fn order_answer_lost() {
     let fleet = start_three_daemons().await;
@@ -68,7 +68,7 @@
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
 
-/// The order desk refuses an order and vouches that it did not start: the buyer may repeat it with its key.
+/// The upstream refuses an order and states that it did not start: the client may repeat it with the same key.
 #[actix_web::test]
 async fn order_refused_then_repeated() {
     let fleet = start_three_daemons().await;
@@ -91,8 +91,8 @@
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
 
-/// The order desk answers after the buyer's deadline. The buyer is told the truth at its deadline, and the
-/// answer when it asks again.
+/// The upstream answers after the client's deadline. At the deadline the client is told that the outcome is unknown; a
+/// repeat gets the answer.
 #[actix_web::test]
 async fn order_answered_late() {
     let fleet = start_three_daemons().await;
@@ -112,9 +112,9 @@
     let body = json!({ "item": "pellets" });
     let reply = http::send("POST", &url, &headers, &body).await;
     assert_eq!((reply.status, reply.outcome.as_deref()), (504, Some("unknown")));
-    http::until("the answer is told", || async {
-        let told = status(&fleet, 1, &key, KEY).await;
-        (told["state"] == "finished").then_some(())
+    http::until("the request is reported as finished", || async {
+        let request_status = status(&fleet, 1, &key, KEY).await;
+        (request_status["state"] == "finished").then_some(())
     })
     .await;
     let repeat = order(&fleet, 2, &key, "pellets").await;
@@ -122,8 +122,8 @@
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
 
-/// A driver looks an order up while one of two upstreams loses its connection. Looking up is safe to repeat, so the
-/// driver sees nothing of it.
+/// One of two upstreams closes connections without an answer during look-ups. A look-up is safe to repeat, so it is
+/// retried and the client sees no failure.
 #[actix_web::test]
 async fn lookup_retried() {
     let fleet = start_fleet(fleet().daemons(1).plain(2)).await;
@@ -140,8 +140,8 @@
     }
 }
 
-/// A booking service drops repeats of a key by itself. Its calls are repeated with the key passed through; without a
-/// key they are refused. (The stand-in counts what reaches it and drops nothing.)
+/// A service deduplicates calls by idempotency key itself. Calls to it are retried with the key passed through; calls
+/// without a key are refused. (The stand-in counts every call that reaches it and does not deduplicate.)
 #[actix_web::test]
 async fn booking_passed_through() {
     let fleet = start_fleet(fleet().daemons(1).plain(1)).await;
@@ -159,8 +159,11 @@
     plain_fault(&fleet, &fault).await;
     let url = format!("{}/services/prenota/bookings", fleet.daemons[0].url());
     let bearer = format!("Bearer {KEY}");
-    let bare = http::send("POST", &url, &[("authorization", &bearer)], "booth 1").await;
-    assert_eq!((bare.status, bare.outcome.as_deref()), (400, Some("not-run")));
+    let without_key = http::send("POST", &url, &[("authorization", &bearer)], "booth 1").await;
+    assert_eq!(
+        (without_key.status, without_key.outcome.as_deref()),
+        (400, Some("not-run"))
+    );
     let key = new_key();
     let headers = [("authorization", bearer.as_str()), ("idempotency-key", &key)];
     let reply = http::send("POST", &url, &headers, "booth 1").await;
@@ -168,15 +171,15 @@
     assert_eq!(runs(&fleet).await.get(&key), Some(&2));
 }
 
-/// What an upstream saw.
+/// Number of connections and orders that the upstream received.
 #[derive(Debug, Default)]
 struct SeenOrders {
     connections: AtomicU32,
     orders: AtomicU32,
 }
 
-/// An upstream that answers the first order of a connection and keeps it open, and that closes the connection
-/// without an answer after it has taken the second.
+/// Starts an upstream that answers the first order on a connection and keeps the connection open; after it has received
+/// the second order, it closes the connection without an answer.
 fn close_on_second(seen: Arc<SeenOrders>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
@@ -188,16 +191,16 @@
             thread::spawn(move || {
                 let mut read = Vec::new();
                 let mut buffer = [0; 1024];
-                let mut taken = 0;
+                let mut received = 0;
                 while let Ok(count @ 1..) = stream.read(&mut buffer) {
                     read.extend_from_slice(&buffer[..count]);
                     if !read.ends_with(b"two pellets") {
                         continue;
                     }
                     read.clear();
-                    taken += 1;
+                    received += 1;
                     seen.orders.fetch_add(1, Ordering::SeqCst);
-                    if taken == 2 {
+                    if received == 2 {
                         return;
                     }
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
@@ -208,9 +211,9 @@
     address
 }
 
-/// A second buyer's order goes out on a pooled connection just as the upstream closes it. The HTTP client may
-/// send it again on another, and the order is booked twice, or the buyer is left with an order of which
-/// nobody knows. Each order that may not be repeated therefore has a connection of its own.
+/// An order is sent on a pooled connection just as the upstream closes it. Either the HTTP client sends it again on
+/// another connection and the order may run twice, or the outcome of the order stays unknown. Each order that may not
+/// be repeated is therefore sent on a new connection.
 #[actix_web::test]
 async fn send_once_own_connection() {
     let seen = Arc::new(SeenOrders::default());
