--- a/tests/testsuite/authority/machine.rs
+++ b/tests/testsuite/authority/machine.rs
@@ -29,45 +29,45 @@
 }
 
 /// A machine whose calls to the key-value service all succeed, and an empty engine.
-struct Bench {
+struct Harness {
     machine: Authority,
     now: Time,
     version: u64,
-    sent: Vec<CallId>,
+    sent_calls: Vec<CallId>,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl Harness {
+    fn new() -> Harness {
         let settings = Settings {
             service: name("s"),
             instance: name("i0"),
             incarnation: Incarnation::default(),
             timing: Timing::new(TTL, Duration::from_millis(500)),
         };
-        let mut bench = Bench {
+        let mut harness = Harness {
             machine: Authority::new(settings),
             now: Time::from_millis(1_000),
             version: 0,
-            sent: Vec::new(),
+            sent_calls: Vec::new(),
         };
-        let wish = EngineConfig {
+        let config = EngineConfig {
             name: name("e0"),
             fencing: Fencing::Ignored,
             role: Some(Role::Decode),
             released_sequence: 0,
         };
-        bench.give(Event::Configured {
+        harness.handle_event(Event::Configured {
             model: "m".to_string(),
-            engines: vec![wish],
+            engines: vec![config],
         });
-        bench.give(Event::Vacant);
-        bench
+        harness.handle_event(Event::Vacant);
+        harness
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         for action in self.machine.handle_event(self.now, event) {
             if let Some(event) = self.perform(action) {
-                self.give(event);
+                self.handle_event(event);
             }
         }
     }
@@ -100,7 +100,7 @@
                 answers: BTreeMap::from([(name("i0"), HoldAnswer::InFlight(0))]),
             }),
             Action::Send(send) => {
-                self.sent.push(send.call);
+                self.sent_calls.push(send.call);
                 None
             }
             Action::InvariantBroken(rule) => panic!("{rule}"),
@@ -126,23 +126,23 @@
     /// Lets time go on until so many orders were sent.
     fn run_until_sent(&mut self, count: usize) {
         for _ in 0..200 {
-            if self.sent.len() >= count {
+            if self.sent_calls.len() >= count {
                 return;
             }
             self.run(1);
         }
-        panic!("{} orders were sent", self.sent.len());
+        panic!("{} orders were sent", self.sent_calls.len());
     }
 
     fn run(&mut self, steps: u32) {
         for _ in 0..steps {
             self.now = self.now + Duration::from_millis(100);
-            self.give(Event::Tick);
+            self.handle_event(Event::Tick);
         }
     }
 
-    fn answer(&mut self, call: CallId) {
-        self.give(Event::Answered {
+    fn answer_unsent(&mut self, call: CallId) {
+        self.handle_event(Event::Answered {
             call,
             engine: name("e0"),
             answer: OrderAnswer::Unsent,
@@ -154,12 +154,12 @@
 /// comes a second time, while the second may be on its way. A third would be a copy that nothing settles.
 #[test]
 fn send_answer_doubled() {
-    let mut bench = Bench::new();
-    bench.run_until_sent(1);
-    let first = bench.sent[0];
-    bench.answer(first);
-    bench.run_until_sent(2);
-    bench.answer(first);
-    bench.run(60);
-    assert_eq!(bench.sent.len(), 2);
+    let mut harness = Harness::new();
+    harness.run_until_sent(1);
+    let first = harness.sent_calls[0];
+    harness.answer_unsent(first);
+    harness.run_until_sent(2);
+    harness.answer_unsent(first);
+    harness.run(60);
+    assert_eq!(harness.sent_calls.len(), 2);
 }
--- a/tests/testsuite/authority/processes.rs
+++ b/tests/testsuite/authority/processes.rs
@@ -22,7 +22,7 @@
 use crate::support::fleet;
 
 /// Two daemons and one engine, with short leases and role changes.
-fn small(fencing: &str) -> FleetBuilder {
+fn small_fleet(fencing: &str) -> FleetBuilder {
     fleet()
         .daemons(2)
         .daemon_arg("--lease-ms=1000")
@@ -32,8 +32,8 @@
 }
 
 /// The fleet, configured with a relay before its engine.
-async fn relayed(fencing: &str) -> (Fleet, Relay) {
-    let fleet = small(fencing).start().await;
+async fn fleet_with_relay(fencing: &str) -> (Fleet, Relay) {
+    let fleet = small_fleet(fencing).start().await;
     let engine = fleet.engines[0].address();
     let relay = Relay::start(engine).await;
     let text = fleet
@@ -45,14 +45,14 @@
 }
 
 /// Has the holder send an order that does not arrive yet.
-async fn order_under_way(fleet: &Fleet, relay: &Relay, index: usize) {
+async fn send_delayed_order(fleet: &Fleet, relay: &Relay, index: usize) {
     relay.keep_next(1);
     fleet.apply(index, "set engine e0 role decode").await;
     relay.wait_for_kept(1).await;
 }
 
 /// The rows of a table, each by its first cell.
-async fn rows(fleet: &Fleet, index: usize, text: &str) -> Option<BTreeMap<String, Vec<String>>> {
+async fn table_rows(fleet: &Fleet, index: usize, text: &str) -> Option<BTreeMap<String, Vec<String>>> {
     let reply = fleet.statement(index, Uuid::new_v4(), text).await;
     match reply.status {
         200 => match reply.json() {
@@ -64,9 +64,9 @@
 }
 
 /// Waits until an instance holds the lease that daemon `index` does not find in `except`; returns its index.
-async fn holder(fleet: &Fleet, index: usize, except: Option<usize>) -> usize {
+async fn wait_for_holder(fleet: &Fleet, index: usize, except: Option<usize>) -> usize {
     let found = http::until("an instance holds the lease", || async {
-        let rows = rows(fleet, index, "show leases").await?;
+        let rows = table_rows(fleet, index, "show leases").await?;
         let row = rows.get("assistente")?;
         let of = |cell: &String| cell.strip_prefix('i')?.parse::<usize>().ok();
         let lease = of(&row[1])?;
@@ -76,20 +76,20 @@
 }
 
 /// Waits until the last order to `e0` is in this phase.
-async fn phase(fleet: &Fleet, index: usize, sequence: u64, phase: &str) {
+async fn wait_for_phase(fleet: &Fleet, index: usize, sequence: u64, phase: &str) {
     http::until("the order is in its phase", || async {
-        let rows = rows(fleet, index, "show orders").await?;
+        let rows = table_rows(fleet, index, "show orders").await?;
         let row = rows.get("e0")?;
         (row[2] == sequence.to_string() && row[6] == phase).then_some(())
     })
     .await;
 }
 
-async fn orders(engine: &Process) -> Vec<OrderRecord> {
+async fn engine_orders(engine: &Process) -> Vec<OrderRecord> {
     http::read(&format!("{}/control/orders", engine.url())).await
 }
 
-async fn role(engine: &Process, role: Role) {
+async fn wait_for_role(engine: &Process, role: Role) {
     let url = format!("{}/v1/load", engine.url());
     http::until("the engine has the role", || async {
         let load: LoadBody = http::read(&url).await;
@@ -98,13 +98,13 @@
     .await;
 }
 
-async fn fault(engine: &Process, fault: &EngineFault) {
+async fn set_engine_fault(engine: &Process, fault: &EngineFault) {
     let url = format!("{}/control/fault", engine.url());
     http::send("PUT", &url, &[], fault).await;
 }
 
 /// No two orders that took effect conflict, and none of a stale holder took effect.
-fn assert_sound(orders: &[OrderRecord]) {
+fn assert_orders_consistent(orders: &[OrderRecord]) {
     let applied: Vec<_> = orders.iter().filter(|o| o.applied).map(|o| &o.order).collect();
     for pair in applied.windows(2) {
         assert!(
@@ -130,8 +130,8 @@
 /// ends what runs.
 #[actix_web::test]
 async fn role_change_drains() {
-    let fleet = small("checked").start_configured().await;
-    let index = holder(&fleet, 0, None).await;
+    let fleet = small_fleet("checked").start_configured().await;
+    let index = wait_for_holder(&fleet, 0, None).await;
     let (reply, ()) = futures_util::join!(fleet.complete(1 - index, "long check", 400, 3), async {
         let url = format!("{}/v1/load", fleet.engines[0].url());
         http::until("the answer streams", || async {
@@ -144,66 +144,66 @@
     assert_eq!(reply.outcome.as_deref(), Some("whole"));
     let body: serde_json::Value = reply.json();
     assert_eq!(body["choices"][0]["text"], expected_text(3, "long check", 1, 400));
-    role(&fleet.engines[0], Role::Decode).await;
+    wait_for_role(&fleet.engines[0], Role::Decode).await;
     let cut: u64 = http::read(&format!("{}/control/cut", fleet.engines[0].url())).await;
     assert_eq!(cut, 0);
-    phase(&fleet, 0, 1, "answered").await;
-    assert_eq!(orders(&fleet.engines[0]).await.len(), 1);
+    wait_for_phase(&fleet, 0, 1, "answered").await;
+    assert_eq!(engine_orders(&fleet.engines[0]).await.len(), 1);
 }
 
 /// A holder is paused right as its order leaves. Another takes over and gives the same engine another order.
 /// The paused one's order arrives after that, and the engine, which checks numbers, must refuse it.
 #[actix_web::test]
 async fn paused_holder_checked() {
-    let (fleet, relay) = relayed("checked").await;
-    let first = holder(&fleet, 0, None).await;
+    let (fleet, relay) = fleet_with_relay("checked").await;
+    let first = wait_for_holder(&fleet, 0, None).await;
     let other = 1 - first;
-    order_under_way(&fleet, &relay, other).await;
+    send_delayed_order(&fleet, &relay, other).await;
     fleet.daemons[first].signal("STOP");
-    assert_eq!(holder(&fleet, other, Some(first)).await, other);
-    phase(&fleet, other, 1, "answered").await;
+    assert_eq!(wait_for_holder(&fleet, other, Some(first)).await, other);
+    wait_for_phase(&fleet, other, 1, "answered").await;
     fleet.apply(other, "set engine e0 role prefill").await;
-    phase(&fleet, other, 2, "answered").await;
+    wait_for_phase(&fleet, other, 2, "answered").await;
     relay.let_go();
     http::until("the late order arrives", || async {
-        (orders(&fleet.engines[0]).await.len() == 3).then_some(())
+        (engine_orders(&fleet.engines[0]).await.len() == 3).then_some(())
     })
     .await;
     fleet.daemons[first].signal("CONT");
-    holder(&fleet, first, None).await;
-    let orders = orders(&fleet.engines[0]).await;
-    assert_sound(&orders);
+    wait_for_holder(&fleet, first, None).await;
+    let orders = engine_orders(&fleet.engines[0]).await;
+    assert_orders_consistent(&orders);
     assert!(!orders[2].applied, "{orders:#?}");
-    role(&fleet.engines[0], Role::Prefill).await;
+    wait_for_role(&fleet.engines[0], Role::Prefill).await;
 }
 
 /// The same, at an engine that ignores numbers: nothing could stop the late order there. So the successor
 /// gives no order while the first may still arrive, and goes on once the engine's report shows it.
 #[actix_web::test]
 async fn paused_holder_ignored() {
-    let (fleet, relay) = relayed("ignored").await;
-    let first = holder(&fleet, 0, None).await;
+    let (fleet, relay) = fleet_with_relay("ignored").await;
+    let first = wait_for_holder(&fleet, 0, None).await;
     let other = 1 - first;
-    order_under_way(&fleet, &relay, other).await;
+    send_delayed_order(&fleet, &relay, other).await;
     fleet.daemons[first].signal("STOP");
-    holder(&fleet, other, Some(first)).await;
+    wait_for_holder(&fleet, other, Some(first)).await;
     let version = fleet.apply(other, "set engine e0 role prefill").await;
-    metric(&fleet.daemons[other], "sequoiastream_orders_unsettled_total").await;
-    phase(&fleet, other, 1, "open").await;
-    assert_eq!(orders(&fleet.engines[0]).await.len(), 0);
+    wait_for_counter(&fleet.daemons[other], "sequoiastream_orders_unsettled_total").await;
+    wait_for_phase(&fleet, other, 1, "open").await;
+    assert_eq!(engine_orders(&fleet.engines[0]).await.len(), 0);
     relay.let_go();
-    phase(&fleet, other, 2, "answered").await;
+    wait_for_phase(&fleet, other, 2, "answered").await;
     fleet.daemons[first].signal("CONT");
     fleet.wait_for_version(version).await;
-    let orders = orders(&fleet.engines[0]).await;
-    assert_sound(&orders);
+    let orders = engine_orders(&fleet.engines[0]).await;
+    assert_orders_consistent(&orders);
     let sequences: Vec<u64> = orders.iter().map(|o| o.order.sequence).collect();
     assert_eq!(sequences, [1, 2]);
-    role(&fleet.engines[0], Role::Prefill).await;
+    wait_for_role(&fleet.engines[0], Role::Prefill).await;
 }
 
 /// Waits until a counter of a daemon is not zero.
-async fn metric(daemon: &Process, name: &str) {
+async fn wait_for_counter(daemon: &Process, name: &str) {
     let url = format!("{}/metrics", daemon.url());
     http::until("the counter counts", || async {
         let page = http::text(&url).await;
@@ -217,45 +217,48 @@
 /// shows that it can't come: the engine serves on in its role until an operator releases the order.
 #[actix_web::test]
 async fn killed_holder_released() {
-    let (mut fleet, relay) = relayed("ignored").await;
-    let first = holder(&fleet, 0, None).await;
+    let (mut fleet, relay) = fleet_with_relay("ignored").await;
+    let first = wait_for_holder(&fleet, 0, None).await;
     let other = 1 - first;
-    order_under_way(&fleet, &relay, other).await;
+    send_delayed_order(&fleet, &relay, other).await;
     fleet.daemons[first].kill();
-    holder(&fleet, other, Some(first)).await;
-    metric(&fleet.daemons[other], "sequoiastream_orders_unsettled_total").await;
+    wait_for_holder(&fleet, other, Some(first)).await;
+    wait_for_counter(&fleet.daemons[other], "sequoiastream_orders_unsettled_total").await;
     let reply = fleet.complete(other, "still served", 4, 9).await;
     assert_eq!(reply.outcome.as_deref(), Some("whole"));
-    assert_eq!(orders(&fleet.engines[0]).await.len(), 0);
+    assert_eq!(engine_orders(&fleet.engines[0]).await.len(), 0);
     fleet.apply(other, "release order e0 sequence 1").await;
-    phase(&fleet, other, 2, "answered").await;
-    let rows = rows(&fleet, other, "show changes").await.expect("a table");
+    wait_for_phase(&fleet, other, 2, "answered").await;
+    let rows = table_rows(&fleet, other, "show changes").await.expect("a table");
     let audited = rows
         .values()
         .any(|row| row.iter().any(|c| c == "release order e0 sequence 1"));
     assert!(audited, "{rows:#?}");
-    role(&fleet.engines[0], Role::Decode).await;
-    assert_sound(&orders(&fleet.engines[0]).await);
+    wait_for_role(&fleet.engines[0], Role::Decode).await;
+    assert_orders_consistent(&engine_orders(&fleet.engines[0]).await);
 }
 
 /// The answers to the writes by which an instance takes an authority over and opens an order are lost after
 /// they took effect, so often that the client gives up. The order must be given all the same, and once.
 #[actix_web::test]
 async fn answers_lost() {
-    let fleet = small("ignored").daemon_arg("--kv-deadline-ms=100").start().await;
+    let fleet = small_fleet("ignored")
+        .daemon_arg("--kv-deadline-ms=100")
+        .start()
+        .await;
     let version = fleet.apply(0, &fleet.statements()).await;
-    lose(&fleet, 1, "lease/").await;
+    lose_answers(&fleet, 1, "lease/").await;
     fleet.wait_for_version(version).await;
-    let index = holder(&fleet, 0, None).await;
-    lose(&fleet, 4, "authority/").await;
+    let index = wait_for_holder(&fleet, 0, None).await;
+    lose_answers(&fleet, 4, "authority/").await;
     fleet.apply(index, "set engine e0 role decode").await;
-    phase(&fleet, 0, 1, "answered").await;
-    let orders = orders(&fleet.engines[0]).await;
-    assert_sound(&orders);
+    wait_for_phase(&fleet, 0, 1, "answered").await;
+    let orders = engine_orders(&fleet.engines[0]).await;
+    assert_orders_consistent(&orders);
     assert_eq!(orders.len(), 1);
 }
 
-async fn lose(fleet: &Fleet, lose: u32, only: &str) {
+async fn lose_answers(fleet: &Fleet, lose: u32, only: &str) {
     let fault = Fault {
         lose,
         only: only.to_string(),
@@ -269,29 +272,29 @@
 #[actix_web::test]
 async fn kv_down_in_the_middle() {
     for fencing in ["checked", "ignored"] {
-        let (fleet, relay) = relayed(fencing).await;
-        let first = holder(&fleet, 0, None).await;
-        order_under_way(&fleet, &relay, first).await;
+        let (fleet, relay) = fleet_with_relay(fencing).await;
+        let first = wait_for_holder(&fleet, 0, None).await;
+        send_delayed_order(&fleet, &relay, first).await;
         let outage = Fault {
             outage: true,
             ..Fault::default()
         };
         fleet.platform_fault(&outage).await;
         relay.let_go();
-        role(&fleet.engines[0], Role::Decode).await;
-        let lapsed = format!("{}/metrics", fleet.daemons[first].url());
+        wait_for_role(&fleet.engines[0], Role::Decode).await;
+        let metrics_url = format!("{}/metrics", fleet.daemons[first].url());
         http::until("the holder stops to believe", || async {
-            let page = http::text(&lapsed).await;
+            let page = http::text(&metrics_url).await;
             page.contains("sequoiastream_authorities_believed 0")
                 .then_some(())
         })
         .await;
-        assert_eq!(orders(&fleet.engines[0]).await.len(), 1);
+        assert_eq!(engine_orders(&fleet.engines[0]).await.len(), 1);
         fleet.platform_fault(&Fault::default()).await;
-        holder(&fleet, 0, None).await;
+        wait_for_holder(&fleet, 0, None).await;
         fleet.apply(0, "set engine e0 role mixed").await;
-        phase(&fleet, 0, 2, "answered").await;
-        assert_sound(&orders(&fleet.engines[0]).await);
+        wait_for_phase(&fleet, 0, 2, "answered").await;
+        assert_orders_consistent(&engine_orders(&fleet.engines[0]).await);
     }
 }
 
@@ -301,24 +304,24 @@
 #[actix_web::test]
 async fn engine_crash_mid_change() {
     for (fencing, sequence) in [("checked", 1), ("ignored", 2)] {
-        let mut fleet = small(fencing).start_configured().await;
-        let index = holder(&fleet, 0, None).await;
+        let mut fleet = small_fleet(fencing).start_configured().await;
+        let index = wait_for_holder(&fleet, 0, None).await;
         let crash = EngineFault {
             crash: true,
             ..EngineFault::default()
         };
-        fault(&fleet.engines[0], &crash).await;
+        set_engine_fault(&fleet.engines[0], &crash).await;
         fleet.apply(0, "set engine e0 role decode").await;
         fleet.engines[0].wait();
         fleet.restart_engine(0);
         if fencing == "ignored" {
-            metric(&fleet.daemons[index], "sequoiastream_orders_unsettled_total").await;
+            wait_for_counter(&fleet.daemons[index], "sequoiastream_orders_unsettled_total").await;
             fleet.apply(0, "release order e0 sequence 1").await;
         }
-        phase(&fleet, 0, sequence, "answered").await;
-        role(&fleet.engines[0], Role::Decode).await;
-        let orders = orders(&fleet.engines[0]).await;
-        assert_sound(&orders);
+        wait_for_phase(&fleet, 0, sequence, "answered").await;
+        wait_for_role(&fleet.engines[0], Role::Decode).await;
+        let orders = engine_orders(&fleet.engines[0]).await;
+        assert_orders_consistent(&orders);
         assert_eq!(orders.len(), 1, "{orders:#?}");
     }
 }
@@ -328,8 +331,8 @@
 #[actix_web::test]
 async fn role_changes_under_load() {
     const CALLERS: usize = 6;
-    let fleet = small("checked").engines(2).start_configured().await;
-    holder(&fleet, 0, None).await;
+    let fleet = small_fleet("checked").engines(2).start_configured().await;
+    wait_for_holder(&fleet, 0, None).await;
     let changed = std::cell::Cell::new(false);
     let callers = (0..CALLERS).map(|caller| {
         let (fleet, changed) = (&fleet, &changed);
@@ -348,7 +351,7 @@
             .apply(0, "set engine e0 role decode; set engine e1 role decode")
             .await;
         for engine in &fleet.engines {
-            role(engine, Role::Decode).await;
+            wait_for_role(engine, Role::Decode).await;
         }
         changed.set(true);
     };
@@ -357,8 +360,8 @@
     for engine in &fleet.engines {
         let cut: u64 = http::read(&format!("{}/control/cut", engine.url())).await;
         assert_eq!(cut, 0);
-        let orders = orders(engine).await;
-        assert_sound(&orders);
+        let orders = engine_orders(engine).await;
+        assert_orders_consistent(&orders);
         assert_eq!(orders.len(), 1, "{orders:#?}");
     }
 }
@@ -367,7 +370,7 @@
 /// away for as long as the store refuses. The order must wait until the store agrees.
 #[actix_web::test]
 async fn load_waits_for_weights() {
-    let fleet = small("checked").engine_arg("--model=old-7b").start().await;
+    let fleet = small_fleet("checked").engine_arg("--model=old-7b").start().await;
     let throttle = Fault {
         throttle: true,
         ..Fault::default()
@@ -380,10 +383,10 @@
         (stats.calls.get("weights").copied() >= Some(2)).then_some(())
     })
     .await;
-    assert_eq!(orders(&fleet.engines[0]).await.len(), 0);
+    assert_eq!(engine_orders(&fleet.engines[0]).await.len(), 0);
     fleet.platform_fault(&Fault::default()).await;
-    phase(&fleet, 0, 1, "answered").await;
-    let orders = orders(&fleet.engines[0]).await;
+    wait_for_phase(&fleet, 0, 1, "answered").await;
+    let orders = engine_orders(&fleet.engines[0]).await;
     assert_eq!((orders.len(), orders[0].order.target.model.as_str()), (1, MODEL));
 }
 
@@ -399,9 +402,9 @@
         .daemon_arg("--refuse-ms=50")
         .start_configured()
         .await;
-    let first = holder(&fleet, 0, None).await;
+    let first = wait_for_holder(&fleet, 0, None).await;
     fleet.daemons[first].signal("TERM");
-    assert_eq!(holder(&fleet, 1 - first, Some(first)).await, 1 - first);
+    assert_eq!(wait_for_holder(&fleet, 1 - first, Some(first)).await, 1 - first);
 }
 
 /// An instance is paused while a caller's answer streams through it, and an operator changes the engine's role.
@@ -409,8 +412,8 @@
 /// change back until the answer has ended, so that the caller gets it whole when the instance goes on.
 #[actix_web::test]
 async fn role_change_paused_instance() {
-    let fleet = small("checked").start_configured().await;
-    let index = holder(&fleet, 0, None).await;
+    let fleet = small_fleet("checked").start_configured().await;
+    let index = wait_for_holder(&fleet, 0, None).await;
     let (reply, ()) = futures_util::join!(fleet.complete(1 - index, "long check", 1_400, 5), async {
         let url = format!("{}/v1/load", fleet.engines[0].url());
         http::until("the answer streams", || async {
@@ -420,7 +423,7 @@
         .await;
         fleet.daemons[1 - index].signal("STOP");
         fleet.apply(index, "set engine e0 role decode").await;
-        role(&fleet.engines[0], Role::Decode).await;
+        wait_for_role(&fleet.engines[0], Role::Decode).await;
         fleet.daemons[1 - index].signal("CONT");
     });
     assert_eq!(reply.outcome.as_deref(), Some("whole"), "{reply:?}");
--- a/tests/testsuite/authority/seeded.rs
+++ b/tests/testsuite/authority/seeded.rs
@@ -39,11 +39,11 @@
 const SEEDS: std::ops::Range<u64> = 0..150;
 
 /// Names other seeds for a long run, such as `1000..5000`. A failure names its seed.
-const SEEDS_FROM: &str = "SEQUOIASTREAM_SEEDS";
+const SEEDS_VARIABLE: &str = "SEQUOIASTREAM_SEEDS";
 
 /// Simulated time with faults, and after them.
-const FAULTY: Duration = Duration::from_secs(240);
-const QUIET: Duration = Duration::from_secs(240);
+const FAULTY_PERIOD: Duration = Duration::from_secs(240);
+const RECOVERY_PERIOD: Duration = Duration::from_secs(240);
 
 const NODES: usize = 3;
 const STEP: Duration = Duration::from_millis(100);
@@ -54,7 +54,7 @@
     Name::new(text).expect("a name")
 }
 
-fn start() -> Target {
+fn initial_target() -> Target {
     Target {
         role: Role::Mixed,
         model: "m".to_string(),
@@ -67,7 +67,7 @@
 struct Node {
     machine: Authority,
     incarnation: Incarnation,
-    paused: Time,
+    paused_until: Time,
 }
 
 struct Engine {
@@ -75,11 +75,11 @@
     target: Target,
     sequence: u64,
     fence: Fence,
-    away: Time,
+    away_until: Time,
     orders: BTreeMap<u64, Order>,
     history: Vec<(Time, Target, u64, Time)>,
-    wish: Role,
-    released: u64,
+    desired_role: Role,
+    released_sequence: u64,
 }
 
 #[derive(Debug, Default)]
@@ -88,11 +88,11 @@
     record: Option<Record>,
     /// Node, incarnation and end of the lease.
     lease: Option<(usize, Incarnation, Time)>,
-    out: Time,
+    outage_until: Time,
 }
 
 #[derive(Debug, Clone)]
-enum Call {
+enum KvCall {
     Acquire,
     Renew,
     Read,
@@ -102,59 +102,59 @@
 #[derive(Debug, Clone)]
 enum Message {
     Node(usize, Incarnation, Event),
-    Kv(usize, Incarnation, CallId, Call, Time),
+    Kv(usize, Incarnation, CallId, KvCall, Time),
     Engine(usize, Incarnation, CallId, Name, Order),
 }
 
-struct World {
+struct Simulation {
     seed: u64,
     rng: ChaCha8Rng,
     now: Time,
-    faulty: bool,
+    faults_enabled: bool,
     /// How much goes wrong in this run, 0 to 4.
-    weight: u32,
+    fault_weight: u32,
     kv: Kv,
     nodes: Vec<Node>,
     engines: BTreeMap<Name, Engine>,
     queue: BTreeMap<(Time, u64), Message>,
-    count: u64,
-    applied: u64,
+    last_id: u64,
+    applied_orders: u64,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        let mut world = World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let mut simulation = Simulation {
             seed,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Time::from_millis(1_000),
-            faulty: true,
-            weight: (seed % 5) as u32,
+            faults_enabled: true,
+            fault_weight: (seed % 5) as u32,
             kv: Kv::default(),
             nodes: Vec::new(),
             engines: BTreeMap::new(),
             queue: BTreeMap::new(),
-            count: 0,
-            applied: 0,
+            last_id: 0,
+            applied_orders: 0,
         };
         for (index, fencing) in [Fencing::Checked, Fencing::Ignored].into_iter().enumerate() {
             let engine = Engine {
                 fencing,
-                target: start(),
+                target: initial_target(),
                 sequence: 0,
                 fence: Fence(0),
-                away: Time::ZERO,
+                away_until: Time::ZERO,
                 orders: BTreeMap::new(),
-                history: vec![(Time::ZERO, start(), 0, Time::ZERO)],
-                wish: Role::Mixed,
-                released: 0,
+                history: vec![(Time::ZERO, initial_target(), 0, Time::ZERO)],
+                desired_role: Role::Mixed,
+                released_sequence: 0,
             };
-            world.engines.insert(name(&format!("e{index}")), engine);
+            simulation.engines.insert(name(&format!("e{index}")), engine);
         }
         for index in 0..NODES {
-            let node = world.new_node(index);
-            world.nodes.push(node);
+            let node = simulation.new_node(index);
+            simulation.nodes.push(node);
         }
-        world
+        simulation
     }
 
     fn new_node(&mut self, index: usize) -> Node {
@@ -169,108 +169,108 @@
         Node {
             machine: Authority::new(settings),
             incarnation,
-            paused: Time::ZERO,
+            paused_until: Time::ZERO,
         }
     }
 
-    fn millis(&mut self, range: std::ops::Range<u64>) -> Duration {
+    fn random_millis(&mut self, range: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.rng.random_range(range))
     }
 
     fn chance(&mut self, percent: u32) -> bool {
-        self.faulty && self.rng.random_range(0..200) < percent * self.weight
+        self.faults_enabled && self.rng.random_range(0..200) < percent * self.fault_weight
     }
 
     /// A delay on the way: mostly short, now and then longer than a lease.
-    fn delay(&mut self) -> Duration {
+    fn random_delay(&mut self) -> Duration {
         match self.chance(4) {
-            true => self.millis(1_000..40_000),
-            false => self.millis(1..60),
+            true => self.random_millis(1_000..40_000),
+            false => self.random_millis(1..60),
         }
     }
 
-    fn post(&mut self, after: Duration, message: Message) {
-        self.count += 1;
-        self.queue.insert((self.now + after, self.count), message);
+    fn schedule(&mut self, after: Duration, message: Message) {
+        self.last_id += 1;
+        self.queue.insert((self.now + after, self.last_id), message);
     }
 
     /// An answer on its way to a node: delayed, sometimes lost, sometimes doubled.
-    fn answer(&mut self, node: usize, incarnation: Incarnation, event: Event) {
+    fn send_answer(&mut self, node: usize, incarnation: Incarnation, event: Event) {
         if self.chance(2) {
             return;
         }
-        let delay = self.delay();
+        let delay = self.random_delay();
         if self.chance(3) {
-            let again = self.delay();
-            self.post(again, Message::Node(node, incarnation, event.clone()));
+            let again = self.random_delay();
+            self.schedule(again, Message::Node(node, incarnation, event.clone()));
         }
-        self.post(delay, Message::Node(node, incarnation, event));
+        self.schedule(delay, Message::Node(node, incarnation, event));
     }
 
-    fn wishes(&self) -> Event {
-        let wish = |(name, engine): (&Name, &Engine)| EngineConfig {
+    fn config_event(&self) -> Event {
+        let engine_config = |(name, engine): (&Name, &Engine)| EngineConfig {
             name: name.clone(),
             fencing: engine.fencing,
-            role: Some(engine.wish),
-            released_sequence: engine.released,
+            role: Some(engine.desired_role),
+            released_sequence: engine.released_sequence,
         };
         Event::Configured {
             model: "m".to_string(),
-            engines: self.engines.iter().map(wish).collect(),
+            engines: self.engines.iter().map(engine_config).collect(),
         }
     }
 
     fn run(&mut self) {
-        let end = self.now + FAULTY;
+        let end = self.now + FAULTY_PERIOD;
         while self.now < end {
-            self.disturb();
+            self.inject_events();
             self.step();
         }
-        self.faulty = false;
-        self.kv.out = self.now;
-        let end = self.now + QUIET;
+        self.faults_enabled = false;
+        self.kv.outage_until = self.now;
+        let end = self.now + RECOVERY_PERIOD;
         while self.now < end {
-            self.operate();
+            self.release_orders();
             self.step();
         }
         self.check_end();
     }
 
-    fn disturb(&mut self) {
+    fn inject_events(&mut self) {
         let node = self.rng.random_range(0..NODES);
         match self.rng.random_range(0..600) {
             0..4 => {
-                let pause = self.millis(1_000..30_000);
-                self.nodes[node].paused = self.now + pause;
+                let pause = self.random_millis(1_000..30_000);
+                self.nodes[node].paused_until = self.now + pause;
             }
             4 | 5 => self.nodes[node] = self.new_node(node),
             6 => {
-                let out = self.millis(1_000..25_000);
-                self.kv.out = self.now + out;
+                let out = self.random_millis(1_000..25_000);
+                self.kv.outage_until = self.now + out;
             }
             7..30 => {
                 let role = ROLES[self.rng.random_range(0..ROLES.len())];
                 let index = self.rng.random_range(0..self.engines.len());
                 let engine = self.engines.values_mut().nth(index);
-                engine.expect("in range").wish = role;
+                engine.expect("in range").desired_role = role;
             }
-            30..34 => self.operate(),
+            30..34 => self.release_orders(),
             _ => {}
         }
     }
 
     /// Releases an order that surely can't arrive: its process is gone, and no copy is on its way.
-    fn operate(&mut self) {
+    fn release_orders(&mut self) {
         let Some(record) = &self.kv.record else { return };
         for (name, order) in &record.engines {
             let sequence = order.order.sequence;
             let alive = self.nodes.iter().any(|n| n.incarnation == order.incarnation);
-            let underway = self
+            let in_flight = self
                 .queue
                 .values()
                 .any(|m| matches!(m, Message::Engine(_, _, _, e, o) if e == name && o.sequence == sequence));
-            if order.phase == Phase::Open && !underway && (!alive || !self.faulty) {
-                self.engines.get_mut(name).expect("known").released = sequence;
+            if order.phase == Phase::Open && !in_flight && (!alive || !self.faults_enabled) {
+                self.engines.get_mut(name).expect("known").released_sequence = sequence;
             }
         }
     }
@@ -292,22 +292,22 @@
             self.seed
         );
         for node in 0..NODES {
-            if self.now < self.nodes[node].paused {
+            if self.now < self.nodes[node].paused_until {
                 continue;
             }
             let event = match self.kv.lease {
-                _ if self.now < self.kv.out => None,
+                _ if self.now < self.kv.outage_until => None,
                 Some((_, _, end)) if self.now < end => Some(Event::Occupied),
                 _ => Some(Event::Vacant),
             };
-            let wishes = self.wishes();
-            for event in event.into_iter().chain([wishes, Event::Tick]) {
-                self.feed(node, event);
+            let config = self.config_event();
+            for event in event.into_iter().chain([config, Event::Tick]) {
+                self.on_event(node, event);
             }
         }
     }
 
-    fn feed(&mut self, node: usize, event: Event) {
+    fn on_event(&mut self, node: usize, event: Event) {
         let actions = self.nodes[node].machine.handle_event(self.now, event);
         for action in actions {
             self.perform(node, action);
@@ -317,35 +317,35 @@
     fn perform(&mut self, node: usize, action: Action) {
         let incarnation = self.nodes[node].incarnation;
         match action {
-            Action::Acquire(call) => self.call_kv(node, call, Call::Acquire),
-            Action::Renew(call) => self.call_kv(node, call, Call::Renew),
-            Action::Release => self.release(node),
-            Action::Read(call) => self.call_kv(node, call, Call::Read),
+            Action::Acquire(call) => self.call_kv(node, call, KvCall::Acquire),
+            Action::Renew(call) => self.call_kv(node, call, KvCall::Renew),
+            Action::Release => self.release_lease(node),
+            Action::Read(call) => self.call_kv(node, call, KvCall::Read),
             Action::Write { call, expect, record } => {
-                self.call_kv(node, call, Call::Write(expect.0, Box::new(record)));
+                self.call_kv(node, call, KvCall::Write(expect.0, Box::new(record)));
             }
             Action::Probe(engine) => {
-                let lag = self.millis(0..3_000);
+                let lag = self.random_millis(0..3_000);
                 let report = self.engines[&engine].report(self.now, lag);
-                self.answer(node, incarnation, Event::Reported { engine, report });
+                self.send_answer(node, incarnation, Event::Reported { engine, report });
             }
             Action::Hold(engine) => {
-                let event = self.held(engine);
-                self.answer(node, incarnation, event);
+                let event = self.hold_answers(engine);
+                self.send_answer(node, incarnation, event);
             }
             Action::AskWeights { engine, .. } => {
-                self.answer(node, incarnation, Event::WeightsChecked { engine, ready: true });
+                self.send_answer(node, incarnation, Event::WeightsChecked { engine, ready: true });
             }
             Action::Send(send) => {
                 assert!(self.now < send.deadline, "seed {}: decided too late", self.seed);
-                self.send(node, send);
+                self.send_order(node, send);
             }
             Action::AskSettlement {
                 holder,
                 incarnation: opened,
                 engine,
                 sequence,
-            } => self.ask(node, &holder, opened, engine, sequence),
+            } => self.ask_settlement(node, &holder, opened, engine, sequence),
             Action::InvariantBroken(rule) => panic!("seed {}: {rule}", self.seed),
             _ => {}
         }
@@ -353,7 +353,7 @@
 
     /// An order leaves: mostly at once; now and then the connection is refused, or the order takes longer
     /// than its sender waits, or its sender is paused right between its check and its send.
-    fn send(&mut self, node: usize, send: SendOrder) {
+    fn send_order(&mut self, node: usize, send: SendOrder) {
         let incarnation = self.nodes[node].incarnation;
         let answer = |answer| Event::Answered {
             call: send.call,
@@ -361,32 +361,32 @@
             answer,
         };
         if self.chance(10) {
-            return self.answer(node, incarnation, answer(OrderAnswer::Unsent));
+            return self.send_answer(node, incarnation, answer(OrderAnswer::Unsent));
         }
-        let mut delay = self.delay();
+        let mut delay = self.random_delay();
         if self.chance(20) {
-            delay = self.millis(3_000..60_000);
+            delay = self.random_millis(3_000..60_000);
             match self.chance(50) {
-                true => self.nodes[node].paused = self.now + delay,
-                false => self.answer(node, incarnation, answer(OrderAnswer::Unknown)),
+                true => self.nodes[node].paused_until = self.now + delay,
+                false => self.send_answer(node, incarnation, answer(OrderAnswer::Unknown)),
             }
         }
         let message = Message::Engine(node, incarnation, send.call, send.engine, send.order);
-        self.post(delay, message);
+        self.schedule(delay, message);
     }
 
-    fn release(&mut self, node: usize) {
+    fn release_lease(&mut self, node: usize) {
         let by = self.nodes[node].incarnation;
         let owned = self.kv.lease.is_some_and(|(n, i, _)| (n, i) == (node, by));
-        if owned && self.now >= self.kv.out {
+        if owned && self.now >= self.kv.outage_until {
             self.kv.lease = None;
         }
     }
 
-    fn held(&mut self, engine: Name) -> Event {
+    fn hold_answers(&mut self, engine: Name) -> Event {
         let mut answers = BTreeMap::new();
         for node in 0..NODES {
-            let answer = match self.now < self.nodes[node].paused {
+            let answer = match self.now < self.nodes[node].paused_until {
                 true => HoldAnswer::Missing,
                 false => HoldAnswer::InFlight(u32::from(self.chance(20))),
             };
@@ -400,12 +400,19 @@
         }
     }
 
-    fn ask(&mut self, node: usize, holder: &Name, opened: Incarnation, engine: Name, sequence: u64) {
+    fn ask_settlement(
+        &mut self,
+        node: usize,
+        holder: &Name,
+        opened: Incarnation,
+        engine: Name,
+        sequence: u64,
+    ) {
         let from = self.nodes[node].incarnation;
         let other = (0..NODES)
             .find(|n| name(&format!("i{n}")) == *holder)
             .expect("known");
-        if self.now < self.nodes[other].paused {
+        if self.now < self.nodes[other].paused_until {
             return;
         }
         let settlement = self.nodes[other].machine.settlement(opened, &engine, sequence);
@@ -414,14 +421,14 @@
             sequence,
             settlement,
         };
-        self.answer(node, from, event);
+        self.send_answer(node, from, event);
     }
 
-    fn call_kv(&mut self, node: usize, call: CallId, what: Call) {
-        let delay = self.delay();
+    fn call_kv(&mut self, node: usize, call: CallId, what: KvCall) {
+        let delay = self.random_delay();
         let incarnation = self.nodes[node].incarnation;
         let sent = self.now;
-        self.post(delay, Message::Kv(node, incarnation, call, what, sent));
+        self.schedule(delay, Message::Kv(node, incarnation, call, what, sent));
     }
 
     fn deliver(&mut self, message: Message) {
@@ -430,33 +437,40 @@
                 if self.nodes[node].incarnation != incarnation {
                     return;
                 }
-                match self.now < self.nodes[node].paused {
+                match self.now < self.nodes[node].paused_until {
                     true => {
-                        let later = self.nodes[node].paused.since(self.now);
-                        self.post(later, Message::Node(node, incarnation, event));
+                        let later = self.nodes[node].paused_until.since(self.now);
+                        self.schedule(later, Message::Node(node, incarnation, event));
                     }
-                    false => self.feed(node, event),
+                    false => self.on_event(node, event),
                 }
             }
             Message::Kv(node, incarnation, call, what, sent) => {
-                let event = self.serve(node, incarnation, call, what, sent);
-                self.answer(node, incarnation, event);
+                let event = self.serve_kv_call(node, incarnation, call, what, sent);
+                self.send_answer(node, incarnation, event);
             }
             Message::Engine(node, incarnation, call, engine, order) => {
-                let answer = self.apply(&engine, order);
+                let answer = self.apply_order(&engine, order);
                 let answer = if self.chance(10) {
                     OrderAnswer::Unknown
                 } else {
                     answer
                 };
-                self.answer(node, incarnation, Event::Answered { call, engine, answer });
+                self.send_answer(node, incarnation, Event::Answered { call, engine, answer });
             }
         }
     }
 
     /// What the key-value service does with a call, whose answer may say less than what it did.
-    fn serve(&mut self, node: usize, by: Incarnation, call: CallId, what: Call, sent: Time) -> Event {
-        let out = self.now < self.kv.out;
+    fn serve_kv_call(
+        &mut self,
+        node: usize,
+        by: Incarnation,
+        call: CallId,
+        what: KvCall,
+        sent: Time,
+    ) -> Event {
+        let out = self.now < self.kv.outage_until;
         let lost = self.chance(5);
         let owned = self
             .kv
@@ -464,16 +478,16 @@
             .filter(|(n, i, end)| (*n, *i) == (node, by) && self.now < *end);
         let free = self.kv.lease.is_none_or(|(_, _, end)| self.now >= end);
         match what {
-            Call::Acquire if out || !free => Event::NotAcquired { call },
-            Call::Acquire => {
+            KvCall::Acquire if out || !free => Event::NotAcquired { call },
+            KvCall::Acquire => {
                 self.kv.lease = Some((node, by, self.now + TTL));
                 match lost {
                     true => Event::NotAcquired { call },
                     false => Event::Acquired { call, sent },
                 }
             }
-            Call::Renew if out => Event::RenewFailed { call },
-            Call::Renew => match owned {
+            KvCall::Renew if out => Event::RenewFailed { call },
+            KvCall::Renew => match owned {
                 None => Event::Expired { call },
                 Some(_) => {
                     self.kv.lease = Some((node, by, self.now + TTL));
@@ -483,17 +497,17 @@
                     }
                 }
             },
-            Call::Read if out || lost => Event::ReadFailed { call },
-            Call::Read => Event::Read {
+            KvCall::Read if out || lost => Event::ReadFailed { call },
+            KvCall::Read => Event::Read {
                 call,
                 version: RecordVersion(self.kv.version),
                 record: self.kv.record.clone(),
             },
-            Call::Write(_, _) if out => Event::Wrote {
+            KvCall::Write(_, _) if out => Event::Wrote {
                 call,
                 outcome: WriteOutcome::Unknown,
             },
-            Call::Write(expect, record) => {
+            KvCall::Write(expect, record) => {
                 let written = match expect == self.kv.version {
                     true => {
                         self.kv.version += 1;
@@ -514,7 +528,7 @@
     /// An order reaches an engine. What must hold: an order that takes effect is the last recorded one, comes
     /// after all before it, and is the same whenever it comes again. A late copy of the one before may reach an
     /// engine that checks numbers while the next is not there yet; it must change nothing, not even the number.
-    fn apply(&mut self, name: &Name, order: Order) -> OrderAnswer {
+    fn apply_order(&mut self, name: &Name, order: Order) -> OrderAnswer {
         let (seed, now) = (self.seed, self.now);
         let recorded = self.kv.record.as_ref().and_then(|r| r.engines.get(name)).cloned();
         let engine = self.engines.get_mut(name).expect("known");
@@ -544,10 +558,10 @@
         engine.sequence = order.sequence;
         if engine.target != order.target {
             engine.target = order.target;
-            engine.away = now + Duration::from_secs(2);
-            self.applied += 1;
+            engine.away_until = now + Duration::from_secs(2);
+            self.applied_orders += 1;
         }
-        let state = (now, engine.target.clone(), engine.sequence, engine.away);
+        let state = (now, engine.target.clone(), engine.sequence, engine.away_until);
         engine.history.push(state);
         OrderAnswer::Applied
     }
@@ -555,7 +569,7 @@
     fn check_end(&self) {
         for (name, engine) in &self.engines {
             assert_eq!(
-                engine.target.role, engine.wish,
+                engine.target.role, engine.desired_role,
                 "seed {}: {name} is not what was wished",
                 self.seed
             );
@@ -586,15 +600,15 @@
     let count = seeds.end - seeds.start;
     let mut applied = 0;
     for seed in seeds {
-        let mut world = World::new(seed);
-        world.run();
-        applied += world.applied;
+        let mut simulation = Simulation::new(seed);
+        simulation.run();
+        applied += simulation.applied_orders;
     }
     assert!(applied > 5 * count, "the runs change too little: {applied}");
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let Ok(text) = std::env::var(SEEDS_FROM) else {
+    let Ok(text) = std::env::var(SEEDS_VARIABLE) else {
         return SEEDS;
     };
     let ends = text.split_once("..").expect("FROM..TO");
--- a/tests/testsuite/whole/engines.rs
+++ b/tests/testsuite/whole/engines.rs
@@ -13,13 +13,13 @@
 use sequoiastream_core::time::Time;
 
 /// How long an engine is away when it changes.
-const CHANGE: Duration = Duration::from_secs(2);
+const CHANGE_DURATION: Duration = Duration::from_secs(2);
 
-struct Past {
+struct HistoryEntry {
     at: Time,
     target: Target,
     sequence: u64,
-    away: Time,
+    away_until: Time,
 }
 
 pub struct Engine {
@@ -27,9 +27,9 @@
     pub target: Target,
     sequence: u64,
     fence: Fence,
-    away: Time,
+    away_until: Time,
     orders: BTreeMap<u64, Order>,
-    history: Vec<Past>,
+    history: Vec<HistoryEntry>,
 }
 
 impl Engine {
@@ -44,20 +44,20 @@
             },
             sequence: 0,
             fence: Fence(0),
-            away: Time::ZERO,
+            away_until: Time::ZERO,
             orders: BTreeMap::new(),
             history: Vec::new(),
         };
-        engine.note(Time::ZERO);
+        engine.record_state(Time::ZERO);
         engine
     }
 
-    fn note(&mut self, at: Time) {
-        self.history.push(Past {
+    fn record_state(&mut self, at: Time) {
+        self.history.push(HistoryEntry {
             at,
             target: self.target.clone(),
             sequence: self.sequence,
-            away: self.away,
+            away_until: self.away_until,
         });
     }
 
@@ -89,9 +89,9 @@
         let changed = self.target != order.target;
         if changed {
             self.target = order.target;
-            self.away = now + CHANGE;
+            self.away_until = now + CHANGE_DURATION;
         }
-        self.note(now);
+        self.record_state(now);
         (OrderAnswer::Applied, changed)
     }
 
@@ -102,7 +102,7 @@
         let past = shown.unwrap_or(&self.history[0]);
         Report {
             target: past.target.clone(),
-            away: taken < past.away,
+            away: taken < past.away_until,
             idle: true,
             sequence: past.sequence,
             taken_at: taken,
--- a/tests/testsuite/whole/holders.rs
+++ b/tests/testsuite/whole/holders.rs
@@ -13,37 +13,37 @@
 use sequoiastream_core::authority::SendOrder;
 use sequoiastream_core::name::Name;
 
-use super::kv::Call;
+use super::kv::KvCall;
 use super::world::INSTANCES;
 use super::world::Message;
 use super::world::Process;
-use super::world::World;
+use super::world::Simulation;
 use super::world::name;
 
-impl World {
+impl Simulation {
     /// What the daemon tells an authority ten times a second, by the instance's own configuration in force.
     pub fn tick_authority(&mut self, index: usize) {
-        let Some(wishes) = self.wishes(index) else {
+        let Some(config) = self.config_event(index) else {
             return;
         };
         let instance = &self.instances[index];
-        let event = match self.now < self.kv.out || self.now < instance.cut {
+        let event = match self.now < self.kv.outage_until || self.now < instance.disconnected_until {
             true => None,
-            false if self.kv.is_held(self.now) => Some(Event::Occupied),
+            false if self.kv.is_lease_held(self.now) => Some(Event::Occupied),
             false => Some(Event::Vacant),
         };
-        for event in event.into_iter().chain([wishes, Event::Tick]) {
-            self.tell_authority(index, event);
+        for event in event.into_iter().chain([config, Event::Tick]) {
+            self.on_authority_event(index, event);
         }
     }
 
-    fn wishes(&self, index: usize) -> Option<Event> {
-        let config = &self.instances[index].keeper.state().config;
+    fn config_event(&self, index: usize) -> Option<Event> {
+        let config = &self.instances[index].replicator.state().config;
         if !config.services.contains_key(&name("model")) {
             return None;
         }
         let engines = config.engines.iter().filter(|(_, e)| e.service == name("model"));
-        let wish = |(name, engine): (&Name, &sequoiastream_core::config::Engine)| EngineConfig {
+        let engine_config = |(name, engine): (&Name, &sequoiastream_core::config::Engine)| EngineConfig {
             name: name.clone(),
             fencing: engine.fencing,
             role: engine.role,
@@ -51,56 +51,56 @@
         };
         Some(Event::Configured {
             model: "m".to_string(),
-            engines: engines.map(wish).collect(),
+            engines: engines.map(engine_config).collect(),
         })
     }
 
-    pub fn tell_authority(&mut self, index: usize, event: Event) {
+    pub fn on_authority_event(&mut self, index: usize, event: Event) {
         let actions = self.instances[index].authority.handle_event(self.now, event);
         for action in actions {
-            self.authority_acts(index, action);
+            self.perform_authority_action(index, action);
         }
     }
 
     /// An answer on its way to an authority: delayed, sometimes lost, sometimes doubled.
-    fn tell_later(&mut self, to: Process, event: Event) {
+    fn send_authority_event(&mut self, to: Process, event: Event) {
         if self.chance(2) {
             return;
         }
-        let delay = self.delay();
+        let delay = self.random_delay();
         if self.chance(3) {
-            let again = self.delay();
-            self.post(again, Some(to), Message::Authority(event.clone()));
+            let again = self.random_delay();
+            self.schedule(again, Some(to), Message::Authority(event.clone()));
         }
-        self.post(delay, Some(to), Message::Authority(event));
+        self.schedule(delay, Some(to), Message::Authority(event));
     }
 
-    fn authority_acts(&mut self, index: usize, action: Action) {
+    fn perform_authority_action(&mut self, index: usize, action: Action) {
         let to = self.process(index);
         match action {
-            Action::Acquire(call) => self.call(index, Call::Acquire(call, self.now)),
-            Action::Renew(call) => self.call(index, Call::Renew(call, self.now)),
+            Action::Acquire(call) => self.call_kv(index, KvCall::Acquire(call, self.now)),
+            Action::Renew(call) => self.call_kv(index, KvCall::Renew(call, self.now)),
             Action::Release => {
                 let by = self.instances[index].incarnation;
-                if self.now >= self.kv.out && self.now >= self.instances[index].cut {
-                    self.kv.release(index, by);
+                if self.now >= self.kv.outage_until && self.now >= self.instances[index].disconnected_until {
+                    self.kv.release_lease(index, by);
                 }
             }
-            Action::Read(call) => self.call(index, Call::ReadRecord(call)),
+            Action::Read(call) => self.call_kv(index, KvCall::ReadRecord(call)),
             Action::Write { call, expect, record } => {
-                self.call(index, Call::WriteRecord(call, expect, Box::new(record)));
+                self.call_kv(index, KvCall::WriteRecord(call, expect, Box::new(record)));
             }
             Action::Probe(engine) => {
-                let lag = self.millis(0..3_000);
+                let lag = self.random_millis(0..3_000);
                 let report = self.engines[&engine].report(self.now, lag);
-                self.tell_later(to, Event::Reported { engine, report });
+                self.send_authority_event(to, Event::Reported { engine, report });
             }
             Action::Hold(engine) => {
-                let event = self.held(engine);
-                self.tell_later(to, event);
+                let event = self.hold_answers(engine);
+                self.send_authority_event(to, event);
             }
             Action::AskWeights { engine, .. } => {
-                self.tell_later(to, Event::WeightsChecked { engine, ready: true });
+                self.send_authority_event(to, Event::WeightsChecked { engine, ready: true });
             }
             Action::Send(send) => {
                 assert!(self.now < send.deadline, "decided too late");
@@ -111,7 +111,7 @@
                 incarnation,
                 engine,
                 sequence,
-            } => self.ask_holder(to, &holder, incarnation, (engine, sequence)),
+            } => self.ask_settlement(to, &holder, incarnation, (engine, sequence)),
             Action::InvariantBroken(rule) => panic!("{rule}"),
             _ => {}
         }
@@ -127,39 +127,39 @@
             answer,
         };
         if self.chance(10) {
-            return self.tell_later(from, answer(OrderAnswer::Unsent));
+            return self.send_authority_event(from, answer(OrderAnswer::Unsent));
         }
-        let mut delay = self.delay();
+        let mut delay = self.random_delay();
         if self.chance(20) {
-            delay = self.millis(3_000..60_000);
+            delay = self.random_millis(3_000..60_000);
             match self.chance(50) {
                 true => self.pause(index, 3_000..60_000),
-                false => self.tell_later(from, answer(OrderAnswer::Unknown)),
+                false => self.send_authority_event(from, answer(OrderAnswer::Unknown)),
             }
         }
         let message = Message::Order(from, send.call, send.engine, send.order);
-        self.post(delay, None, message);
+        self.schedule(delay, None, message);
     }
 
     /// An order reaches its engine.
-    pub fn order(&mut self, from: Process, call: CallId, engine: Name, order: Order) {
+    pub fn deliver_order(&mut self, from: Process, call: CallId, engine: Name, order: Order) {
         let recorded = self.kv.record.as_ref().and_then(|r| r.engines.get(&engine));
         let recorded = recorded.expect("an order has a record").order.clone();
         let reached = self.engines.get_mut(&engine).expect("known");
         let (answer, changed) = reached.apply(self.now, order, &recorded);
-        self.applied += u64::from(changed);
+        self.applied_orders += u64::from(changed);
         let answer = if self.chance(10) {
             OrderAnswer::Unknown
         } else {
             answer
         };
-        self.tell_later(from, Event::Answered { call, engine, answer });
+        self.send_authority_event(from, Event::Answered { call, engine, answer });
     }
 
-    fn held(&mut self, engine: Name) -> Event {
+    fn hold_answers(&mut self, engine: Name) -> Event {
         let mut answers = BTreeMap::new();
         for index in 0..INSTANCES {
-            let answer = match self.now < self.instances[index].paused {
+            let answer = match self.now < self.instances[index].paused_until {
                 true => HoldAnswer::Missing,
                 false => HoldAnswer::InFlight(u32::from(self.chance(20))),
             };
@@ -173,10 +173,10 @@
         }
     }
 
-    fn ask_holder(&mut self, from: Process, holder: &Name, opened: Incarnation, order: (Name, u64)) {
+    fn ask_settlement(&mut self, from: Process, holder: &Name, opened: Incarnation, order: (Name, u64)) {
         let (engine, sequence) = order;
         let other: usize = holder.as_str()[1..].parse().expect("an index");
-        if self.now < self.instances[other].paused {
+        if self.now < self.instances[other].paused_until {
             return;
         }
         let authority = &mut self.instances[other].authority;
@@ -186,6 +186,6 @@
             sequence,
             settlement,
         };
-        self.tell_later(from, event);
+        self.send_authority_event(from, event);
     }
 }
--- a/tests/testsuite/whole/kv.rs
+++ b/tests/testsuite/whole/kv.rs
@@ -28,59 +28,59 @@
 
 /// A call of one of an instance's machines.
 #[derive(Debug, Clone)]
-pub enum Call {
+pub enum KvCall {
     Acquire(CallId, Time),
     Renew(CallId, Time),
     ReadRecord(CallId),
     WriteRecord(CallId, RecordVersion, Box<authority::Record>),
     ReadHead,
     ReadSnapshot(Version),
-    Store(config::SubmissionId, Box<State>),
-    Swap(config::SubmissionId, config::Revision, Box<Head>),
-    Remove(Version),
+    StoreSnapshot(config::SubmissionId, Box<State>),
+    SwapHead(config::SubmissionId, config::Revision, Box<Head>),
+    RemoveSnapshot(Version),
     ReadBucket(BucketId),
     WriteBucket(BucketId, claims::Revision, Bucket),
 }
 
-impl Call {
+impl KvCall {
     /// Whether it compares before it writes, so that a second copy can do nothing.
-    pub fn is_compared(&self) -> bool {
+    pub fn is_compare_and_swap(&self) -> bool {
         matches!(
             self,
-            Call::WriteRecord(..) | Call::Swap(..) | Call::WriteBucket(..)
+            KvCall::WriteRecord(..) | KvCall::SwapHead(..) | KvCall::WriteBucket(..)
         )
     }
 
-    /// What its machine is told if no answer came; `unsure` if the call may have taken effect.
-    pub fn failed(&self, unsure: bool) -> Option<Message> {
+    /// What its machine is told if no answer came; `maybe_written` if the call may have taken effect.
+    pub fn failure_message(&self, maybe_written: bool) -> Option<Message> {
         let message = match self {
-            Call::Acquire(call, _) => Message::Authority(authority::Event::NotAcquired { call: *call }),
-            Call::Renew(call, _) => Message::Authority(authority::Event::RenewFailed { call: *call }),
-            Call::ReadRecord(call) => Message::Authority(authority::Event::ReadFailed { call: *call }),
-            Call::WriteRecord(call, ..) => Message::Authority(authority::Event::Wrote {
+            KvCall::Acquire(call, _) => Message::Authority(authority::Event::NotAcquired { call: *call }),
+            KvCall::Renew(call, _) => Message::Authority(authority::Event::RenewFailed { call: *call }),
+            KvCall::ReadRecord(call) => Message::Authority(authority::Event::ReadFailed { call: *call }),
+            KvCall::WriteRecord(call, ..) => Message::Authority(authority::Event::Wrote {
                 call: *call,
                 outcome: WriteOutcome::Unknown,
             }),
-            Call::ReadHead => Message::Keeper(config::Event::ReadFailed),
-            Call::ReadSnapshot(_) => Message::Keeper(config::Event::Snapshot(None)),
-            Call::Store(ticket, state) => {
-                Message::Keeper(config::Event::SnapshotStored(*ticket, state.version, false))
+            KvCall::ReadHead => Message::Replicator(config::Event::ReadFailed),
+            KvCall::ReadSnapshot(_) => Message::Replicator(config::Event::Snapshot(None)),
+            KvCall::StoreSnapshot(submission, state) => {
+                Message::Replicator(config::Event::SnapshotStored(*submission, state.version, false))
             }
-            Call::Swap(ticket, ..) => {
-                let swapped = match unsure {
+            KvCall::SwapHead(submission, ..) => {
+                let swapped = match maybe_written {
                     true => SwapResult::Unknown,
                     false => SwapResult::Failed,
                 };
-                Message::Keeper(config::Event::Swapped(*ticket, swapped))
+                Message::Replicator(config::Event::Swapped(*submission, swapped))
             }
-            Call::Remove(_) => return None,
-            Call::ReadBucket(bucket) => Message::Owner(OwnerEvent::Failed {
+            KvCall::RemoveSnapshot(_) => return None,
+            KvCall::ReadBucket(bucket) => Message::Owner(OwnerEvent::Failed {
                 bucket: *bucket,
                 maybe_written: false,
             }),
-            Call::WriteBucket(bucket, ..) => Message::Owner(OwnerEvent::Failed {
+            KvCall::WriteBucket(bucket, ..) => Message::Owner(OwnerEvent::Failed {
                 bucket: *bucket,
-                maybe_written: unsure,
+                maybe_written,
             }),
         };
         Some(message)
@@ -89,17 +89,17 @@
 
 /// A change that was accepted, and the configuration after it.
 #[derive(Debug)]
-pub struct Accepted {
+pub struct AcceptedChange {
     pub id: CommandId,
-    pub at: Time,
+    pub accepted_at: Time,
     pub config: Config,
 }
 
 #[derive(Debug, Default)]
 pub struct Kv {
     /// Outage and slowness last until these times.
-    pub out: Time,
-    pub slow: Time,
+    pub outage_until: Time,
+    pub slow_until: Time,
     pub record: Option<authority::Record>,
     version: u64,
     /// Instance, incarnation and end of the lease.
@@ -107,64 +107,64 @@
     pub stored: config::StoredHead,
     snapshots: BTreeMap<Version, State>,
     /// The accepted changes; version n is at index n - 1.
-    pub accepted: Vec<Accepted>,
+    pub accepted: Vec<AcceptedChange>,
     buckets: BTreeMap<BucketId, (claims::Revision, Bucket)>,
     revision: u64,
 }
 
 impl Kv {
     /// Whether someone holds the lease.
-    pub fn is_held(&self, now: Time) -> bool {
+    pub fn is_lease_held(&self, now: Time) -> bool {
         self.lease.is_some_and(|(.., end)| now < end)
     }
 
     /// Ends the lease if this instance's incarnation has it.
-    pub fn release(&mut self, index: usize, by: Incarnation) {
+    pub fn release_lease(&mut self, index: usize, by: Incarnation) {
         if self.lease.is_some_and(|(i, b, _)| (i, b) == (index, by)) {
             self.lease = None;
         }
     }
 
     /// Carries out a call that arrived, and gives the answer.
-    pub fn serve(&mut self, now: Time, index: usize, by: Incarnation, call: Call) -> Option<Message> {
+    pub fn serve(&mut self, now: Time, index: usize, by: Incarnation, call: KvCall) -> Option<Message> {
         match call {
-            Call::Acquire(call, sent) => Some(self.acquire(now, (index, by), call, sent)),
-            Call::Renew(call, sent) => Some(self.renew(now, (index, by), call, sent)),
-            Call::ReadRecord(call) => Some(Message::Authority(authority::Event::Read {
+            KvCall::Acquire(call, sent) => Some(self.acquire(now, (index, by), call, sent)),
+            KvCall::Renew(call, sent) => Some(self.renew(now, (index, by), call, sent)),
+            KvCall::ReadRecord(call) => Some(Message::Authority(authority::Event::Read {
                 call,
                 version: RecordVersion(self.version),
                 record: self.record.clone(),
             })),
-            Call::WriteRecord(call, expect, record) => Some(self.write_record(call, expect, *record)),
-            Call::ReadHead => Some(Message::Keeper(config::Event::Read(self.stored.clone()))),
-            Call::ReadSnapshot(version) => {
+            KvCall::WriteRecord(call, expect, record) => Some(self.write_record(call, expect, *record)),
+            KvCall::ReadHead => Some(Message::Replicator(config::Event::Read(self.stored.clone()))),
+            KvCall::ReadSnapshot(version) => {
                 let snapshot = self.snapshots.get(&version).cloned().map(Box::new);
-                Some(Message::Keeper(config::Event::Snapshot(snapshot)))
+                Some(Message::Replicator(config::Event::Snapshot(snapshot)))
             }
-            Call::Store(ticket, state) => {
+            KvCall::StoreSnapshot(submission, state) => {
                 let version = state.version;
                 self.snapshots.entry(version).or_insert(*state);
-                let stored = config::Event::SnapshotStored(ticket, version, true);
-                Some(Message::Keeper(stored))
+                let stored = config::Event::SnapshotStored(submission, version, true);
+                Some(Message::Replicator(stored))
             }
-            Call::Swap(ticket, expect, head) => {
+            KvCall::SwapHead(submission, expect, head) => {
                 let swapped = self.swap(now, expect, *head);
-                Some(Message::Keeper(config::Event::Swapped(ticket, swapped)))
+                Some(Message::Replicator(config::Event::Swapped(submission, swapped)))
             }
-            Call::Remove(version) => {
+            KvCall::RemoveSnapshot(version) => {
                 self.snapshots.remove(&version);
                 None
             }
-            Call::ReadBucket(bucket) => {
+            KvCall::ReadBucket(bucket) => {
                 let (revision, content) = self.buckets.get(&bucket).cloned().unwrap_or_default();
                 Some(Message::Owner(OwnerEvent::Current(bucket, revision, content)))
             }
-            Call::WriteBucket(bucket, expect, content) => Some(self.write_bucket(bucket, expect, content)),
+            KvCall::WriteBucket(bucket, expect, content) => Some(self.write_bucket(bucket, expect, content)),
         }
     }
 
     fn acquire(&mut self, now: Time, by: (usize, Incarnation), call: CallId, sent: Time) -> Message {
-        if self.is_held(now) {
+        if self.is_lease_held(now) {
             return Message::Authority(authority::Event::NotAcquired { call });
         }
         self.lease = Some((by.0, by.1, now + TTL));
@@ -196,9 +196,9 @@
     }
 
     fn write_bucket(&mut self, bucket: BucketId, expect: claims::Revision, content: Bucket) -> Message {
-        let (revision, stands) = self.buckets.get(&bucket).cloned().unwrap_or_default();
+        let (revision, current) = self.buckets.get(&bucket).cloned().unwrap_or_default();
         if revision != expect {
-            return Message::Owner(OwnerEvent::Current(bucket, revision, stands));
+            return Message::Owner(OwnerEvent::Current(bucket, revision, current));
         }
         self.revision += 1;
         let revision = claims::Revision(self.revision);
@@ -226,9 +226,9 @@
         for command in &change.commands {
             config.apply(command).expect("an accepted command can be applied");
         }
-        self.accepted.push(Accepted {
+        self.accepted.push(AcceptedChange {
             id: change.id,
-            at: now,
+            accepted_at: now,
             config,
         });
         self.stored = config::StoredHead {
@@ -240,6 +240,6 @@
 
     /// The version in force by `at`; 0 before the first.
     pub fn version_at(&self, at: Time) -> Version {
-        Version(self.accepted.iter().filter(|a| a.at <= at).count() as u64)
+        Version(self.accepted.iter().filter(|a| a.accepted_at <= at).count() as u64)
     }
 }
--- a/tests/testsuite/whole/mod.rs
+++ b/tests/testsuite/whole/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::claims::client::Failing;
 use crate::claims::client::seeds_or;
-use crate::whole::world::World;
+use crate::whole::world::Simulation;
 
 /// Seeds that each run of the test suite takes.
 const SEEDS: std::ops::Range<u64> = 0..40;
@@ -22,7 +22,7 @@
 /// former holder, or a drained engine get work, where one machine relies on what another no longer holds.
 #[test]
 fn machines_together() {
-    together(seeds_or(SEEDS));
+    run_seeds(seeds_or(SEEDS));
 }
 
 /// A late copy of an order that an engine has carried out arrives while the next one is recorded and not there yet.
@@ -30,31 +30,31 @@
 #[test]
 fn machines_late_copy() {
     let _failing = Failing(108);
-    World::new(108).run();
+    Simulation::new(108).run();
 }
 
-fn together(seeds: std::ops::Range<u64>) {
+fn run_seeds(seeds: std::ops::Range<u64>) {
     let mut runs = 0;
     let mut orders = 0;
     let mut changes = 0;
     let mut refused = 0;
     let mut timely = 0;
-    let mut by_peers = 0;
+    let mut disconnected = 0;
     let count = seeds.end - seeds.start;
     for seed in seeds {
         let _failing = Failing(seed);
-        let mut world = World::new(seed);
-        world.run();
-        runs += world.runs.len() as u64;
-        orders += world.applied;
-        changes += world.kv.accepted.len() as u64;
-        refused += world.refused;
-        timely += world.timely;
-        by_peers += world.by_peers;
+        let mut simulation = Simulation::new(seed);
+        simulation.run();
+        runs += simulation.runs.len() as u64;
+        orders += simulation.applied_orders;
+        changes += simulation.kv.accepted.len() as u64;
+        refused += simulation.refused_requests;
+        timely += simulation.timely_picks;
+        disconnected += simulation.disconnected_picks;
     }
     // The run means something only if each of these happened often.
     let seen = format!(
-        "{runs} runs, {orders} orders, {changes} changes, {refused} refused, {timely} picks in time, {by_peers} cut off"
+        "{runs} runs, {orders} orders, {changes} changes, {refused} refused, {timely} picks in time, {disconnected} cut off"
     );
     eprintln!("{count} seeds: {seen}");
     assert!(runs > 5 * count, "{seen}");
@@ -62,5 +62,5 @@
     assert!(changes > 10 * count, "{seen}");
     assert!(refused > count, "{seen}");
     assert!(timely > 4 * count, "{seen}");
-    assert!(10 * by_peers > count, "{seen}");
+    assert!(10 * disconnected > count, "{seen}");
 }
--- a/tests/testsuite/whole/operators.rs
+++ b/tests/testsuite/whole/operators.rs
@@ -27,27 +27,27 @@
 use sequoiastream_core::time::WallTime;
 use uuid::Uuid;
 
-use super::kv::Call;
+use super::kv::KvCall;
 use super::world::INSTANCES;
 use super::world::Instance;
 use super::world::Message;
 use super::world::Process;
-use super::world::World;
+use super::world::Simulation;
 use super::world::name;
 
 const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 /// Within which an accepted drain reaches each instance that runs and is connected.
-const DRAIN_LIMIT: Duration = Duration::from_secs(3);
+const DRAIN_PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 
 /// After which an operator states again that an order is released.
-const RESTATE: Duration = Duration::from_secs(15);
+const RELEASE_RETRY_INTERVAL: Duration = Duration::from_secs(15);
 
 fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], index as u16))
 }
 
-fn place(service: &str, port: u16, fencing: Fencing) -> PlaceEngine {
+fn place_engine(service: &str, port: u16, fencing: Fencing) -> PlaceEngine {
     PlaceEngine {
         service: name(service),
         zone: name("z1"),
@@ -70,24 +70,24 @@
     vec![
         service("model", ServiceKind::Model { model }),
         service("plain", ServiceKind::Plain { routes: Vec::new() }),
-        engine("e0", place("model", 1, Fencing::Checked)),
-        engine("e1", place("model", 2, Fencing::Ignored)),
-        engine("u0", place("plain", 3, Fencing::Ignored)),
-        engine("u1", place("plain", 4, Fencing::Ignored)),
+        engine("e0", place_engine("model", 1, Fencing::Checked)),
+        engine("e1", place_engine("model", 2, Fencing::Ignored)),
+        engine("u0", place_engine("plain", 3, Fencing::Ignored)),
+        engine("u1", place_engine("plain", 4, Fencing::Ignored)),
     ]
 }
 
-impl World {
+impl Simulation {
     /// The first change, accepted before any instance starts.
-    pub fn found(&mut self) {
+    pub fn accept_first_change(&mut self) {
         let proposal = self.proposal(first_commands(), Base::Implied(Default::default()));
         let head = self.kv.stored.head.push(&State::default(), &proposal);
         let head = head.expect("the first change can be applied");
-        let Some(Message::Keeper(Event::Swapped(_, swapped))) = self.kv.serve(
+        let Some(Message::Replicator(Event::Swapped(_, swapped))) = self.kv.serve(
             self.now,
             0,
             sequoiastream_core::authority::Incarnation(Uuid::nil()),
-            Call::Swap(SubmissionId(0), Revision(0), Box::new(head)),
+            KvCall::SwapHead(SubmissionId(0), Revision(0), Box::new(head)),
         ) else {
             panic!("a swap is answered");
         };
@@ -109,8 +109,8 @@
     }
 
     /// An operator gives a statement, or repeats an earlier one with its id, through any instance.
-    pub fn submit(&mut self, index: usize) {
-        let base = Base::Implied(self.instances[index].keeper.state().version);
+    pub fn submit_statement(&mut self, index: usize) {
+        let base = Base::Implied(self.instances[index].replicator.state().version);
         if self.rng.random_bool(0.2) {
             let at = self.rng.random_range(0..self.proposed.len());
             let (id, commands) = self.proposed.iter().nth(at).expect("in range");
@@ -133,34 +133,34 @@
     }
 
     fn propose(&mut self, index: usize, proposal: Proposal) {
-        let ticket = SubmissionId(self.rng.random());
-        let event = Event::Submitted(ticket, Box::new(proposal));
+        let submission = SubmissionId(self.rng.random());
+        let event = Event::Submitted(submission, Box::new(proposal));
         let to = self.process(index);
-        let travel = self.millis(1..50);
-        self.post(travel, Some(to), Message::Keeper(event));
+        let travel = self.random_millis(1..50);
+        self.schedule(travel, Some(to), Message::Replicator(event));
     }
 
     /// Releases orders that surely can't arrive: their process is gone, and no copy is on its way.
     pub fn release_orders(&mut self) {
         let Some(record) = &self.kv.record else { return };
-        let mut gone = Vec::new();
+        let mut lost = Vec::new();
         for (engine, open) in &record.engines {
             let sequence = open.order.sequence;
             let alive = self.instances.iter().any(|i| i.incarnation == open.incarnation);
-            let stuck = open.phase == Phase::Open && (!alive || !self.faulty);
-            if stuck && !self.is_underway(engine, sequence) {
-                gone.push((engine.clone(), sequence));
+            let stuck = open.phase == Phase::Open && (!alive || !self.faults_enabled);
+            if stuck && !self.is_in_flight(engine, sequence) {
+                lost.push((engine.clone(), sequence));
             }
         }
-        for (engine, sequence) in gone {
+        for (engine, sequence) in lost {
             // A statement that was refused, as one that conflicts is, is given again after a while.
-            let stated = self.stated.get(&(engine.clone(), sequence));
-            if !self.faulty && stated.is_some_and(|at| self.now < *at + RESTATE) {
+            let stated = self.released_at.get(&(engine.clone(), sequence));
+            if !self.faults_enabled && stated.is_some_and(|at| self.now < *at + RELEASE_RETRY_INTERVAL) {
                 continue;
             }
-            self.stated.insert((engine.clone(), sequence), self.now);
+            self.released_at.insert((engine.clone(), sequence), self.now);
             let index = self.rng.random_range(0..INSTANCES);
-            let base = Base::Implied(self.instances[index].keeper.state().version);
+            let base = Base::Implied(self.instances[index].replicator.state().version);
             let command = Command::ReleaseOrder {
                 name: engine,
                 sequence,
@@ -176,37 +176,41 @@
         let version = self.instances[index].published;
         let to = self.process(to);
         if !self.chance(10) {
-            let travel = self.delay();
-            let heard = Event::PeerVersion(address(index), version);
-            self.post(travel, Some(to), Message::Keeper(heard));
+            let travel = self.random_delay();
+            let event = Event::PeerVersion(address(index), version);
+            self.schedule(travel, Some(to), Message::Replicator(event));
         }
     }
 
-    pub fn tell_keeper(&mut self, index: usize, event: Event) {
-        let actions = self.instances[index].keeper.on(self.now, event);
+    pub fn on_replicator_event(&mut self, index: usize, event: Event) {
+        let actions = self.instances[index].replicator.on(self.now, event);
         for action in actions {
-            self.keeper_acts(index, action);
+            self.perform_replicator_action(index, action);
         }
     }
 
-    fn keeper_acts(&mut self, index: usize, action: Action) {
+    fn perform_replicator_action(&mut self, index: usize, action: Action) {
         match action {
-            Action::Read => self.call(index, Call::ReadHead),
-            Action::ReadSnapshot(version) => self.call(index, Call::ReadSnapshot(version)),
-            Action::StoreSnapshot(ticket, state) => self.call(index, Call::Store(ticket, state)),
-            Action::SwapHead(ticket, expect, head) => self.call(index, Call::Swap(ticket, expect, head)),
-            Action::RemoveSnapshot(version) => self.call(index, Call::Remove(version)),
+            Action::Read => self.call_kv(index, KvCall::ReadHead),
+            Action::ReadSnapshot(version) => self.call_kv(index, KvCall::ReadSnapshot(version)),
+            Action::StoreSnapshot(submission, state) => {
+                self.call_kv(index, KvCall::StoreSnapshot(submission, state))
+            }
+            Action::SwapHead(submission, expect, head) => {
+                self.call_kv(index, KvCall::SwapHead(submission, expect, head))
+            }
+            Action::RemoveSnapshot(version) => self.call_kv(index, KvCall::RemoveSnapshot(version)),
             Action::Fetch(peer, after) => {
                 let from = self.process(index);
                 let asked = self.process(usize::from(peer.port()));
-                let travel = self.millis(1..50);
-                self.post(travel, Some(asked), Message::Fetch(from, after));
+                let travel = self.random_millis(1..50);
+                self.schedule(travel, Some(asked), Message::Fetch(from, after));
             }
             Action::Publish => self.publish(index),
             Action::Answer(_, Ok(outcome)) => {
-                let told = self.kv.accepted.len() as u64;
+                let accepted = self.kv.accepted.len() as u64;
                 assert!(
-                    outcome.version.0 <= told,
+                    outcome.version.0 <= accepted,
                     "an operator was told a version that is none"
                 );
             }
@@ -216,16 +220,16 @@
     }
 
     /// A peer is asked for what came after a version.
-    pub fn fetched(&mut self, index: usize, from: Process, after: Version) {
-        let update = self.instances[index].keeper.update_after(after);
-        let travel = self.millis(1..50);
+    pub fn on_fetch(&mut self, index: usize, from: Process, after: Version) {
+        let update = self.instances[index].replicator.update_after(after);
+        let travel = self.random_millis(1..50);
         let update = Event::Fetched(Some(update));
-        self.post(travel, Some(from), Message::Keeper(update));
+        self.schedule(travel, Some(from), Message::Replicator(update));
     }
 
     /// A version comes in force: it must be later than all before in this life, and what was accepted.
     fn publish(&mut self, index: usize) {
-        let state = self.instances[index].keeper.state();
+        let state = self.instances[index].replicator.state();
         let before = self.instances[index].published;
         assert!(state.version > before, "i{index} went back from {before}");
         let accepted = &self.kv.accepted[state.version.0 as usize - 1];
@@ -236,29 +240,32 @@
     /// An instance picked an upstream: it must not have heard that this one drains; and if it ran undisturbed
     /// and could learn of it from the service or a peer, the drain must not have been accepted over 3 s ago.
     pub fn check_pick(&mut self, index: usize, upstream: &Name) {
-        let told = self.instances[index].published;
-        self.check_serving(index, upstream, told.0);
-        let since = self.now - DRAIN_LIMIT;
+        let published = self.instances[index].published;
+        self.check_serving(index, upstream, published.0);
+        let since = self.now - DRAIN_PROPAGATION_LIMIT;
         if !self.could_learn(index) {
             return;
         }
         let version = self.kv.version_at(since).0;
-        self.check_serving(index, upstream, version.max(told.0));
-        self.timely += 1;
-        self.by_peers += u64::from(self.now < self.instances[index].cut);
+        self.check_serving(index, upstream, version.max(published.0));
+        self.timely_picks += 1;
+        self.disconnected_picks += u64::from(self.now < self.instances[index].disconnected_until);
     }
 
     /// Whether for the whole limit the service answered in time, this instance ran, and either it was not cut
     /// off from the service or both its peers ran and were not.
     fn could_learn(&self, index: usize) -> bool {
-        let before = |end: Time| self.now >= end + DRAIN_LIMIT;
-        let runs = |i: &Instance| before(i.disturbed);
-        let reaches = |i: &Instance| before(i.cut);
+        let over_limit_ago = |end: Time| self.now >= end + DRAIN_PROPAGATION_LIMIT;
+        let was_running = |i: &Instance| over_limit_ago(i.last_stopped);
+        let was_connected = |i: &Instance| over_limit_ago(i.disconnected_until);
         let others = self.instances.iter().enumerate().filter(|(i, _)| *i != index);
         let mut peers = others.map(|(_, instance)| instance);
         let own = &self.instances[index];
-        let peers = peers.all(|i| runs(i) && reaches(i));
-        before(self.kv.out) && before(self.kv.slow) && runs(own) && (reaches(own) || peers)
+        let peers = peers.all(|i| was_running(i) && was_connected(i));
+        over_limit_ago(self.kv.outage_until)
+            && over_limit_ago(self.kv.slow_until)
+            && was_running(own)
+            && (was_connected(own) || peers)
     }
 
     fn check_serving(&self, index: usize, upstream: &Name, version: u64) {
@@ -279,8 +286,8 @@
         }
         let config = &self.kv.accepted.last().expect("the first change").config;
         for (name, engine) in &self.engines {
-            let wished = config.engines[name].role;
-            assert_eq!(Some(engine.target.role), wished, "{name} is what was wished");
+            let wanted = config.engines[name].role;
+            assert_eq!(Some(engine.target.role), wanted, "{name} is what was wished");
         }
     }
 }
--- a/tests/testsuite/whole/requests.rs
+++ b/tests/testsuite/whole/requests.rs
@@ -26,13 +26,13 @@
 use super::world::INSTANCES;
 use super::world::Message;
 use super::world::Process;
-use super::world::World;
+use super::world::Simulation;
 use super::world::name;
 use crate::claims::machines::keys;
 
 /// Keys in use at the same time, and in all.
-const KEYS: usize = 4;
-const ALL_KEYS: usize = 60;
+const ACTIVE_KEYS: usize = 4;
+const TOTAL_KEYS: usize = 60;
 
 /// Stands for the proof that a request was not sent.
 #[derive(Debug)]
@@ -40,73 +40,73 @@
 
 pub struct Request {
     key: usize,
-    at: Process,
-    mark: ClaimToken,
-    machine: Option<EntryClaim<Proof>>,
+    entry_process: Process,
+    token: ClaimToken,
+    claim: Option<EntryClaim<Proof>>,
     /// Counts the questions, so that the answer to a former one is dropped.
-    asked: u64,
+    attempt: u64,
     ran: bool,
     refused: bool,
 }
 
-fn claim(index: usize) -> ClaimRef {
+fn claim_ref(index: usize) -> ClaimRef {
     ClaimRef::new(&name("dispatch"), &name("plain"), &keys(index))
 }
 
-impl World {
+impl Simulation {
     /// A caller sends a request, or repeats one, to any entry.
-    pub fn start(&mut self) {
+    pub fn start_request(&mut self) {
         let at = self.rng.random_range(0..INSTANCES);
-        if self.now < self.instances[at].paused {
+        if self.now < self.instances[at].paused_until {
             return;
         }
-        let group = self.requests.len() / 12 % (ALL_KEYS / KEYS);
-        let index = group * KEYS + self.rng.random_range(0..KEYS);
+        let group = self.requests.len() / 12 % (TOTAL_KEYS / ACTIVE_KEYS);
+        let index = group * ACTIVE_KEYS + self.rng.random_range(0..ACTIVE_KEYS);
         // Lists lag, so entries differ about who owns the shard.
         let first = self.rng.random_range(0..INSTANCES);
         let owners = (0..INSTANCES).map(|i| name(&format!("i{}", (first + i) % INSTANCES)));
-        let mark = ClaimToken(Uuid::from_u128(u128::from(self.rng.next_u64())));
-        let print = Fingerprint::new("POST", "/orders", &[index as u8]);
+        let token = ClaimToken(Uuid::from_u128(u128::from(self.rng.next_u64())));
+        let fingerprint = Fingerprint::new("POST", "/orders", &[index as u8]);
         let deadline = self.now + Duration::from_secs(6);
-        let machine = EntryClaim::new(
+        let claim = EntryClaim::new(
             Proof,
-            claim(index),
-            mark,
-            print,
+            claim_ref(index),
+            token,
+            fingerprint,
             owners.collect(),
             self.now,
             deadline,
         );
         self.requests.push(Request {
             key: index,
-            at: self.process(at),
-            mark,
-            machine: None,
-            asked: 0,
+            entry_process: self.process(at),
+            token,
+            claim: None,
+            attempt: 0,
             ran: false,
             refused: false,
         });
-        let step = machine.begin(self.clocks());
-        self.entry_step(self.requests.len() - 1, step);
+        let step = claim.begin(self.clocks());
+        self.on_entry_step(self.requests.len() - 1, step);
     }
 
-    pub fn entry(&mut self, request: usize, asked: u64, verdict: Verdict) {
-        if self.requests[request].asked != asked {
+    pub fn on_verdict(&mut self, request: usize, attempt: u64, verdict: Verdict) {
+        if self.requests[request].attempt != attempt {
             return;
         }
         let clocks = self.clocks();
-        if let Some(machine) = self.requests[request].machine.take() {
-            let step = machine.on(clocks, EntryEvent::Answered(verdict));
-            self.entry_step(request, step);
+        if let Some(claim) = self.requests[request].claim.take() {
+            let step = claim.on(clocks, EntryEvent::Answered(verdict));
+            self.on_entry_step(request, step);
         }
     }
 
-    fn entry_step(&mut self, request: usize, step: EntryStep<Proof>) {
+    fn on_entry_step(&mut self, request: usize, step: EntryStep<Proof>) {
         match step {
-            EntryStep::Ask(machine, owner, ask) => self.ask_owner(request, *machine, &owner, ask),
+            EntryStep::Ask(claim, owner, ask) => self.send_claim(request, *claim, &owner, ask),
             EntryStep::Granted(grant) => {
                 let Proof = grant.into_proof();
-                self.granted(request);
+                self.on_grant(request);
             }
             EntryStep::Held(ClaimStatus::Finished(answer)) => {
                 let key = self.requests[request].key;
@@ -119,9 +119,9 @@
     }
 
     /// Picks an upstream by the instance's own configuration and sends the request there.
-    fn granted(&mut self, request: usize) {
-        let index = self.requests[request].at.index;
-        let Some(upstream) = self.pick(index) else {
+    fn on_grant(&mut self, request: usize) {
+        let index = self.requests[request].entry_process.index;
+        let Some(upstream) = self.pick_upstream(index) else {
             return self.refuse(request);
         };
         self.check_pick(index, &upstream);
@@ -129,16 +129,16 @@
             // The connection is refused: nothing was sent.
             return self.refuse(request);
         }
-        let travel = self.delay();
-        self.post(travel, None, Message::Run(request));
+        let travel = self.random_delay();
+        self.schedule(travel, None, Message::RunRequest(request));
         // The entry waits for the answer only so long.
         let limit = Duration::from_secs(5);
-        let at = self.requests[request].at;
-        self.post(limit, Some(at), Message::Ended(request, false));
+        let at = self.requests[request].entry_process;
+        self.schedule(limit, Some(at), Message::RequestEnded(request, false));
     }
 
-    fn pick(&mut self, index: usize) -> Option<Name> {
-        let config = &self.instances[index].keeper.state().config;
+    fn pick_upstream(&mut self, index: usize) -> Option<Name> {
+        let config = &self.instances[index].replicator.state().config;
         let serving = config
             .engines
             .iter()
@@ -151,7 +151,7 @@
     }
 
     /// The request reaches the upstream and runs.
-    pub fn ran(&mut self, request: usize) {
+    pub fn run_request(&mut self, request: usize) {
         let key = self.requests[request].key;
         let runs = self.runs.entry(key).or_default();
         *runs += 1;
@@ -160,15 +160,15 @@
         let refused = self.requests[request].refused;
         assert!(!refused, "{}: a refused request ran", self.now);
         if !self.chance(10) {
-            let travel = self.delay();
-            let at = self.requests[request].at;
-            self.post(travel, Some(at), Message::Ended(request, true));
+            let travel = self.random_delay();
+            let at = self.requests[request].entry_process;
+            self.schedule(travel, Some(at), Message::RequestEnded(request, true));
         }
     }
 
     /// The first end counts: the upstream's answer, or the limit without one.
-    pub fn ended(&mut self, request: usize, answered: bool) {
-        if std::mem::replace(&mut self.requests[request].asked, u64::MAX) == u64::MAX {
+    pub fn on_request_ended(&mut self, request: usize, answered: bool) {
+        if std::mem::replace(&mut self.requests[request].attempt, u64::MAX) == u64::MAX {
             return;
         }
         let body = vec![self.requests[request].key as u8];
@@ -177,7 +177,7 @@
             content: None,
             body,
         };
-        self.edit(
+        self.send_edit(
             request,
             match answered {
                 true => Change::Finish(Some(stored)),
@@ -190,22 +190,22 @@
     fn refuse(&mut self, request: usize) {
         assert!(!self.requests[request].ran, "a request that ran was refused");
         self.requests[request].refused = true;
-        self.refused += 1;
-        self.edit(request, Change::Release);
+        self.refused_requests += 1;
+        self.send_edit(request, Change::Release);
     }
 
-    fn edit(&mut self, request: usize, change: Change) {
-        let claim = claim(self.requests[request].key);
+    fn send_edit(&mut self, request: usize, change: Change) {
+        let claim = claim_ref(self.requests[request].key);
         let edit = Edit {
             id: claim.id,
-            token: self.requests[request].mark,
+            token: self.requests[request].token,
             change,
         };
         let owner = self.rng.random_range(0..INSTANCES);
         if !self.chance(20) {
-            let travel = self.delay();
+            let travel = self.random_delay();
             let to = self.process(owner);
-            self.post(
+            self.schedule(
                 travel,
                 Some(to),
                 Message::Owner(OwnerEvent::Edit(claim.bucket, edit)),
@@ -213,62 +213,66 @@
         }
     }
 
-    fn ask_owner(&mut self, request: usize, machine: EntryClaim<Proof>, owner: &Name, ask: ClaimRequest) {
+    fn send_claim(&mut self, request: usize, claim: EntryClaim<Proof>, owner: &Name, ask: ClaimRequest) {
         let entry = &mut self.requests[request];
-        entry.machine = Some(machine);
-        entry.asked += 1;
+        entry.claim = Some(claim);
+        entry.attempt += 1;
         let limit = ask.wait + Duration::from_millis(200);
         let owner: usize = owner.as_str()[1..].parse().expect("an index");
         let to = self.process(owner);
         if !self.chance(10) {
-            let travel = self.delay();
-            self.post(travel, Some(to), Message::Ask(request, ask));
+            let travel = self.random_delay();
+            self.schedule(travel, Some(to), Message::Claim(request, ask));
             // A connection that broke: the entry tries elsewhere, while the message arrives all the same.
             if self.chance(10) {
-                self.give_up(request, Duration::from_millis(100));
+                self.schedule_no_answer(request, Duration::from_millis(100));
             }
         }
-        self.give_up(request, limit);
+        self.schedule_no_answer(request, limit);
     }
 
     /// Lets the entry give an owner up, unless it has gone on by then.
-    fn give_up(&mut self, request: usize, after: Duration) {
+    fn schedule_no_answer(&mut self, request: usize, after: Duration) {
         let entry = &self.requests[request];
-        let (at, asked) = (entry.at, entry.asked);
-        self.post(after, Some(at), Message::Entry(request, asked, Verdict::Stopping));
+        let (at, attempt) = (entry.entry_process, entry.attempt);
+        self.schedule(
+            after,
+            Some(at),
+            Message::Verdict(request, attempt, Verdict::Stopping),
+        );
     }
 
     /// A question reaches its owner.
-    pub fn asked(&mut self, index: usize, request: usize, ask: ClaimRequest) {
-        self.count += 1;
-        let ticket = self.count;
-        self.tickets
-            .insert(ticket, (request, self.requests[request].asked));
-        self.tell_owner(index, OwnerEvent::Claim(QueryId(ticket), ask));
+    pub fn on_claim(&mut self, index: usize, request: usize, ask: ClaimRequest) {
+        self.last_id += 1;
+        let query = self.last_id;
+        self.queries
+            .insert(query, (request, self.requests[request].attempt));
+        self.on_owner_event(index, OwnerEvent::Claim(QueryId(query), ask));
     }
 
-    pub fn owner_acts(&mut self, index: usize, action: OwnerAction) {
+    pub fn perform_owner_action(&mut self, index: usize, action: OwnerAction) {
         match action {
-            OwnerAction::Read(bucket) => self.call(index, super::kv::Call::ReadBucket(bucket)),
+            OwnerAction::Read(bucket) => self.call_kv(index, super::kv::KvCall::ReadBucket(bucket)),
             OwnerAction::Write(bucket, revision, content) => {
-                self.call(index, super::kv::Call::WriteBucket(bucket, revision, content));
+                self.call_kv(index, super::kv::KvCall::WriteBucket(bucket, revision, content));
             }
-            OwnerAction::Answer(ticket, verdict) => {
-                let (request, asked) = self.tickets[&ticket.0];
+            OwnerAction::Answer(query, verdict) => {
+                let (request, attempt) = self.queries[&query.0];
                 if !self.chance(5) {
-                    let travel = self.delay();
-                    let at = self.requests[request].at;
-                    self.post(travel, Some(at), Message::Entry(request, asked, verdict));
+                    let travel = self.random_delay();
+                    let at = self.requests[request].entry_process;
+                    self.schedule(travel, Some(at), Message::Verdict(request, attempt, verdict));
                 }
             }
             OwnerAction::Wake(at) => {
-                let pending = self.instances[index].wake;
+                let pending = self.instances[index].wake_at;
                 if pending.is_some_and(|wake| wake > self.now && wake <= at) {
                     return;
                 }
-                self.instances[index].wake = Some(at);
+                self.instances[index].wake_at = Some(at);
                 let to = self.process(index);
-                self.post(at.since(self.now), Some(to), Message::Owner(OwnerEvent::Tick));
+                self.schedule(at.since(self.now), Some(to), Message::Owner(OwnerEvent::Tick));
             }
             OwnerAction::InvariantBroken(rule) => panic!("{rule}"),
         }
