--- a/tests/testsuite/authority/machine.rs
+++ b/tests/testsuite/authority/machine.rs
@@ -1,4 +1,4 @@
-//! One machine, event by event.
+//! Tests of a single authority state machine that is given one event at a time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     Name::new(text).expect("a name")
 }
 
-/// A machine whose calls to the key-value service all succeed, and an empty engine.
+/// An authority state machine whose calls to the key-value service all succeed, with one idle engine.
 struct Harness {
     machine: Authority,
     now: Time,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Lets time go on until so many orders were sent.
+    /// Advances the simulated time until `count` orders have been sent.
     fn run_until_sent(&mut self, count: usize) {
         for _ in 0..200 {
             if self.sent_calls.len() >= count {
@@ -131,7 +131,7 @@
             }
             self.run(1);
         }
-        panic!("{} orders were sent", self.sent_calls.len());
+        panic!("only {} orders were sent", self.sent_calls.len());
     }
 
     fn run(&mut self, steps: u32) {
@@ -150,8 +150,9 @@
     }
 }
 
-/// An engine that ignores numbers refuses a connection, and the order is sent again. The answer to the first try
-/// comes a second time, while the second may be on its way. A third would be a copy that nothing settles.
+/// An engine that ignores fencing tokens refuses a connection, and the order is sent again. The answer to the first
+/// attempt is then delivered twice, while the second attempt may be in flight. A third attempt would be a copy of the
+/// order that nothing settles.
 #[test]
 fn send_answer_doubled() {
     let mut harness = Harness::new();
--- a/tests/testsuite/authority/mod.rs
+++ b/tests/testsuite/authority/mod.rs
@@ -1,4 +1,4 @@
-//! Authority and orders: what engines receive while holders are paused, killed and cut off.
+//! Tests of authority and orders: which orders engines receive while holders are paused, killed and disconnected.
 
 mod machine;
 mod processes;
--- a/tests/testsuite/authority/processes.rs
+++ b/tests/testsuite/authority/processes.rs
@@ -1,4 +1,5 @@
-//! With real processes. The stand-in engines record every order; what counts is that record.
+//! Tests with real processes. The stand-in engines record every order that they receive, and the tests check that
+//! record.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -21,7 +22,7 @@
 
 use crate::support::fleet;
 
-/// Two daemons and one engine, with short leases and role changes.
+/// Two daemons and one engine, with a short lease and fast role changes.
 fn small_fleet(fencing: &str) -> FleetBuilder {
     fleet()
         .daemons(2)
@@ -31,7 +32,7 @@
         .placement(&format!("fencing {fencing}"))
 }
 
-/// The fleet, configured with a relay before its engine.
+/// The small fleet, configured so that its engine is reached through a relay that can delay requests.
 async fn fleet_with_relay(fencing: &str) -> (Fleet, Relay) {
     let fleet = small_fleet(fencing).start().await;
     let engine = fleet.engines[0].address();
@@ -44,26 +45,27 @@
     (fleet, relay)
 }
 
-/// Has the holder send an order that does not arrive yet.
+/// Makes the holder send an order that the relay keeps back.
 async fn send_delayed_order(fleet: &Fleet, relay: &Relay, index: usize) {
     relay.keep_next(1);
     fleet.apply(index, "set engine e0 role decode").await;
     relay.wait_for_kept(1).await;
 }
 
-/// The rows of a table, each by its first cell.
+/// The rows of the table that a query returns, by their first cell; `None` if the query failed.
 async fn table_rows(fleet: &Fleet, index: usize, text: &str) -> Option<BTreeMap<String, Vec<String>>> {
     let reply = fleet.statement(index, Uuid::new_v4(), text).await;
     match reply.status {
         200 => match reply.json() {
             ReplyBody::Table(table) => Some(table.rows.into_iter().map(|r| (r[0].clone(), r)).collect()),
-            _ => panic!("{text} is no query"),
+            _ => panic!("statement `{text}` did not return a table"),
         },
         _ => None,
     }
 }
 
-/// Waits until an instance holds the lease that daemon `index` does not find in `except`; returns its index.
+/// Waits until daemon `index` reports an instance other than `except` as the holder of the lease; returns the holder's
+/// index.
 async fn wait_for_holder(fleet: &Fleet, index: usize, except: Option<usize>) -> usize {
     let found = http::until("an instance holds the lease", || async {
         let rows = table_rows(fleet, index, "show leases").await?;
@@ -75,9 +77,9 @@
     found.await
 }
 
-/// Waits until the last order to `e0` is in this phase.
+/// Waits until the last order to `e0` has this sequence number and is in this phase.
 async fn wait_for_phase(fleet: &Fleet, index: usize, sequence: u64, phase: &str) {
-    http::until("the order is in its phase", || async {
+    http::until("the order reaches the expected phase", || async {
         let rows = table_rows(fleet, index, "show orders").await?;
         let row = rows.get("e0")?;
         (row[2] == sequence.to_string() && row[6] == phase).then_some(())
@@ -91,7 +93,7 @@
 
 async fn wait_for_role(engine: &Process, role: Role) {
     let url = format!("{}/v1/load", engine.url());
-    http::until("the engine has the role", || async {
+    http::until("the engine has the expected role", || async {
         let load: LoadBody = http::read(&url).await;
         (load.role == role && !load.away).then_some(())
     })
@@ -103,13 +105,13 @@
     http::send("PUT", &url, &[], fault).await;
 }
 
-/// No two orders that took effect conflict, and none of a stale holder took effect.
+/// Checks that no two orders that took effect conflict, and that no order of a stale holder took effect.
 fn assert_orders_consistent(orders: &[OrderRecord]) {
     let applied: Vec<_> = orders.iter().filter(|o| o.applied).map(|o| &o.order).collect();
     for pair in applied.windows(2) {
         assert!(
             pair[0].sequence <= pair[1].sequence,
-            "an older order came after: {orders:#?}"
+            "an older order took effect after a newer one: {orders:#?}"
         );
         assert!(
             pair[0].fence <= pair[1].fence,
@@ -119,15 +121,15 @@
             assert_eq!(
                 (&pair[0].id, &pair[0].target),
                 (&pair[1].id, &pair[1].target),
-                "two orders under one number: {orders:#?}"
+                "two different orders have the same sequence number: {orders:#?}"
             );
         }
     }
 }
 
-/// An operator changes an engine's role while a caller's answer streams from it. The caller must get its
-/// whole answer: the engine is changed only once it is empty. Cause of the cut without the guard: a change
-/// ends what runs.
+/// An operator changes an engine's role while a caller's answer streams from it. The caller must get the complete
+/// answer: the engine is changed only once no request runs there. Without the drain the answer would be cut off,
+/// because a change ends the running requests.
 #[actix_web::test]
 async fn role_change_drains() {
     let fleet = small_fleet("checked").start_configured().await;
@@ -151,8 +153,8 @@
     assert_eq!(engine_orders(&fleet.engines[0]).await.len(), 1);
 }
 
-/// A holder is paused right as its order leaves. Another takes over and gives the same engine another order.
-/// The paused one's order arrives after that, and the engine, which checks numbers, must refuse it.
+/// A holder is paused while its order is in flight. Another instance takes over and sends the same engine a new order.
+/// The paused holder's order arrives after that, and the engine, which checks fencing tokens, must refuse it.
 #[actix_web::test]
 async fn paused_holder_checked() {
     let (fleet, relay) = fleet_with_relay("checked").await;
@@ -177,8 +179,9 @@
     wait_for_role(&fleet.engines[0], Role::Prefill).await;
 }
 
-/// The same, at an engine that ignores numbers: nothing could stop the late order there. So the successor
-/// gives no order while the first may still arrive, and goes on once the engine's report shows it.
+/// The same with an engine that ignores fencing tokens, where nothing would stop the late order. The successor must
+/// therefore send no order while the first one may still arrive, and continue once the engine's report shows the first
+/// one.
 #[actix_web::test]
 async fn paused_holder_ignored() {
     let (fleet, relay) = fleet_with_relay("ignored").await;
@@ -202,10 +205,10 @@
     wait_for_role(&fleet.engines[0], Role::Prefill).await;
 }
 
-/// Waits until a counter of a daemon is not zero.
+/// Waits until a counter of a daemon is greater than zero.
 async fn wait_for_counter(daemon: &Process, name: &str) {
     let url = format!("{}/metrics", daemon.url());
-    http::until("the counter counts", || async {
+    http::until("the counter is not zero", || async {
         let page = http::text(&url).await;
         let value = page.lines().find_map(|line| line.strip_prefix(name))?;
         (value.trim() != "0").then_some(())
@@ -213,8 +216,9 @@
     .await;
 }
 
-/// A holder is killed with an order under way that never arrives. The engine ignores numbers, so nothing
-/// shows that it can't come: the engine serves on in its role until an operator releases the order.
+/// A holder is killed while an order is in flight that never arrives. The engine ignores fencing tokens, so nothing
+/// shows that the order can no longer arrive: the engine keeps serving in its role until an operator releases the
+/// order.
 #[actix_web::test]
 async fn killed_holder_released() {
     let (mut fleet, relay) = fleet_with_relay("ignored").await;
@@ -238,8 +242,8 @@
     assert_orders_consistent(&engine_orders(&fleet.engines[0]).await);
 }
 
-/// The answers to the writes by which an instance takes an authority over and opens an order are lost after
-/// they took effect, so often that the client gives up. The order must be given all the same, and once.
+/// An instance takes over an authority and opens an order. The answers to these writes are lost after the writes took
+/// effect, so often that the client gives up. The order must be sent nevertheless, and only once.
 #[actix_web::test]
 async fn answers_lost() {
     let fleet = small_fleet("ignored")
@@ -267,8 +271,8 @@
     fleet.platform_fault(&fault).await;
 }
 
-/// The key-value service goes down while an order is under way, and stays away longer than the lease lasts.
-/// The order took effect; nobody may give another until the service is back and the order's record closed.
+/// The key-value service has an outage while an order is in flight, and the outage outlasts the lease. The order took
+/// effect; no instance may send another one until the service is back and the first one is no longer recorded as open.
 #[actix_web::test]
 async fn kv_down_in_the_middle() {
     for fencing in ["checked", "ignored"] {
@@ -283,7 +287,7 @@
         relay.let_go();
         wait_for_role(&fleet.engines[0], Role::Decode).await;
         let metrics_url = format!("{}/metrics", fleet.daemons[first].url());
-        http::until("the holder stops to believe", || async {
+        http::until("the holder no longer considers itself the holder", || async {
             let page = http::text(&metrics_url).await;
             page.contains("sequoiastream_authorities_believed 0")
                 .then_some(())
@@ -298,9 +302,9 @@
     }
 }
 
-/// The engine crashes in the middle of a change and comes back as it was at first. One that checks numbers is
-/// given the same order again; one that ignores them gets none until an operator says that the first can't
-/// arrive any more.
+/// The engine crashes during a change and restarts in its initial state. An engine that checks fencing tokens is sent
+/// the same order again; one that ignores them gets no order until an operator states, by releasing the first order,
+/// that it can no longer arrive.
 #[actix_web::test]
 async fn engine_crash_mid_change() {
     for (fencing, sequence) in [("checked", 1), ("ignored", 2)] {
@@ -326,8 +330,9 @@
     }
 }
 
-/// Operators change the roles of both engines while callers keep asking through both instances. Every answer
-/// must be whole and both changes must come: the instances give a held engine nothing, so it runs empty.
+/// Operators change the roles of both engines while callers keep sending requests through both instances. Every answer
+/// must be complete and both changes must take place: the instances route no requests to an engine on hold, so its
+/// running requests end.
 #[actix_web::test]
 async fn role_changes_under_load() {
     const CALLERS: usize = 6;
@@ -366,8 +371,8 @@
     }
 }
 
-/// An engine is to load another model while the weight store refuses reads: an order now would take the engine
-/// away for as long as the store refuses. The order must wait until the store agrees.
+/// An engine is to load another model while the weight store refuses reads: an order sent now would make the engine
+/// unavailable for as long as the store refuses them. The order must wait until the store accepts reads.
 #[actix_web::test]
 async fn load_waits_for_weights() {
     let fleet = small_fleet("checked").engine_arg("--model=old-7b").start().await;
@@ -378,7 +383,7 @@
     fleet.platform_fault(&throttle).await;
     fleet.apply(0, &fleet.statements()).await;
     let stats = format!("{}/control/stats", fleet.platform.url());
-    http::until("the store was asked twice", || async {
+    http::until("the weight store was asked twice", || async {
         let stats: Stats = http::read(&stats).await;
         (stats.calls.get("weights").copied() >= Some(2)).then_some(())
     })
@@ -390,8 +395,8 @@
     assert_eq!((orders.len(), orders[0].order.target.model.as_str()), (1, MODEL));
 }
 
-/// An instance that leaves gives its authority up. Without that changes would wait for the lease's time, here
-/// a minute, which is longer than this test waits.
+/// An instance that shuts down releases its lease. Otherwise changes would wait until the lease expires, here after a
+/// minute, which is longer than this test waits.
 #[actix_web::test]
 async fn leaving_holder_resigns() {
     let fleet = fleet()
@@ -407,9 +412,10 @@
     assert_eq!(wait_for_holder(&fleet, 1 - first, Some(first)).await, 1 - first);
 }
 
-/// An instance is paused while a caller's answer streams through it, and an operator changes the engine's role.
-/// The instance can't be asked; once it is no longer waited for, the engine's own report must still keep the
-/// change back until the answer has ended, so that the caller gets it whole when the instance goes on.
+/// An instance is paused while a caller's answer streams through it, and an operator changes the engine's role. The
+/// paused instance can't say whether it has requests in flight. Once the holder no longer waits for it, the engine's
+/// own report must still delay the change until the answer has ended, so that the caller gets the complete answer when
+/// the instance continues.
 #[actix_web::test]
 async fn role_change_paused_instance() {
     let fleet = small_fleet("checked").start_configured().await;
@@ -431,9 +437,10 @@
     assert_eq!(cut, 0);
 }
 
-/// An order cuts an answer whose last token is a moment away. Order: an engine begins the step that ends its last answer; until
-/// that step is over its report says that nothing runs; the holder takes it for empty and changes it. Cause: an answer that
-/// still has a token to come is not counted.
+/// An engine's report must count an answer whose last token is still being computed. Failure guarded against: an engine
+/// begins the step that ends its last answer; until the step is over, its report says that no request runs, because an
+/// answer that still has a token to come is not counted; the holder takes the engine for empty and changes it, which
+/// cuts off the answer.
 #[actix_web::test]
 async fn report_counts_last_step() {
     let fleet = fleet()
@@ -442,7 +449,7 @@
         .start_configured()
         .await;
     let url = format!("{}/v1/load", fleet.engines[0].url());
-    // Reading the prompt and the one token are one step, of a second.
+    // The prefill and the only output token are one step, which takes a second.
     let prompt = ["word"; 10].join(" ");
     let answered = Cell::new(false);
     let ask = async {
@@ -450,11 +457,14 @@
         answered.set(true);
         reply
     };
-    let look = http::until("the engine works or has answered", || async {
+    let look = http::until("the engine runs the request or has answered", || async {
         let load: LoadBody = http::read(&url).await;
         (load.running > 0 || answered.get()).then_some(load.running > 0)
     });
     let (reply, was_running) = futures_util::join!(ask, look);
     assert_eq!(reply.outcome.as_deref(), Some("whole"), "{reply:?}");
-    assert!(was_running, "idle while its answer was due");
+    assert!(
+        was_running,
+        "the engine reported no running request before it had answered"
+    );
 }
--- a/tests/testsuite/authority/seeded.rs
+++ b/tests/testsuite/authority/seeded.rs
@@ -1,7 +1,8 @@
-//! Seeded runs of several authority machines before a fake key-value service and fake engines.
+//! Seeded simulations of several authority state machines with a fake key-value service and fake engines.
 //!
-//! Calls, orders and answers are delayed, lost and doubled, holders are paused and killed, the service is out.
-//! The engines check each order that takes effect; the machines check themselves.
+//! Calls, orders and answers are delayed, lost and duplicated, holders are paused and killed, and the key-value
+//! service has outages. The engines check each order that takes effect; the state machines check their own
+//! invariants.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -35,14 +36,15 @@
 use sequoiastream_core::time::Time;
 use uuid::Uuid;
 
-/// Seeds that each run of the test suite takes.
+/// Seeds that each run of the test suite uses.
 const SEEDS: std::ops::Range<u64> = 0..150;
 
-/// Names other seeds for a long run, such as `1000..5000`. A failure names its seed.
+/// Environment variable with another range of seeds for a long run, such as `1000..5000`. A failure prints its seed.
 const SEEDS_VARIABLE: &str = "SEQUOIASTREAM_SEEDS";
 
-/// Simulated time with faults, and after them.
+/// Simulated time with faults.
 const FAULTY_PERIOD: Duration = Duration::from_secs(240);
+/// Simulated time without faults, which follows.
 const RECOVERY_PERIOD: Duration = Duration::from_secs(240);
 
 const NODES: usize = 3;
@@ -63,7 +65,7 @@
     }
 }
 
-/// Runs one instance's machine; a kill makes a new one.
+/// One instance with its state machine; a kill replaces it by a new one.
 struct Node {
     machine: Authority,
     incarnation: Incarnation,
@@ -86,7 +88,7 @@
 struct Kv {
     version: u64,
     record: Option<Record>,
-    /// Node, incarnation and end of the lease.
+    /// Node and incarnation of the lease's holder, and when the lease expires.
     lease: Option<(usize, Incarnation, Time)>,
     outage_until: Time,
 }
@@ -111,7 +113,7 @@
     rng: ChaCha8Rng,
     now: Time,
     faults_enabled: bool,
-    /// How much goes wrong in this run, 0 to 4.
+    /// How frequent faults are in this run, from 0 (none) to 4.
     fault_weight: u32,
     kv: Kv,
     nodes: Vec<Node>,
@@ -181,7 +183,7 @@
         self.faults_enabled && self.rng.random_range(0..200) < percent * self.fault_weight
     }
 
-    /// A delay on the way: mostly short, now and then longer than a lease.
+    /// A delivery delay: mostly short, occasionally longer than a lease.
     fn random_delay(&mut self) -> Duration {
         match self.chance(4) {
             true => self.random_millis(1_000..40_000),
@@ -194,7 +196,7 @@
         self.queue.insert((self.now + after, self.last_id), message);
     }
 
-    /// An answer on its way to a node: delayed, sometimes lost, sometimes doubled.
+    /// Sends an answer to a node: delayed, sometimes lost, sometimes duplicated.
     fn send_answer(&mut self, node: usize, incarnation: Incarnation, event: Event) {
         if self.chance(2) {
             return;
@@ -259,7 +261,8 @@
         }
     }
 
-    /// Releases an order that surely can't arrive: its process is gone, and no copy is on its way.
+    /// Releases the orders that are certain not to arrive any more: no copy is in flight, and the process that opened
+    /// the order has ended or the period of faults is over.
     fn release_orders(&mut self) {
         let Some(record) = &self.kv.record else { return };
         for (name, order) in &record.engines {
@@ -280,7 +283,7 @@
         while let Some((&(at, id), _)) = self.queue.first_key_value()
             && at <= until
         {
-            let message = self.queue.remove(&(at, id)).expect("it is first");
+            let message = self.queue.remove(&(at, id)).expect("the first entry exists");
             self.now = self.now.max(at);
             self.deliver(message);
         }
@@ -288,7 +291,7 @@
         let believers = self.nodes.iter().filter(|n| n.machine.is_holder(until));
         assert!(
             believers.count() <= 1,
-            "seed {} at {until}: two holders",
+            "seed {} at {until}: two instances believe that they hold the lease",
             self.seed
         );
         for node in 0..NODES {
@@ -337,7 +340,11 @@
                 self.send_answer(node, incarnation, Event::WeightsChecked { engine, ready: true });
             }
             Action::Send(send) => {
-                assert!(self.now < send.deadline, "seed {}: decided too late", self.seed);
+                assert!(
+                    self.now < send.deadline,
+                    "seed {}: order sent after its deadline",
+                    self.seed
+                );
                 self.send_order(node, send);
             }
             Action::AskSettlement {
@@ -351,8 +358,8 @@
         }
     }
 
-    /// An order leaves: mostly at once; now and then the connection is refused, or the order takes longer
-    /// than its sender waits, or its sender is paused right between its check and its send.
+    /// Sends an order: mostly at once; occasionally the connection is refused, or the order takes longer than its
+    /// sender waits, or its sender is paused between its check and the send.
     fn send_order(&mut self, node: usize, send: SendOrder) {
         let incarnation = self.nodes[node].incarnation;
         let answer = |answer| Event::Answered {
@@ -461,7 +468,8 @@
         }
     }
 
-    /// What the key-value service does with a call, whose answer may say less than what it did.
+    /// Carries out a call to the key-value service and returns its answer. A call that took effect may be answered as
+    /// if its outcome were unknown.
     fn serve_kv_call(
         &mut self,
         node: usize,
@@ -525,9 +533,10 @@
         }
     }
 
-    /// An order reaches an engine. What must hold: an order that takes effect is the last recorded one, comes
-    /// after all before it, and is the same whenever it comes again. A late copy of the one before may reach an
-    /// engine that checks numbers while the next is not there yet; it must change nothing, not even the number.
+    /// Delivers an order to an engine. Checks that an order that takes effect is the last recorded one, is not older
+    /// than any order before it, and is identical whenever it arrives again. A late copy of the previous order may
+    /// reach an engine that checks fencing tokens before the next order does; it must change nothing, not even the
+    /// token.
     fn apply_order(&mut self, name: &Name, order: Order) -> OrderAnswer {
         let (seed, now) = (self.seed, self.now);
         let recorded = self.kv.record.as_ref().and_then(|r| r.engines.get(name)).cloned();
@@ -535,25 +544,28 @@
         if engine.fencing == Fencing::Checked && order.fence < engine.fence {
             return OrderAnswer::Stale(engine.fence);
         }
-        let recorded = recorded.expect("an order has a record").order;
+        let recorded = recorded.expect("each order is recorded before it is sent").order;
         let copy = engine.fencing == Fencing::Checked
             && order.fence <= engine.fence
             && order.sequence == engine.sequence
             && order.target == engine.target;
         assert!(
             recorded.sequence == order.sequence || copy,
-            "seed {seed} at {now}: stale order at {name}"
+            "seed {seed} at {now}: order at {name} is not the last recorded one"
         );
         assert!(
             order.sequence >= engine.sequence,
-            "seed {seed} at {now}: older order at {name}"
+            "seed {seed} at {now}: older order at {name} after a newer one"
         );
         let first = engine
             .orders
             .entry(order.sequence)
             .or_insert_with(|| order.clone());
         let same = first.id == order.id && first.target == order.target;
-        assert!(same, "seed {seed} at {now}: conflicting orders at {name}");
+        assert!(
+            same,
+            "seed {seed} at {now}: conflicting orders at {name} with one sequence number"
+        );
         engine.fence = engine.fence.max(order.fence);
         engine.sequence = order.sequence;
         if engine.target != order.target {
@@ -570,7 +582,7 @@
         for (name, engine) in &self.engines {
             assert_eq!(
                 engine.target.role, engine.desired_role,
-                "seed {}: {name} is not what was wished",
+                "seed {}: {name} does not have its desired role",
                 self.seed
             );
         }
@@ -592,8 +604,9 @@
     }
 }
 
-/// Three instances compete for a service's authority while everything fails that can: the engines must see
-/// no conflicting and no stale order, and once the faults end each must become what operators want.
+/// Three instances compete for a service's authority while messages, processes and the key-value service fail. The
+/// engines must not carry out a conflicting or stale order, and once the faults end each engine must get the role that
+/// operators want.
 #[test]
 fn machines_any_faults() {
     let seeds = seeds();
@@ -604,7 +617,7 @@
         simulation.run();
         applied += simulation.applied_orders;
     }
-    assert!(applied > 5 * count, "the runs change too little: {applied}");
+    assert!(applied > 5 * count, "too few orders changed an engine: {applied}");
 }
 
 fn seeds() -> std::ops::Range<u64> {
--- a/tests/testsuite/whole/engines.rs
+++ b/tests/testsuite/whole/engines.rs
@@ -1,4 +1,4 @@
-//! The engines: one checks fencing tokens, one ignores them. Both check what reaches them.
+//! Fake engines: one checks fencing tokens, one ignores them. Both assert that the orders they receive are valid.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use sequoiastream_core::engine::Target;
 use sequoiastream_core::time::Time;
 
-/// How long an engine is away when it changes.
+/// How long an engine is unavailable while it changes its target.
 const CHANGE_DURATION: Duration = Duration::from_secs(2);
 
 struct HistoryEntry {
@@ -61,10 +61,11 @@
         });
     }
 
-    /// An order arrives. What takes effect must be the last recorded order, come after all before it, and be the
-    /// same whenever it comes again. A late copy of the one before may reach an engine that checks tokens while
-    /// the next is not there yet (seed 108); it must change nothing, not even the token. Gives the answer, and
-    /// whether the engine changed.
+    /// Carries out an order; returns the answer, and whether the engine's target changed.
+    ///
+    /// An order that takes effect must be the last recorded one, must not be older than any order before it, and must
+    /// be identical whenever it arrives again. A late copy of the previous order may reach an engine that checks
+    /// fencing tokens before the next order does (seed 108); it must change nothing, not even the token.
     pub fn apply(&mut self, now: Time, order: Order, recorded: &Order) -> (OrderAnswer, bool) {
         if self.fencing == Fencing::Checked && order.fence < self.fence {
             return (OrderAnswer::Stale(self.fence), false);
@@ -75,15 +76,18 @@
             && order.target == self.target;
         assert!(
             recorded.sequence == order.sequence || copy,
-            "{now}: order of a stale holder took effect"
+            "{now}: an order that is not the last recorded one took effect"
         );
         assert!(
             order.sequence >= self.sequence,
-            "{now}: an older order took effect"
+            "{now}: an older order took effect after a newer one"
         );
         let first = self.orders.entry(order.sequence).or_insert_with(|| order.clone());
         let same = first.id == order.id && first.target == order.target;
-        assert!(same, "{now}: conflicting orders took effect");
+        assert!(
+            same,
+            "{now}: conflicting orders with one sequence number took effect"
+        );
         self.fence = self.fence.max(order.fence);
         self.sequence = order.sequence;
         let changed = self.target != order.target;
@@ -95,7 +99,7 @@
         (OrderAnswer::Applied, changed)
     }
 
-    /// What a probe that lags shows.
+    /// The report of a probe whose data is `lag` old.
     pub fn report(&self, now: Time, lag: Duration) -> Report {
         let taken = now - lag;
         let shown = self.history.iter().rev().find(|past| past.at <= taken);
--- a/tests/testsuite/whole/holders.rs
+++ b/tests/testsuite/whole/holders.rs
@@ -1,4 +1,4 @@
-//! Carries out what the authorities decide.
+//! Drives the authority state machines of the instances and carries out their actions.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,8 @@
 use super::world::name;
 
 impl Simulation {
-    /// What the daemon tells an authority ten times a second, by the instance's own configuration in force.
+    /// Sends an authority the events that the daemon sends it ten times a second, according to the configuration that
+    /// is in force on the instance.
     pub fn tick_authority(&mut self, index: usize) {
         let Some(config) = self.config_event(index) else {
             return;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// An answer on its way to an authority: delayed, sometimes lost, sometimes doubled.
+    /// Sends an answer to an authority: delayed, sometimes lost, sometimes duplicated.
     fn send_authority_event(&mut self, to: Process, event: Event) {
         if self.chance(2) {
             return;
@@ -103,7 +104,7 @@
                 self.send_authority_event(to, Event::WeightsChecked { engine, ready: true });
             }
             Action::Send(send) => {
-                assert!(self.now < send.deadline, "decided too late");
+                assert!(self.now < send.deadline, "order sent after its deadline");
                 self.send_order(index, send);
             }
             Action::AskSettlement {
@@ -117,8 +118,8 @@
         }
     }
 
-    /// An order leaves: mostly at once; now and then the connection is refused, or the order takes longer
-    /// than its sender waits, or the whole instance is paused right between its check and its send.
+    /// Sends an order: mostly at once; occasionally the connection is refused, or the order takes longer than its
+    /// sender waits, or the whole instance is paused between its check and the send.
     fn send_order(&mut self, index: usize, send: SendOrder) {
         let from = self.process(index);
         let answer = |answer| Event::Answered {
@@ -141,10 +142,13 @@
         self.schedule(delay, None, message);
     }
 
-    /// An order reaches its engine.
+    /// Delivers an order to its engine.
     pub fn deliver_order(&mut self, from: Process, call: CallId, engine: Name, order: Order) {
         let recorded = self.kv.record.as_ref().and_then(|r| r.engines.get(&engine));
-        let recorded = recorded.expect("an order has a record").order.clone();
+        let recorded = recorded
+            .expect("each order is recorded before it is sent")
+            .order
+            .clone();
         let reached = self.engines.get_mut(&engine).expect("known");
         let (answer, changed) = reached.apply(self.now, order, &recorded);
         self.applied_orders += u64::from(changed);
--- a/tests/testsuite/whole/kv.rs
+++ b/tests/testsuite/whole/kv.rs
@@ -1,4 +1,4 @@
-//! The fake key-value service that the machines of all instances use.
+//! The fake key-value service that the state machines of all instances share.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 /// Time to live of the authority's lease.
 pub const TTL: Duration = Duration::from_secs(10);
 
-/// A call of one of an instance's machines.
+/// A call of a state machine to the key-value service.
 #[derive(Debug, Clone)]
 pub enum KvCall {
     Acquire(CallId, Time),
@@ -43,7 +43,7 @@
 }
 
 impl KvCall {
-    /// Whether it compares before it writes, so that a second copy can do nothing.
+    /// Whether the call is a compare-and-swap, so that a duplicate has no effect.
     pub fn is_compare_and_swap(&self) -> bool {
         matches!(
             self,
@@ -51,7 +51,8 @@
         )
     }
 
-    /// What its machine is told if no answer came; `maybe_written` if the call may have taken effect.
+    /// The message that the state machine gets if no answer arrived; `maybe_written` if the call may have taken effect.
+    /// `None` if the state machine expects no answer.
     pub fn failure_message(&self, maybe_written: bool) -> Option<Message> {
         let message = match self {
             KvCall::Acquire(call, _) => Message::Authority(authority::Event::NotAcquired { call: *call }),
@@ -87,7 +88,7 @@
     }
 }
 
-/// A change that was accepted, and the configuration after it.
+/// An accepted change, and the configuration that results from it.
 #[derive(Debug)]
 pub struct AcceptedChange {
     pub id: CommandId,
@@ -97,12 +98,13 @@
 
 #[derive(Debug, Default)]
 pub struct Kv {
-    /// Outage and slowness last until these times.
+    /// End of the outage.
     pub outage_until: Time,
+    /// End of the period in which calls are slow.
     pub slow_until: Time,
     pub record: Option<authority::Record>,
     version: u64,
-    /// Instance, incarnation and end of the lease.
+    /// Instance and incarnation of the lease's holder, and when the lease expires.
     lease: Option<(usize, Incarnation, Time)>,
     pub stored: config::StoredHead,
     snapshots: BTreeMap<Version, State>,
@@ -113,19 +115,19 @@
 }
 
 impl Kv {
-    /// Whether someone holds the lease.
+    /// Whether any instance holds the lease.
     pub fn is_lease_held(&self, now: Time) -> bool {
         self.lease.is_some_and(|(.., end)| now < end)
     }
 
-    /// Ends the lease if this instance's incarnation has it.
+    /// Ends the lease if this incarnation of the instance holds it.
     pub fn release_lease(&mut self, index: usize, by: Incarnation) {
         if self.lease.is_some_and(|(i, b, _)| (i, b) == (index, by)) {
             self.lease = None;
         }
     }
 
-    /// Carries out a call that arrived, and gives the answer.
+    /// Carries out a call and returns the answer, if the call has one.
     pub fn serve(&mut self, now: Time, index: usize, by: Incarnation, call: KvCall) -> Option<Message> {
         match call {
             KvCall::Acquire(call, sent) => Some(self.acquire(now, (index, by), call, sent)),
@@ -206,7 +208,8 @@
         Message::Owner(OwnerEvent::Written(bucket, revision))
     }
 
-    /// Swaps the head. Accepted changes must follow on each other, and each id be accepted once.
+    /// Swaps the head of the configuration. The versions of accepted changes must be consecutive, and each id must be
+    /// accepted only once.
     fn swap(&mut self, now: Time, expect: config::Revision, head: Head) -> SwapResult {
         if self.stored.revision != expect {
             return SwapResult::Conflict(self.stored.clone());
@@ -214,9 +217,13 @@
         assert_eq!(
             head.version.0,
             self.accepted.len() as u64 + 1,
-            "versions follow on each other"
+            "the versions of accepted changes are not consecutive"
         );
-        let change = head.tail.back().expect("the head ends with its change").clone();
+        let change = head
+            .tail
+            .back()
+            .expect("the last entry of the head is the new change")
+            .clone();
         assert!(
             self.accepted.iter().all(|a| a.id != change.id),
             "{:?} accepted twice",
@@ -238,7 +245,7 @@
         SwapResult::Done(self.stored.revision)
     }
 
-    /// The version in force by `at`; 0 before the first.
+    /// The last version accepted by the time `at`; 0 before the first.
     pub fn version_at(&self, at: Time) -> Version {
         Version(self.accepted.iter().filter(|a| a.accepted_at <= at).count() as u64)
     }
--- a/tests/testsuite/whole/mod.rs
+++ b/tests/testsuite/whole/mod.rs
@@ -1,7 +1,7 @@
-//! One seeded run over the keepers, authorities and claims' owners of several instances together.
+//! Seeded simulations of the configuration replicators, authorities and claim owners of several instances together.
 //!
-//! All machines of an instance share its pauses, kills and cuts, and one fake key-value service. What is
-//! checked, and what such a run can't show, stands in `docs/design/seeded-runs.md`.
+//! All state machines of an instance are paused, killed and disconnected together, and all instances share one fake
+//! key-value service. `docs/design/seeded-runs.md` describes what is checked and what such a run can't show.
 
 mod engines;
 mod holders;
@@ -14,19 +14,20 @@
 use crate::claims::client::seeds_or;
 use crate::whole::world::Simulation;
 
-/// Seeds that each run of the test suite takes.
+/// Seeds that each run of the test suite uses.
 const SEEDS: std::ops::Range<u64> = 0..40;
 
-/// Operators change roles and drain while holders, owners and entries are paused and killed as whole instances
-/// and the key-value service is out, slow or loses answers. A caller's order could run twice, an engine obey a
-/// former holder, or a drained engine get work, where one machine relies on what another no longer holds.
+/// Operators change roles and drain upstreams while whole instances, each with its holder, claim owner and entry, are
+/// paused and killed, and while the key-value service is down, slow or loses answers. Failures guarded against: a
+/// caller's request runs twice, an engine obeys a former holder, or a drained upstream gets work, because one state
+/// machine relies on something that no longer holds for another.
 #[test]
 fn machines_together() {
     run_seeds(seeds_or(SEEDS));
 }
 
-/// A late copy of an order that an engine has carried out arrives while the next one is recorded and not there yet.
-/// It must change nothing.
+/// A late copy of an order that an engine has carried out arrives when the next order is recorded but has not arrived
+/// yet. The copy must change nothing.
 #[test]
 fn machines_late_copy() {
     let _failing = Failing(108);
@@ -52,9 +53,9 @@
         timely += simulation.timely_picks;
         disconnected += simulation.disconnected_picks;
     }
-    // The run means something only if each of these happened often.
+    // The test is only meaningful if each of these events happened often.
     let seen = format!(
-        "{runs} runs, {orders} orders, {changes} changes, {refused} refused, {timely} picks in time, {disconnected} cut off"
+        "{runs} runs, {orders} orders, {changes} changes, {refused} refused, {timely} timely picks, {disconnected} offline"
     );
     eprintln!("{count} seeds: {seen}");
     assert!(runs > 5 * count, "{seen}");
--- a/tests/testsuite/whole/operators.rs
+++ b/tests/testsuite/whole/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' statements, the keepers that accept and follow them, and what is checked of configurations.
+//! Operators' statements, the configuration replicators that submit and follow them, and the checks of configurations.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,10 +37,10 @@
 
 const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
-/// Within which an accepted drain reaches each instance that runs and is connected.
+/// Time within which an accepted drain must reach each instance that runs and is connected.
 const DRAIN_PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 
-/// After which an operator states again that an order is released.
+/// Time after which an operator repeats the statement that releases an order.
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_secs(15);
 
 fn address(index: usize) -> SocketAddr {
@@ -78,7 +78,7 @@
 }
 
 impl Simulation {
-    /// The first change, accepted before any instance starts.
+    /// Stores the first change, before any instance starts.
     pub fn accept_first_change(&mut self) {
         let proposal = self.proposal(first_commands(), Base::Implied(Default::default()));
         let head = self.kv.stored.head.push(&State::default(), &proposal);
@@ -89,7 +89,7 @@
             sequoiastream_core::authority::Incarnation(Uuid::nil()),
             KvCall::SwapHead(SubmissionId(0), Revision(0), Box::new(head)),
         ) else {
-            panic!("a swap is answered");
+            panic!("a swap has an answer");
         };
         assert!(matches!(swapped, SwapResult::Done(_)));
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// An operator gives a statement, or repeats an earlier one with its id, through any instance.
+    /// An operator submits a statement, or repeats an earlier one under the same id, through the given instance.
     pub fn submit_statement(&mut self, index: usize) {
         let base = Base::Implied(self.instances[index].replicator.state().version);
         if self.rng.random_bool(0.2) {
@@ -140,7 +140,8 @@
         self.schedule(travel, Some(to), Message::Replicator(event));
     }
 
-    /// Releases orders that surely can't arrive: their process is gone, and no copy is on its way.
+    /// Releases the orders that are certain not to arrive any more: no copy is in flight, and the process that opened
+    /// the order has ended or the period of faults is over.
     pub fn release_orders(&mut self) {
         let Some(record) = &self.kv.record else { return };
         let mut lost = Vec::new();
@@ -153,7 +154,7 @@
             }
         }
         for (engine, sequence) in lost {
-            // A statement that was refused, as one that conflicts is, is given again after a while.
+            // The statement is repeated after a while, because it may have been refused, for example for a conflict.
             let stated = self.released_at.get(&(engine.clone(), sequence));
             if !self.faults_enabled && stated.is_some_and(|at| self.now < *at + RELEASE_RETRY_INTERVAL) {
                 continue;
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Tells another instance the version in force here.
+    /// Sends another instance the version in force on this one.
     pub fn gossip(&mut self, index: usize) {
         let to = (index + self.rng.random_range(1..INSTANCES)) % INSTANCES;
         let version = self.instances[index].published;
@@ -211,7 +212,7 @@
                 let accepted = self.kv.accepted.len() as u64;
                 assert!(
                     outcome.version.0 <= accepted,
-                    "an operator was told a version that is none"
+                    "an operator got a version that was never accepted"
                 );
             }
             Action::Answer(..) | Action::Stale(_) => {}
@@ -219,7 +220,7 @@
         }
     }
 
-    /// A peer is asked for what came after a version.
+    /// Answers a peer that asks for the changes after a version.
     pub fn on_fetch(&mut self, index: usize, from: Process, after: Version) {
         let update = self.instances[index].replicator.update_after(after);
         let travel = self.random_millis(1..50);
@@ -227,18 +228,22 @@
         self.schedule(travel, Some(from), Message::Replicator(update));
     }
 
-    /// A version comes in force: it must be later than all before in this life, and what was accepted.
+    /// Puts a version in force: it must be later than all earlier ones of this process, and equal what was accepted.
     fn publish(&mut self, index: usize) {
         let state = self.instances[index].replicator.state();
         let before = self.instances[index].published;
-        assert!(state.version > before, "i{index} went back from {before}");
+        assert!(
+            state.version > before,
+            "i{index} published a version that is not later than {before}"
+        );
         let accepted = &self.kv.accepted[state.version.0 as usize - 1];
         assert_eq!(state.config, accepted.config, "version {}", state.version);
         self.instances[index].published = state.version;
     }
 
-    /// An instance picked an upstream: it must not have heard that this one drains; and if it ran undisturbed
-    /// and could learn of it from the service or a peer, the drain must not have been accepted over 3 s ago.
+    /// Checks an instance's choice of an upstream. The upstream must not be draining by the configuration in force on
+    /// the instance. If the instance ran without a pause and could learn of a drain from the key-value service or a
+    /// peer, the drain must not have been accepted more than 3 s ago.
     pub fn check_pick(&mut self, index: usize, upstream: &Name) {
         let published = self.instances[index].published;
         self.check_serving(index, upstream, published.0);
@@ -252,8 +257,8 @@
         self.disconnected_picks += u64::from(self.now < self.instances[index].disconnected_until);
     }
 
-    /// Whether for the whole limit the service answered in time, this instance ran, and either it was not cut
-    /// off from the service or both its peers ran and were not.
+    /// Whether, for the whole of `DRAIN_PROPAGATION_LIMIT`, the key-value service answered in time, this instance ran,
+    /// and either it was connected to the service or both its peers ran and were connected.
     fn could_learn(&self, index: usize) -> bool {
         let over_limit_ago = |end: Time| self.now >= end + DRAIN_PROPAGATION_LIMIT;
         let was_running = |i: &Instance| over_limit_ago(i.last_stopped);
@@ -274,7 +279,7 @@
         assert_eq!(
             state,
             EngineState::Serving,
-            "{}: i{index} picked {upstream}, which drains by version {version}",
+            "{}: i{index} picked {upstream}, which is draining in version {version}",
             self.now
         );
     }
@@ -282,12 +287,19 @@
     pub fn check_end(&self) {
         let last = self.kv.accepted.len() as u64;
         for (index, instance) in self.instances.iter().enumerate() {
-            assert_eq!(instance.published.0, last, "i{index} has the last version");
+            assert_eq!(
+                instance.published.0, last,
+                "i{index} does not have the last version"
+            );
         }
         let config = &self.kv.accepted.last().expect("the first change").config;
         for (name, engine) in &self.engines {
             let wanted = config.engines[name].role;
-            assert_eq!(Some(engine.target.role), wanted, "{name} is what was wished");
+            assert_eq!(
+                Some(engine.target.role),
+                wanted,
+                "{name} does not have its desired role"
+            );
         }
     }
 }
--- a/tests/testsuite/whole/requests.rs
+++ b/tests/testsuite/whole/requests.rs
@@ -1,4 +1,4 @@
-//! Requests with idempotency keys: their entries, the grant, the plain upstream that counts runs.
+//! Requests with idempotency keys: their entry instances, their grants, and a plain upstream that counts the runs.
 
 use std::time::Duration;
 
@@ -30,11 +30,12 @@
 use super::world::name;
 use crate::claims::machines::keys;
 
-/// Keys in use at the same time, and in all.
+/// Number of keys that are in use at the same time.
 const ACTIVE_KEYS: usize = 4;
+/// Number of all keys.
 const TOTAL_KEYS: usize = 60;
 
-/// Stands for the proof that a request was not sent.
+/// Stands for the proof that a request has not been sent.
 #[derive(Debug)]
 pub struct Proof;
 
@@ -43,7 +44,7 @@
     entry_process: Process,
     token: ClaimToken,
     claim: Option<EntryClaim<Proof>>,
-    /// Counts the questions, so that the answer to a former one is dropped.
+    /// Counts the attempts to claim the key, so that an answer to an earlier attempt is dropped.
     attempt: u64,
     ran: bool,
     refused: bool,
@@ -54,7 +55,7 @@
 }
 
 impl Simulation {
-    /// A caller sends a request, or repeats one, to any entry.
+    /// A caller sends a request, or repeats one, through any instance.
     pub fn start_request(&mut self) {
         let at = self.rng.random_range(0..INSTANCES);
         if self.now < self.instances[at].paused_until {
@@ -62,7 +63,7 @@
         }
         let group = self.requests.len() / 12 % (TOTAL_KEYS / ACTIVE_KEYS);
         let index = group * ACTIVE_KEYS + self.rng.random_range(0..ACTIVE_KEYS);
-        // Lists lag, so entries differ about who owns the shard.
+        // Lists of instances are updated with a delay, so entries disagree about the owner of the shard.
         let first = self.rng.random_range(0..INSTANCES);
         let owners = (0..INSTANCES).map(|i| name(&format!("i{}", (first + i) % INSTANCES)));
         let token = ClaimToken(Uuid::from_u128(u128::from(self.rng.next_u64())));
@@ -111,7 +112,11 @@
             EntryStep::Held(ClaimStatus::Finished(answer)) => {
                 let key = self.requests[request].key;
                 assert_eq!(answer.as_ref().map(|a| a.body.clone()), Some(vec![key as u8]));
-                assert_eq!(self.runs.get(&key), Some(&1), "told finished, but never ran");
+                assert_eq!(
+                    self.runs.get(&key),
+                    Some(&1),
+                    "reported as finished, but did not run exactly once"
+                );
             }
             EntryStep::Held(_) => {}
             EntryStep::Refused(..) => self.refuse(request),
@@ -126,12 +131,12 @@
         };
         self.check_pick(index, &upstream);
         if self.chance(10) {
-            // The connection is refused: nothing was sent.
+            // The connection was refused, so nothing was sent.
             return self.refuse(request);
         }
         let travel = self.random_delay();
         self.schedule(travel, None, Message::RunRequest(request));
-        // The entry waits for the answer only so long.
+        // The entry waits for the answer for a limited time.
         let limit = Duration::from_secs(5);
         let at = self.requests[request].entry_process;
         self.schedule(limit, Some(at), Message::RequestEnded(request, false));
@@ -150,7 +155,7 @@
         }
     }
 
-    /// The request reaches the upstream and runs.
+    /// Runs a request that reached the upstream; it must be the only run under its key.
     pub fn run_request(&mut self, request: usize) {
         let key = self.requests[request].key;
         let runs = self.runs.entry(key).or_default();
@@ -166,7 +171,7 @@
         }
     }
 
-    /// The first end counts: the upstream's answer, or the limit without one.
+    /// Ends a request by whichever comes first: the upstream's answer, or the time limit for it.
     pub fn on_request_ended(&mut self, request: usize, answered: bool) {
         if std::mem::replace(&mut self.requests[request].attempt, u64::MAX) == u64::MAX {
             return;
@@ -186,7 +191,7 @@
         );
     }
 
-    /// The caller is told that its request did not run.
+    /// Answers the caller that its request did not run.
     fn refuse(&mut self, request: usize) {
         assert!(!self.requests[request].ran, "a request that ran was refused");
         self.requests[request].refused = true;
@@ -223,7 +228,7 @@
         if !self.chance(10) {
             let travel = self.random_delay();
             self.schedule(travel, Some(to), Message::Claim(request, ask));
-            // A connection that broke: the entry tries elsewhere, while the message arrives all the same.
+            // A broken connection: the entry tries another owner, although the message still arrives.
             if self.chance(10) {
                 self.schedule_no_answer(request, Duration::from_millis(100));
             }
@@ -231,7 +236,7 @@
         self.schedule_no_answer(request, limit);
     }
 
-    /// Lets the entry give an owner up, unless it has gone on by then.
+    /// Makes the entry stop waiting for an owner after `after`, unless it has got an answer by then.
     fn schedule_no_answer(&mut self, request: usize, after: Duration) {
         let entry = &self.requests[request];
         let (at, attempt) = (entry.entry_process, entry.attempt);
@@ -242,7 +247,7 @@
         );
     }
 
-    /// A question reaches its owner.
+    /// Delivers a claim request to its owner.
     pub fn on_claim(&mut self, index: usize, request: usize, ask: ClaimRequest) {
         self.last_id += 1;
         let query = self.last_id;
--- a/tests/testsuite/whole/world.rs
+++ b/tests/testsuite/whole/world.rs
@@ -1,4 +1,4 @@
-//! Instances, time, faults and messages on their way.
+//! The simulation: instances, time, faults and messages in flight.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -40,30 +40,31 @@
 
 pub const INSTANCES: usize = 3;
 
-/// Simulated time with faults, and after them.
+/// Simulated time with faults.
 const FAULTY_PERIOD: Duration = Duration::from_secs(90);
+/// Simulated time without faults, which follows.
 const RECOVERY_PERIOD: Duration = Duration::from_secs(240);
 
 const STEP: Duration = Duration::from_millis(100);
 
-/// How long a machine waits for the key-value service.
+/// How long a state machine waits for the key-value service.
 const KV_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a proposal may take.
+/// How long a proposal may take before a replicator fails it.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub fn name(text: &str) -> Name {
     Name::new(text).expect("a name")
 }
 
-/// An instance, in one of its lives.
+/// One process of an instance; a restart begins the next generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Process {
     pub index: usize,
     pub generation: u32,
 }
 
-/// What is on its way.
+/// A message in flight.
 #[derive(Debug, Clone)]
 pub enum Message {
     Replicator(config::Event),
@@ -78,7 +79,7 @@
     Fetch(Process, Version),
 }
 
-/// The machines of one process: they are paused, killed and cut off together.
+/// The state machines of one process, which are paused, killed and disconnected together.
 pub struct Instance {
     pub generation: u32,
     pub incarnation: Incarnation,
@@ -87,11 +88,11 @@
     pub owner: Owner,
     pub wake_at: Option<Time>,
     pub paused_until: Time,
-    /// Cut off from the key-value service until then.
+    /// Until when the instance can't reach the key-value service.
     pub disconnected_until: Time,
-    /// Last time at which it was not running.
+    /// Last time at which the process was not running.
     pub last_stopped: Time,
-    /// Highest version that it had in force in this life.
+    /// Highest version that was in force in this process.
     pub published: Version,
 }
 
@@ -99,7 +100,7 @@
     pub rng: ChaCha8Rng,
     pub now: Time,
     pub faults_enabled: bool,
-    /// How much goes wrong in this run, 0 to 4.
+    /// How frequent faults are in this run, from 0 (none) to 4.
     fault_weight: u32,
     pub kv: Kv,
     pub instances: Vec<Instance>,
@@ -110,12 +111,13 @@
     pub queries: BTreeMap<u64, (usize, u64)>,
     pub runs: BTreeMap<usize, u32>,
     pub proposed: BTreeMap<CommandId, Vec<Command>>,
-    /// When operators last released an order.
+    /// When operators last submitted the release of an order.
     pub released_at: BTreeMap<(Name, u64), Time>,
     pub applied_orders: u64,
     pub refused_requests: u64,
-    /// Picks checked against what was accepted 3 s before; and those of instances cut off from the service.
+    /// Number of picks that were checked against the configuration accepted 3 s before.
     pub timely_picks: u64,
+    /// Number of those picks that were made by instances disconnected from the key-value service.
     pub disconnected_picks: u64,
 }
 
@@ -181,7 +183,7 @@
         self.faults_enabled && self.rng.random_range(0..200) < percent * self.fault_weight
     }
 
-    /// A delay on the way: mostly short, now and then longer than a lease.
+    /// A delivery delay: mostly short, occasionally longer than a lease.
     pub fn random_delay(&mut self) -> Duration {
         match self.chance(4) {
             true => self.random_millis(1_000..40_000),
@@ -203,13 +205,13 @@
         }
     }
 
-    /// Sends a message; what is for a process is lost with it.
+    /// Sends a message, to arrive after `after`. A message to a process is lost if the process has ended by then.
     pub fn schedule(&mut self, after: Duration, to: Option<Process>, message: Message) {
         self.last_id += 1;
         self.queue.insert((self.now + after, self.last_id), (to, message));
     }
 
-    /// Whether a copy of this order is on its way.
+    /// Whether a copy of this order is in flight.
     pub fn is_in_flight(&self, engine: &Name, sequence: u64) -> bool {
         self.queue
             .values()
@@ -271,13 +273,16 @@
         while let Some((&(at, id), _)) = self.queue.first_key_value()
             && at <= until
         {
-            let (to, message) = self.queue.remove(&(at, id)).expect("it is first");
+            let (to, message) = self.queue.remove(&(at, id)).expect("the first entry exists");
             self.now = self.now.max(at);
             self.deliver(to, message);
         }
         self.now = until;
         let holders = self.instances.iter().filter(|i| i.authority.is_holder(until));
-        assert!(holders.count() <= 1, "{until}: two holders");
+        assert!(
+            holders.count() <= 1,
+            "{until}: two instances believe that they hold the lease"
+        );
         for index in 0..INSTANCES {
             match self.now < self.instances[index].paused_until {
                 true => self.instances[index].last_stopped = self.now,
@@ -292,7 +297,7 @@
         if self.rng.random_range(0..3) == 0 {
             self.gossip(index);
         }
-        // The watch on the head, renewed about once a second even if nothing changed.
+        // Stands for the watch on the head, which is renewed about once a second even if nothing changed.
         if self.rng.random_range(0..10) == 0 {
             self.call_kv(index, KvCall::ReadHead);
         }
@@ -319,17 +324,17 @@
             Message::Verdict(request, attempt, verdict) => self.on_verdict(request, attempt, verdict),
             Message::RequestEnded(request, answered) => self.on_request_ended(request, answered),
             Message::Fetch(from, after) => self.on_fetch(index, from, after),
-            other => panic!("{other:?} is not for a process"),
+            other => panic!("{other:?} is not a message to a process"),
         }
     }
 
-    /// A message reaches the key-value service, an engine or the plain upstream.
+    /// Delivers a message to the key-value service, an engine or the plain upstream.
     fn deliver_to_service(&mut self, message: Message) {
         match message {
             Message::Kv(from, call, answered) => self.serve_kv_call(from, call, answered),
             Message::Order(from, call, engine, order) => self.deliver_order(from, call, engine, order),
             Message::RunRequest(request) => self.run_request(request),
-            other => panic!("{other:?} is for a process"),
+            other => panic!("{other:?} is a message to a process"),
         }
     }
 
@@ -340,7 +345,7 @@
         }
     }
 
-    /// Calls the key-value service: the call may take longer than its machine waits, and arrive all the same.
+    /// Calls the key-value service. The call may take longer than its state machine waits, and still arrive.
     pub fn call_kv(&mut self, index: usize, call: KvCall) {
         let from = self.process(index);
         let slow = self.now < self.kv.slow_until || self.chance(5);
@@ -366,7 +371,7 @@
         let failed = call.failure_message(!away);
         let by = match instance.generation == from.generation {
             true => instance.incarnation,
-            // The lease of a process that is gone is asked for by nobody.
+            // A process that has ended no longer asks for the lease.
             false if matches!(call, KvCall::Acquire(..) | KvCall::Renew(..)) => return,
             false => Incarnation(Uuid::nil()),
         };
