--- a/tests/testsuite/authority/processes.rs
+++ b/tests/testsuite/authority/processes.rs
@@ -262,6 +262,8 @@
     assert_eq!(orders.len(), 1);
 }
 
+/// Makes the key-value service lose the answers to the next `lose` writes of keys that begin with `only`, which take
+/// effect nevertheless.
 async fn lose_answers(fleet: &Fleet, lose: u32, only: &str) {
     let fault = Fault {
         lose,
--- a/tests/testsuite/authority/seeded.rs
+++ b/tests/testsuite/authority/seeded.rs
@@ -247,8 +247,8 @@
             }
             4 | 5 => self.nodes[node] = self.new_node(node),
             6 => {
-                let out = self.random_millis(1_000..25_000);
-                self.kv.outage_until = self.now + out;
+                let outage = self.random_millis(1_000..25_000);
+                self.kv.outage_until = self.now + outage;
             }
             7..30 => {
                 let role = ROLES[self.rng.random_range(0..ROLES.len())];
@@ -288,9 +288,9 @@
             self.deliver(message);
         }
         self.now = until;
-        let believers = self.nodes.iter().filter(|n| n.machine.is_holder(until));
+        let holders = self.nodes.iter().filter(|n| n.machine.is_holder(until));
         assert!(
-            believers.count() <= 1,
+            holders.count() <= 1,
             "seed {} at {until}: two instances believe that they hold the lease",
             self.seed
         );
@@ -431,11 +431,11 @@
         self.send_answer(node, from, event);
     }
 
-    fn call_kv(&mut self, node: usize, call: CallId, what: KvCall) {
+    fn call_kv(&mut self, node: usize, call: CallId, kv_call: KvCall) {
         let delay = self.random_delay();
         let incarnation = self.nodes[node].incarnation;
         let sent = self.now;
-        self.schedule(delay, Message::Kv(node, incarnation, call, what, sent));
+        self.schedule(delay, Message::Kv(node, incarnation, call, kv_call, sent));
     }
 
     fn deliver(&mut self, message: Message) {
@@ -452,8 +452,8 @@
                     false => self.on_event(node, event),
                 }
             }
-            Message::Kv(node, incarnation, call, what, sent) => {
-                let event = self.serve_kv_call(node, incarnation, call, what, sent);
+            Message::Kv(node, incarnation, call, kv_call, sent) => {
+                let event = self.serve_kv_call(node, incarnation, call, kv_call, sent);
                 self.send_answer(node, incarnation, event);
             }
             Message::Engine(node, incarnation, call, engine, order) => {
@@ -475,18 +475,18 @@
         node: usize,
         by: Incarnation,
         call: CallId,
-        what: KvCall,
+        kv_call: KvCall,
         sent: Time,
     ) -> Event {
-        let out = self.now < self.kv.outage_until;
+        let in_outage = self.now < self.kv.outage_until;
         let lost = self.chance(5);
         let owned = self
             .kv
             .lease
             .filter(|(n, i, end)| (*n, *i) == (node, by) && self.now < *end);
         let free = self.kv.lease.is_none_or(|(_, _, end)| self.now >= end);
-        match what {
-            KvCall::Acquire if out || !free => Event::NotAcquired { call },
+        match kv_call {
+            KvCall::Acquire if in_outage || !free => Event::NotAcquired { call },
             KvCall::Acquire => {
                 self.kv.lease = Some((node, by, self.now + TTL));
                 match lost {
@@ -494,7 +494,7 @@
                     false => Event::Acquired { call, sent },
                 }
             }
-            KvCall::Renew if out => Event::RenewFailed { call },
+            KvCall::Renew if in_outage => Event::RenewFailed { call },
             KvCall::Renew => match owned {
                 None => Event::Expired { call },
                 Some(_) => {
@@ -505,13 +505,13 @@
                     }
                 }
             },
-            KvCall::Read if out || lost => Event::ReadFailed { call },
+            KvCall::Read if in_outage || lost => Event::ReadFailed { call },
             KvCall::Read => Event::Read {
                 call,
                 version: RecordVersion(self.kv.version),
                 record: self.kv.record.clone(),
             },
-            KvCall::Write(_, _) if out => Event::Wrote {
+            KvCall::Write(_, _) if in_outage => Event::Wrote {
                 call,
                 outcome: WriteOutcome::Unknown,
             },
--- a/tests/testsuite/whole/operators.rs
+++ b/tests/testsuite/whole/operators.rs
@@ -115,10 +115,10 @@
             let at = self.rng.random_range(0..self.proposed.len());
             let (id, commands) = self.proposed.iter().nth(at).expect("in range");
             let (id, commands) = (*id, commands.clone());
-            let mut again = self.proposal(commands, base);
-            self.proposed.remove(&again.id);
-            again.id = id;
-            return self.propose(index, again);
+            let mut repeated = self.proposal(commands, base);
+            self.proposed.remove(&repeated.id);
+            repeated.id = id;
+            return self.propose(index, repeated);
         }
         let engine = name(["e0", "e1"][self.rng.random_range(0..2)]);
         let upstream = name(["u0", "u1"][self.rng.random_range(0..2)]);
@@ -155,8 +155,9 @@
         }
         for (engine, sequence) in lost {
             // The statement is repeated after a while, because it may have been refused, for example for a conflict.
-            let stated = self.released_at.get(&(engine.clone(), sequence));
-            if !self.faults_enabled && stated.is_some_and(|at| self.now < *at + RELEASE_RETRY_INTERVAL) {
+            let submitted_at = self.released_at.get(&(engine.clone(), sequence));
+            if !self.faults_enabled && submitted_at.is_some_and(|at| self.now < *at + RELEASE_RETRY_INTERVAL)
+            {
                 continue;
             }
             self.released_at.insert((engine.clone(), sequence), self.now);
@@ -203,9 +204,9 @@
             Action::RemoveSnapshot(version) => self.call_kv(index, KvCall::RemoveSnapshot(version)),
             Action::Fetch(peer, after) => {
                 let from = self.process(index);
-                let asked = self.process(usize::from(peer.port()));
+                let peer_process = self.process(usize::from(peer.port()));
                 let travel = self.random_millis(1..50);
-                self.schedule(travel, Some(asked), Message::Fetch(from, after));
+                self.schedule(travel, Some(peer_process), Message::Fetch(from, after));
             }
             Action::Publish => self.publish(index),
             Action::Answer(_, Ok(outcome)) => {
--- a/tests/testsuite/whole/requests.rs
+++ b/tests/testsuite/whole/requests.rs
@@ -104,7 +104,9 @@
 
     fn on_entry_step(&mut self, request: usize, step: EntryStep<Proof>) {
         match step {
-            EntryStep::Ask(claim, owner, ask) => self.send_claim(request, *claim, &owner, ask),
+            EntryStep::Ask(claim, owner, claim_request) => {
+                self.send_claim(request, *claim, &owner, claim_request)
+            }
             EntryStep::Granted(grant) => {
                 let Proof = grant.into_proof();
                 self.on_grant(request);
@@ -218,16 +220,22 @@
         }
     }
 
-    fn send_claim(&mut self, request: usize, claim: EntryClaim<Proof>, owner: &Name, ask: ClaimRequest) {
+    fn send_claim(
+        &mut self,
+        request: usize,
+        claim: EntryClaim<Proof>,
+        owner: &Name,
+        claim_request: ClaimRequest,
+    ) {
         let entry = &mut self.requests[request];
         entry.claim = Some(claim);
         entry.attempt += 1;
-        let limit = ask.wait + Duration::from_millis(200);
+        let limit = claim_request.wait + Duration::from_millis(200);
         let owner: usize = owner.as_str()[1..].parse().expect("an index");
         let to = self.process(owner);
         if !self.chance(10) {
             let travel = self.random_delay();
-            self.schedule(travel, Some(to), Message::Claim(request, ask));
+            self.schedule(travel, Some(to), Message::Claim(request, claim_request));
             // A broken connection: the entry tries another owner, although the message still arrives.
             if self.chance(10) {
                 self.schedule_no_answer(request, Duration::from_millis(100));
@@ -248,12 +256,12 @@
     }
 
     /// Delivers a claim request to its owner.
-    pub fn on_claim(&mut self, index: usize, request: usize, ask: ClaimRequest) {
+    pub fn on_claim(&mut self, index: usize, request: usize, claim_request: ClaimRequest) {
         self.last_id += 1;
         let query = self.last_id;
         self.queries
             .insert(query, (request, self.requests[request].attempt));
-        self.on_owner_event(index, OwnerEvent::Claim(QueryId(query), ask));
+        self.on_owner_event(index, OwnerEvent::Claim(QueryId(query), claim_request));
     }
 
     pub fn perform_owner_action(&mut self, index: usize, action: OwnerAction) {
--- a/tests/testsuite/whole/world.rs
+++ b/tests/testsuite/whole/world.rs
@@ -367,19 +367,19 @@
     fn serve_kv_call(&mut self, from: Process, call: KvCall, answered: bool) {
         let lost = self.chance(5);
         let instance = &self.instances[from.index];
-        let away = self.now < self.kv.outage_until || self.now < instance.disconnected_until;
-        let failed = call.failure_message(!away);
+        let unreachable = self.now < self.kv.outage_until || self.now < instance.disconnected_until;
+        let failed = call.failure_message(!unreachable);
         let by = match instance.generation == from.generation {
             true => instance.incarnation,
             // A process that has ended no longer asks for the lease.
             false if matches!(call, KvCall::Acquire(..) | KvCall::Renew(..)) => return,
             false => Incarnation(Uuid::nil()),
         };
-        let answer_event = match away {
+        let answer_event = match unreachable {
             true => None,
             false => self.kv.serve(self.now, from.index, by, call),
         };
-        let answer = if away || lost { failed } else { answer_event };
+        let answer = if unreachable || lost { failed } else { answer_event };
         let travel = if lost {
             KV_TIMEOUT
         } else {
