--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -16,11 +16,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rates {
     /// Prompt tokens per second.
-    pub prefill: f64,
+    pub prefill_rate: f64,
     /// Tokens per second of a sequence that runs alone.
-    pub decode: f64,
+    pub decode_rate: f64,
     /// Part of a step's time that each further sequence adds.
-    pub crowding: f64,
+    pub sequence_overhead: f64,
     /// Most sequences that run at once.
     pub slots: usize,
 }
@@ -105,12 +105,12 @@
     pub fn step(&mut self, role: Role) -> (Duration, Vec<Token>) {
         let profile = RoleProfile::of(role, self.rates.slots as u32);
         let processed = self.process_prompts(profile);
-        let crowd = 1.0 + self.rates.crowding * self.running.len().saturating_sub(1) as f64;
+        let crowd = 1.0 + self.rates.sequence_overhead * self.running.len().saturating_sub(1) as f64;
         let decode = match self.running.is_empty() {
             true => 0.0,
-            false => crowd / self.rates.decode,
+            false => crowd / self.rates.decode_rate,
         };
-        let seconds = decode + f64::from(processed) / self.rates.prefill;
+        let seconds = decode + f64::from(processed) / self.rates.prefill_rate;
         (Duration::from_secs_f64(seconds), self.generate())
     }
 
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -15,7 +15,7 @@
     capacity: usize,
     clock: u64,
     events: Vec<CacheEvent>,
-    number: u64,
+    last_event: u64,
 }
 
 impl PrefixCache {
@@ -26,7 +26,7 @@
             capacity: usize::try_from(tokens / u64::from(BLOCK_TOKENS)).unwrap_or(usize::MAX),
             clock: 0,
             events: Vec::new(),
-            number: 0,
+            last_event: 0,
         }
     }
 
@@ -49,7 +49,7 @@
         self.clock += 1;
         for digest in digests {
             if self.blocks.insert(*digest, self.clock).is_none() {
-                self.log(*digest, true);
+                self.record_event(*digest, true);
             }
         }
         while self.blocks.len() > self.capacity {
@@ -60,7 +60,7 @@
     /// Drops everything, as a model load does.
     pub fn clear(&mut self) {
         for digest in std::mem::take(&mut self.blocks).into_keys() {
-            self.log(digest, false);
+            self.record_event(digest, false);
         }
     }
 
@@ -82,13 +82,13 @@
         let oldest = self.blocks.iter().min_by_key(|(_, used)| **used);
         if let Some(digest) = oldest.map(|(digest, _)| *digest) {
             self.blocks.remove(&digest);
-            self.log(digest, false);
+            self.record_event(digest, false);
         }
     }
 
-    fn log(&mut self, block: u64, stored: bool) {
-        self.number += 1;
-        let number = self.number;
+    fn record_event(&mut self, block: u64, stored: bool) {
+        self.last_event += 1;
+        let number = self.last_event;
         self.events.push(CacheEvent {
             number,
             block,
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -46,7 +46,7 @@
 use crate::engine::text::token_text;
 
 /// Word in a prompt that makes the engine crash; `poison:12` crashes it after 12 tokens.
-const POISON: &str = "poison:";
+const POISON_PREFIX: &str = "poison:";
 
 /// Load reports kept, to show old ones.
 const MAX_REPORTS: usize = 1024;
@@ -63,9 +63,9 @@
     /// The model that it has loaded at first.
     pub model: String,
     /// Whether it refuses orders with an old fencing token.
-    pub checked: bool,
+    pub check_fence: bool,
     /// How long a role change takes it away.
-    pub away: Duration,
+    pub away_time: Duration,
 }
 
 /// How an engine misbehaves, set by `PUT /control/fault`.
@@ -111,28 +111,28 @@
     sender: mpsc::UnboundedSender<PieceBody>,
     body: GenerateBody,
     cached: u32,
-    crash: Option<u32>,
+    crash_offset: Option<u32>,
     version: u32,
-    before: Option<Uuid>,
+    previous_attempt: Option<Uuid>,
 }
 
 struct State {
     batch: Batch,
     /// Answers whose last token is in the step that goes on: a report without them would call the engine empty, and an
     /// order would cut them.
-    ending: usize,
+    finishing: usize,
     cache: PrefixCache,
     answers: BTreeMap<Uuid, Answer>,
     target: Target,
-    away: Option<Instant>,
+    away_until: Option<Instant>,
     fence: u64,
     sequence: u64,
     orders: Vec<OrderRecord>,
     fault: EngineFault,
     reports: Vec<(Instant, LoadBody)>,
     served: u64,
-    cut: u64,
-    last: Option<Uuid>,
+    cut_streams: u64,
+    last_attempt: Option<Uuid>,
 }
 
 /// Shared state of the server.
@@ -142,7 +142,7 @@
     started: Instant,
     state: Mutex<State>,
     work: Notify,
-    stepping: AtomicBool,
+    steps_started: AtomicBool,
 }
 
 impl Engine {
@@ -157,7 +157,7 @@
 pub fn configure(settings: EngineSettings) -> impl Fn(&mut ServiceConfig) + Send + Clone + 'static {
     let engine = Arc::new(new_engine(settings));
     move |config| {
-        if !engine.stepping.swap(true, Ordering::SeqCst) {
+        if !engine.steps_started.swap(true, Ordering::SeqCst) {
             actix_rt::spawn(run_steps(engine.clone()));
         }
         config
@@ -184,19 +184,19 @@
     };
     let state = State {
         batch: Batch::new(settings.rates),
-        ending: 0,
+        finishing: 0,
         cache: PrefixCache::new(settings.capacity),
         answers: BTreeMap::new(),
         target,
-        away: None,
+        away_until: None,
         fence: 0,
         sequence: 0,
         orders: Vec::new(),
         fault: EngineFault::default(),
         reports: Vec::new(),
         served: 0,
-        cut: 0,
-        last: None,
+        cut_streams: 0,
+        last_attempt: None,
     };
     Engine {
         settings,
@@ -204,7 +204,7 @@
         started: Instant::now(),
         state: Mutex::new(state),
         work: Notify::new(),
-        stepping: AtomicBool::new(false),
+        steps_started: AtomicBool::new(false),
     }
 }
 
@@ -219,7 +219,7 @@
                 false => {
                     let role = state.target.role;
                     let step = state.batch.step(role);
-                    state.ending = step.1.iter().filter(|token| token.last).count();
+                    state.finishing = step.1.iter().filter(|token| token.last).count();
                     Some(step)
                 }
             }
@@ -229,19 +229,19 @@
             Some((time, tokens)) => {
                 tokio::time::sleep(time).await;
                 let mut state = engine.lock();
-                deliver(&mut state, &tokens);
-                state.ending = 0;
+                send_tokens(&mut state, &tokens);
+                state.finishing = 0;
             }
         }
     }
 }
 
-fn deliver(state: &mut State, tokens: &[Token]) {
+fn send_tokens(state: &mut State, tokens: &[Token]) {
     for token in tokens {
         let Some(answer) = state.answers.get(&token.attempt) else {
             continue;
         };
-        if answer.crash.is_some_and(|at| token.offset >= at) {
+        if answer.crash_offset.is_some_and(|at| token.offset >= at) {
             std::process::abort();
         }
         let sent = send(answer, &state.fault, token);
@@ -284,7 +284,7 @@
         };
         let _ = answer.sender.send(crossed);
     }
-    if let (true, Some(before)) = (fault.stale, answer.before) {
+    if let (true, Some(before)) = (fault.stale, answer.previous_attempt) {
         let stale = PieceBody {
             attempt: before,
             text: "stale ".to_string(),
@@ -297,12 +297,12 @@
     }
     let sent = answer.sender.send(piece).is_ok();
     if token.last {
-        let _ = answer.sender.send(last_line(answer, token.offset + 1));
+        let _ = answer.sender.send(final_piece(answer, token.offset + 1));
     }
     sent
 }
 
-fn last_line(answer: &Answer, offset: u32) -> PieceBody {
+fn final_piece(answer: &Answer, offset: u32) -> PieceBody {
     PieceBody {
         attempt: answer.body.attempt,
         offset,
@@ -320,7 +320,7 @@
     let (sender, receiver) = mpsc::unbounded_channel();
     let version = {
         let mut state = engine.lock();
-        let away = state.away.is_some_and(|until| Instant::now() < until);
+        let away = state.away_until.is_some_and(|until| Instant::now() < until);
         if away || state.fault.refuse || body.model != state.target.model {
             return HttpResponse::ServiceUnavailable()
                 .insert_header((NOT_STARTED, "1"))
@@ -340,7 +340,7 @@
         .insert_header((MODEL_VERSION, version.to_string()))
         .insert_header((INCARNATION, engine.incarnation.to_string()))
         .content_type("application/x-ndjson")
-        .streaming(lines(receiver))
+        .streaming(ndjson_stream(receiver))
 }
 
 fn admit(state: &mut State, body: GenerateBody, sender: mpsc::UnboundedSender<PieceBody>) {
@@ -349,17 +349,17 @@
     let cached = state.cache.lookup(&digests);
     state.cache.store(&digests);
     let version = state.target.version;
-    let before = state.last.replace(body.attempt);
+    let before = state.last_attempt.replace(body.attempt);
     if body.offset >= body.limit {
         let answer = Answer {
             sender,
             body,
             cached,
-            crash: None,
+            crash_offset: None,
             version,
-            before,
+            previous_attempt: before,
         };
-        let _ = answer.sender.send(last_line(&answer, answer.body.limit));
+        let _ = answer.sender.send(final_piece(&answer, answer.body.limit));
         return;
     }
     let known = match body.import {
@@ -377,21 +377,25 @@
     });
     let answer = Answer {
         sender,
-        crash: poison(&body.prompt),
+        crash_offset: crash_offset(&body.prompt),
         cached,
         version,
-        before,
+        previous_attempt: before,
         body,
     };
     state.answers.insert(answer.body.attempt, answer);
 }
 
-fn poison(prompt: &str) -> Option<u32> {
-    let word = prompt.split_whitespace().find_map(|w| w.strip_prefix(POISON))?;
+fn crash_offset(prompt: &str) -> Option<u32> {
+    let word = prompt
+        .split_whitespace()
+        .find_map(|w| w.strip_prefix(POISON_PREFIX))?;
     word.parse().ok()
 }
 
-fn lines(receiver: mpsc::UnboundedReceiver<PieceBody>) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
+fn ndjson_stream(
+    receiver: mpsc::UnboundedReceiver<PieceBody>,
+) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
     futures_util::stream::unfold(receiver, |mut receiver| async move {
         let piece = receiver.recv().await?;
         Some((piece, receiver))
@@ -413,7 +417,7 @@
 async fn load(engine: Data<Engine>) -> HttpResponse {
     let mut state = engine.lock();
     let now = Instant::now();
-    let report = report(&engine.settings, &state, now);
+    let report = load_report(&engine.settings, &state, now);
     state.reports.push((now, report));
     if state.reports.len() > MAX_REPORTS {
         state.reports.drain(..MAX_REPORTS / 2);
@@ -428,22 +432,22 @@
         .json(body)
 }
 
-fn report(settings: &EngineSettings, state: &State, now: Instant) -> LoadBody {
+fn load_report(settings: &EngineSettings, state: &State, now: Instant) -> LoadBody {
     LoadBody {
         role: state.target.role,
         model: state.target.model.clone(),
         adapter: state.target.adapter.clone(),
         version: state.target.version,
-        away: state.away.is_some_and(|until| now < until),
+        away: state.away_until.is_some_and(|until| now < until),
         fence: state.fence,
         sequence: state.sequence,
-        running: (state.batch.running() + state.ending) as u32,
+        running: (state.batch.running() + state.finishing) as u32,
         queued: state.batch.queued() as u32,
         prefill: state.batch.prefill_left(),
         used: state.cache.used(),
         capacity: settings.capacity,
-        prefill_rate: settings.rates.prefill as u32,
-        decode_rate: settings.rates.decode as u32,
+        prefill_rate: settings.rates.prefill_rate as u32,
+        decode_rate: settings.rates.decode_rate as u32,
         slots: settings.rates.slots as u32,
         age: 0,
     }
@@ -466,7 +470,7 @@
     let order = order.into_inner();
     let slow = {
         let mut state = engine.lock();
-        let stale = engine.settings.checked && order.fence < state.fence;
+        let stale = engine.settings.check_fence && order.fence < state.fence;
         state.orders.push(OrderRecord {
             order: order.clone(),
             applied: !stale,
@@ -475,14 +479,14 @@
         if stale {
             return HttpResponse::Conflict().json(StaleBody { fence: state.fence });
         }
-        apply(&engine.settings, &mut state, order);
+        apply_order(&engine.settings, &mut state, order);
         state.fault.slow_order
     };
     tokio::time::sleep(Duration::from_millis(slow)).await;
     HttpResponse::Ok().json(())
 }
 
-fn apply(settings: &EngineSettings, state: &mut State, order: OrderBody) {
+fn apply_order(settings: &EngineSettings, state: &mut State, order: OrderBody) {
     if state.fault.crash {
         std::process::abort();
     }
@@ -490,10 +494,10 @@
     state.sequence = order.sequence;
     if state.target != order.target {
         state.target = order.target;
-        state.away = Some(Instant::now() + settings.away);
+        state.away_until = Some(Instant::now() + settings.away_time);
         state.cache.clear();
         // The worst case: what still runs is cut, its streams end without a finish.
-        state.cut += state.answers.len() as u64;
+        state.cut_streams += state.answers.len() as u64;
         for attempt in std::mem::take(&mut state.answers).into_keys() {
             state.batch.cancel(attempt);
         }
@@ -515,5 +519,5 @@
 
 /// Streams that an order cut.
 async fn cut(engine: Data<Engine>) -> HttpResponse {
-    HttpResponse::Ok().json(engine.lock().cut)
+    HttpResponse::Ok().json(engine.lock().cut_streams)
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -36,20 +36,32 @@
                 .about("Plain service that counts runs per key")
                 .arg(listen.clone()),
         )
-        .subcommand(engine_cli().arg(listen))
+        .subcommand(engine_command().arg(listen))
         .subcommand(load::cli::cli())
         .subcommand(experiment::cli::cli())
         .subcommand(Command::new("uuid").about("Prints a fresh idempotency key (UUIDv7)"))
 }
 
-fn engine_cli() -> Command {
+fn engine_command() -> Command {
     Command::new("engine")
         .about("Model engine with continuous batching")
-        .arg(number("prefill-rate", "Prompt tokens per second", "8000"))
-        .arg(number("decode-rate", "Tokens per second of a lone request", "40"))
-        .arg(number("slots", "Most requests that generate at once", "32"))
-        .arg(number("cache", "Tokens that fit into the prefix cache", "100000"))
-        .arg(number("away", "Milliseconds that a role change takes", "3000"))
+        .arg(number_arg("prefill-rate", "Prompt tokens per second", "8000"))
+        .arg(number_arg(
+            "decode-rate",
+            "Tokens per second of a lone request",
+            "40",
+        ))
+        .arg(number_arg("slots", "Most requests that generate at once", "32"))
+        .arg(number_arg(
+            "cache",
+            "Tokens that fit into the prefix cache",
+            "100000",
+        ))
+        .arg(number_arg(
+            "away",
+            "Milliseconds that a role change takes",
+            "3000",
+        ))
         .arg(
             Arg::new("model")
                 .long("model")
@@ -72,7 +84,7 @@
         )
 }
 
-fn number(name: &'static str, help: &'static str, default: &'static str) -> Arg {
+fn number_arg(name: &'static str, help: &'static str, default: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .help(help)
@@ -80,14 +92,14 @@
         .value_parser(value_parser!(u64))
 }
 
-fn settings(matches: &ArgMatches) -> EngineSettings {
+fn engine_settings(matches: &ArgMatches) -> EngineSettings {
     let number = |name: &str| *matches.get_one::<u64>(name).expect("has a default");
     let text = |name: &str| matches.get_one::<String>(name).expect("has a default").clone();
     EngineSettings {
         rates: Rates {
-            prefill: number("prefill-rate") as f64,
-            decode: number("decode-rate") as f64,
-            crowding: 0.02,
+            prefill_rate: number("prefill-rate") as f64,
+            decode_rate: number("decode-rate") as f64,
+            sequence_overhead: 0.02,
             slots: number("slots") as usize,
         },
         capacity: number("cache"),
@@ -97,8 +109,8 @@
             _ => Role::Mixed,
         },
         model: text("model"),
-        checked: text("fencing") == "checked",
-        away: Duration::from_millis(number("away")),
+        check_fence: text("fencing") == "checked",
+        away_time: Duration::from_millis(number("away")),
     }
 }
 
@@ -119,6 +131,6 @@
     match name {
         "platform" => serve(listen, 1, platform::configure()).await,
         "plain" => serve(listen, 1, plain::configure()).await,
-        _ => serve(listen, 1, engine::configure(settings(matches))).await,
+        _ => serve(listen, 1, engine::configure(engine_settings(matches))).await,
     }
 }
--- a/crates/standin/src/plain/mod.rs
+++ b/crates/standin/src/plain/mod.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Plain {
+struct PlainService {
     state: Mutex<State>,
 }
 
@@ -50,7 +50,7 @@
 
 /// Registers the service's routes with a state of their own.
 pub fn configure() -> impl Fn(&mut ServiceConfig) + Send + Clone + 'static {
-    let plain = Arc::new(Plain::default());
+    let plain = Arc::new(PlainService::default());
     move |config| {
         config
             .app_data(Data::from(plain.clone()))
@@ -60,7 +60,7 @@
     }
 }
 
-async fn run(plain: Data<Plain>, request: HttpRequest, _body: Bytes) -> HttpResponse {
+async fn run(plain: Data<PlainService>, request: HttpRequest, _body: Bytes) -> HttpResponse {
     let key = request.headers().get("idempotency-key");
     let key = key.and_then(|v| v.to_str().ok()).unwrap_or("-").to_string();
     let (fault, run, lost) = {
@@ -94,7 +94,7 @@
     }
 }
 
-async fn set_fault(plain: Data<Plain>, fault: Json<PlainFault>) -> HttpResponse {
+async fn set_fault(plain: Data<PlainService>, fault: Json<PlainFault>) -> HttpResponse {
     plain
         .state
         .lock()
@@ -103,7 +103,7 @@
     HttpResponse::Ok().finish()
 }
 
-async fn runs(plain: Data<Plain>) -> HttpResponse {
+async fn runs(plain: Data<PlainService>) -> HttpResponse {
     let state = plain
         .state
         .lock()
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -27,7 +27,7 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use crate::platform::store::Put;
+use crate::platform::store::PutOutcome;
 use crate::platform::store::Store;
 use crate::platform::store::Stored;
 
@@ -35,7 +35,7 @@
 const MAX_VALUE: usize = 1024 * 1024;
 
 /// How often lapsed leases are looked for.
-const EXPIRE_EVERY: Duration = Duration::from_millis(20);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How the platform misbehaves, set by `PUT /control/fault`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -114,7 +114,7 @@
 }
 
 /// Counts the call and applies the faults that come before it takes effect.
-async fn enter(platform: &Platform, request: &HttpRequest, kind: &str) -> Option<HttpResponse> {
+async fn admit_call(platform: &Platform, request: &HttpRequest, kind: &str) -> Option<HttpResponse> {
     let (fault, cut) = {
         let mut state = platform.lock();
         *state.stats.calls.entry(kind.to_string()).or_default() += 1;
@@ -132,19 +132,19 @@
 }
 
 /// Whether the answer to this write is to be lost.
-fn loses(state: &mut State, key: &str) -> bool {
+fn take_lost_answer(state: &mut State, key: &str) -> bool {
     let lost = state.fault.lose > 0 && key.starts_with(&state.fault.only);
     state.fault.lose -= u32::from(lost);
     lost
 }
 
 /// Never answers: the write took effect, its writer doesn't learn so.
-async fn lose() -> HttpResponse {
+async fn withhold_answer() -> HttpResponse {
     std::future::pending::<()>().await;
     HttpResponse::Ok().finish()
 }
 
-fn body(stored: Stored) -> EntryBody {
+fn entry_body(stored: Stored) -> EntryBody {
     EntryBody {
         version: stored.version,
         value: stored.value,
@@ -152,7 +152,7 @@
 }
 
 async fn get(platform: Data<Platform>, request: HttpRequest, key: Path<String>) -> HttpResponse {
-    if let Some(refusal) = enter(&platform, &request, "get").await {
+    if let Some(refusal) = admit_call(&platform, &request, "get").await {
         return refusal;
     }
     let mut state = platform.lock();
@@ -161,7 +161,7 @@
     state.stats.read += stored.value.as_ref().map_or(0, |v| v.len() as u64);
     match stored.version {
         0 => HttpResponse::NotFound().finish(),
-        _ => HttpResponse::Ok().json(body(stored)),
+        _ => HttpResponse::Ok().json(entry_body(stored)),
     }
 }
 
@@ -178,7 +178,7 @@
     query: Query<PutQuery>,
     bytes: Bytes,
 ) -> HttpResponse {
-    if let Some(refusal) = enter(&platform, &request, "put").await {
+    if let Some(refusal) = admit_call(&platform, &request, "put").await {
         return refusal;
     }
     let (outcome, lost) = {
@@ -186,19 +186,19 @@
         state.store.expire(Instant::now());
         let value = BASE64_STANDARD.encode(&bytes);
         let outcome = state.store.put(&key, query.expect, value, query.lease);
-        if matches!(outcome, Put::Done(_)) {
+        if matches!(outcome, PutOutcome::Written(_)) {
             state.stats.written += bytes.len() as u64;
         }
-        (outcome, loses(&mut state, &key))
+        (outcome, take_lost_answer(&mut state, &key))
     };
     platform.changed.notify_waiters();
     if lost {
-        return lose().await;
+        return withhold_answer().await;
     }
     match outcome {
-        Put::Done(version) => HttpResponse::Ok().json(VersionBody { version }),
-        Put::Conflict(stored) => HttpResponse::Conflict().json(body(stored)),
-        Put::NoLease => HttpResponse::Gone().finish(),
+        PutOutcome::Written(version) => HttpResponse::Ok().json(VersionBody { version }),
+        PutOutcome::Conflict(stored) => HttpResponse::Conflict().json(entry_body(stored)),
+        PutOutcome::LeaseLapsed => HttpResponse::Gone().finish(),
     }
 }
 
@@ -214,7 +214,7 @@
     key: Path<String>,
     query: Query<WatchQuery>,
 ) -> HttpResponse {
-    if let Some(refusal) = enter(&platform, &request, "watch").await {
+    if let Some(refusal) = admit_call(&platform, &request, "watch").await {
         return refusal;
     }
     let until = Instant::now() + Duration::from_millis(query.wait_ms);
@@ -229,14 +229,14 @@
             let stored = state.store.get(&key);
             if stored.version != query.after {
                 state.stats.read += stored.value.as_ref().map_or(0, |v| v.len() as u64);
-                return HttpResponse::Ok().json(body(stored));
+                return HttpResponse::Ok().json(entry_body(stored));
             }
         }
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return HttpResponse::NotModified().finish();
         }
-        let _ = tokio::time::timeout(left.min(EXPIRE_EVERY), changed).await;
+        let _ = tokio::time::timeout(left.min(EXPIRY_INTERVAL), changed).await;
     }
 }
 
@@ -246,40 +246,40 @@
 }
 
 async fn grant(platform: Data<Platform>, request: HttpRequest, query: Query<GrantQuery>) -> HttpResponse {
-    if let Some(refusal) = enter(&platform, &request, "lease").await {
+    if let Some(refusal) = admit_call(&platform, &request, "lease").await {
         return refusal;
     }
     let (id, lost) = {
         let mut state = platform.lock();
         let ttl = Duration::from_millis(query.ttl_ms);
         let id = state.store.grant(ttl, Instant::now());
-        (id, loses(&mut state, "lease"))
+        (id, take_lost_answer(&mut state, "lease"))
     };
     match lost {
-        true => lose().await,
+        true => withhold_answer().await,
         false => HttpResponse::Ok().json(LeaseBody { id }),
     }
 }
 
 async fn renew(platform: Data<Platform>, request: HttpRequest, id: Path<u64>) -> HttpResponse {
-    if let Some(refusal) = enter(&platform, &request, "lease").await {
+    if let Some(refusal) = admit_call(&platform, &request, "lease").await {
         return refusal;
     }
     let (known, lost) = {
         let mut state = platform.lock();
         let now = Instant::now();
         state.store.expire(now);
-        (state.store.renew(*id, now), loses(&mut state, "lease"))
+        (state.store.renew(*id, now), take_lost_answer(&mut state, "lease"))
     };
     match (lost, known) {
-        (true, _) => lose().await,
+        (true, _) => withhold_answer().await,
         (false, true) => HttpResponse::Ok().finish(),
         (false, false) => HttpResponse::NotFound().finish(),
     }
 }
 
 async fn release(platform: Data<Platform>, request: HttpRequest, id: Path<u64>) -> HttpResponse {
-    if let Some(refusal) = enter(&platform, &request, "lease").await {
+    if let Some(refusal) = admit_call(&platform, &request, "lease").await {
         return refusal;
     }
     platform.lock().store.release(*id);
@@ -288,7 +288,7 @@
 }
 
 async fn list(platform: Data<Platform>, request: HttpRequest, kind: Path<String>) -> HttpResponse {
-    if let Some(refusal) = enter(&platform, &request, "list").await {
+    if let Some(refusal) = admit_call(&platform, &request, "list").await {
         return refusal;
     }
     let state = platform.lock();
@@ -300,7 +300,7 @@
 }
 
 async fn weights(platform: Data<Platform>, request: HttpRequest, _name: Path<Name>) -> HttpResponse {
-    if let Some(refusal) = enter(&platform, &request, "weights").await {
+    if let Some(refusal) = admit_call(&platform, &request, "weights").await {
         return refusal;
     }
     match platform.lock().fault.throttle {
@@ -311,7 +311,7 @@
     }
 }
 
-fn remember(state: &mut State, kind: &str) {
+fn record_list(state: &mut State, kind: &str) {
     let list = state.store.list(kind);
     state.history.push((Instant::now(), kind.to_string(), list));
 }
@@ -319,7 +319,7 @@
 async fn set_listed(platform: Data<Platform>, kind: Path<String>, listed: Json<Listed>) -> HttpResponse {
     let mut state = platform.lock();
     state.store.set_listed(&kind, listed.into_inner());
-    remember(&mut state, &kind);
+    record_list(&mut state, &kind);
     HttpResponse::Ok().finish()
 }
 
@@ -327,7 +327,7 @@
     let (kind, name) = path.into_inner();
     let mut state = platform.lock();
     state.store.remove_listed(&kind, &name);
-    remember(&mut state, &kind);
+    record_list(&mut state, &kind);
     HttpResponse::Ok().finish()
 }
 
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -20,19 +20,19 @@
 
 /// How a write ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Put {
+pub enum PutOutcome {
     /// Written with this version.
-    Done(u64),
+    Written(u64),
     /// The key has another version.
     Conflict(Stored),
     /// The lease has lapsed.
-    NoLease,
+    LeaseLapsed,
 }
 
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
 /// The key-value service and the lists.
@@ -55,9 +55,9 @@
     }
 
     /// Writes if the key has version `expect`, 0 standing for an absent key.
-    pub fn put(&mut self, key: &str, expect: u64, value: String, lease: Option<u64>) -> Put {
+    pub fn put(&mut self, key: &str, expect: u64, value: String, lease: Option<u64>) -> PutOutcome {
         if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
-            return Put::NoLease;
+            return PutOutcome::LeaseLapsed;
         }
         let current = self.get(key);
         let matches = match current.value {
@@ -65,7 +65,7 @@
             None => expect == 0,
         };
         if !matches {
-            return Put::Conflict(current);
+            return PutOutcome::Conflict(current);
         }
         self.revision += 1;
         let stored = Stored {
@@ -74,13 +74,13 @@
             lease,
         };
         self.keys.insert(key.to_string(), stored);
-        Put::Done(self.revision)
+        PutOutcome::Written(self.revision)
     }
 
     /// Grants a lease.
     pub fn grant(&mut self, ttl: Duration, now: Instant) -> u64 {
         self.revision += 1;
-        self.leases.insert(self.revision, Lease { ttl, renewed: now });
+        self.leases.insert(self.revision, Lease { ttl, renewed_at: now });
         self.revision
     }
 
@@ -88,7 +88,7 @@
     pub fn renew(&mut self, id: u64, now: Instant) -> bool {
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.renewed = now;
+                lease.renewed_at = now;
                 true
             }
             None => false,
@@ -110,7 +110,7 @@
 
     /// Ends the leases that lapsed; `true` if there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let lapsed = self.leases.iter().filter(|(_, l)| now >= l.renewed + l.ttl);
+        let lapsed = self.leases.iter().filter(|(_, l)| now >= l.renewed_at + l.ttl);
         let lapsed: Vec<u64> = lapsed.map(|(id, _)| *id).collect();
         for id in &lapsed {
             self.release(*id);
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -23,7 +23,7 @@
 use tokio::signal::unix::signal;
 
 /// Seconds that a stand-in gives running requests after SIGTERM.
-const DRAIN: u64 = 30;
+const DRAIN_SECONDS: u64 = 30;
 
 /// Set once the stand-in is told to end.
 #[derive(Debug, Default)]
@@ -48,15 +48,15 @@
     let server = HttpServer::new(move || {
         App::new()
             .app_data(Data::from(state.clone()))
-            .wrap(from_fn(close::<_>))
+            .wrap(from_fn(close_when_stopping::<_>))
             .configure(configure.clone())
     })
     .workers(workers)
     .disable_signals()
-    .shutdown_timeout(DRAIN)
+    .shutdown_timeout(DRAIN_SECONDS)
     .listen(listener)?
     .run();
-    actix_web::rt::spawn(stop(stopping, server.handle()));
+    actix_web::rt::spawn(stop_on_signal(stopping, server.handle()));
     let mut out = std::io::stdout();
     writeln!(out, "listening {address}")?;
     out.flush()?;
@@ -68,7 +68,7 @@
 ///
 /// Failure guarded against: a daemon asks for the load every half second over a kept connection, which never
 /// falls idle, and the shutdown waits for it until its time is over.
-async fn close<B>(
+async fn close_when_stopping<B>(
     stopping: Data<Stopping>,
     request: ServiceRequest,
     next: Next<B>,
@@ -84,7 +84,7 @@
     Ok(response)
 }
 
-async fn stop(stopping: Arc<Stopping>, server: ServerHandle) -> std::io::Result<()> {
+async fn stop_on_signal(stopping: Arc<Stopping>, server: ServerHandle) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
