--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,14 +1,14 @@
-//! Prefix cache with limited memory, least recently used first out.
+//! Prefix cache of limited capacity with least-recently-used eviction.
 
 use std::collections::BTreeMap;
 
 use sequoiastream_core::prefix::BLOCK_TOKENS;
 use sequoiastream_upstream::wire::CacheEvent;
 
-/// Events kept for readers that come late.
+/// Maximum number of cache events kept for readers that poll late.
 const MAX_EVENTS: usize = 4096;
 
-/// Blocks of prompts whose KV cache is held.
+/// Prompt blocks whose KV cache is held, by digest, with the logical time of their last use.
 #[derive(Debug)]
 pub struct PrefixCache {
     blocks: BTreeMap<u64, u64>,
@@ -19,7 +19,7 @@
 }
 
 impl PrefixCache {
-    /// A cache for `tokens` tokens.
+    /// Creates an empty cache with a capacity of `tokens` tokens.
     pub fn new(tokens: u64) -> PrefixCache {
         PrefixCache {
             blocks: BTreeMap::new(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// How many leading tokens of a prompt with these block digests are held.
+    /// Number of leading tokens held of a prompt with these block digests; marks their blocks as used.
     pub fn lookup(&mut self, digests: &[u64]) -> u32 {
         self.clock += 1;
         let mut held = 0;
@@ -44,7 +44,7 @@
         held
     }
 
-    /// Stores the blocks, evicting the ones that were not used for longest.
+    /// Stores the blocks and evicts the least recently used ones that exceed the capacity.
     pub fn store(&mut self, digests: &[u64]) {
         self.clock += 1;
         for digest in digests {
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Drops everything, as a model load does.
+    /// Removes all blocks, as loading a model does.
     pub fn clear(&mut self) {
         for digest in std::mem::take(&mut self.blocks).into_keys() {
             self.record_event(digest, false);
         }
     }
 
-    /// Events after `number`.
+    /// The events kept with a number greater than `number`.
     pub fn events_after(&self, number: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
@@ -73,7 +73,7 @@
             .collect()
     }
 
-    /// Tokens held.
+    /// Number of tokens held.
     pub fn used(&self) -> u64 {
         self.blocks.len() as u64 * u64::from(BLOCK_TOKENS)
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP protocol, and the switches by which a test makes it fail.
+//! HTTP protocol of the engine, and the faults that a test can inject.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -45,54 +45,54 @@
 use crate::engine::text::prompt_tokens;
 use crate::engine::text::token_text;
 
-/// Word in a prompt that makes the engine crash; `poison:12` crashes it after 12 tokens.
+/// Prefix of the word in a prompt that makes the engine crash; `poison:12` crashes it after 12 tokens.
 const POISON_PREFIX: &str = "poison:";
 
-/// Load reports kept, to show old ones.
+/// Maximum number of load reports kept, from which outdated ones are served (`EngineFault::lag`).
 const MAX_REPORTS: usize = 1024;
 
-/// How an engine starts.
+/// Settings with which an engine starts.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// How fast it is.
+    /// Speed of the engine.
     pub rates: Rates,
-    /// Tokens that fit into its prefix cache.
+    /// Capacity of the prefix cache in tokens.
     pub capacity: u64,
-    /// The role that it has at first.
+    /// Initial role.
     pub role: Role,
-    /// The model that it has loaded at first.
+    /// Initially loaded model.
     pub model: String,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether the engine refuses orders with a stale fencing token.
     pub check_fence: bool,
-    /// How long a role change takes it away.
+    /// How long the engine is away when an order changes its target.
     pub away_time: Duration,
 }
 
-/// How an engine misbehaves, set by `PUT /control/fault`.
+/// Injected faults, set by `PUT /control/fault`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFault {
-    /// Load reports and cache events are this old, in milliseconds.
+    /// Age of the load reports served, in milliseconds.
     pub lag: u64,
-    /// Of the cache events, each one whose number is divisible by this is left out; 0 leaves out none.
+    /// Cache events whose number is divisible by this are omitted; 0 omits none.
     pub gap: u64,
     /// The next order that takes effect crashes the process.
     pub crash: bool,
-    /// Orders are answered this late, in milliseconds, though they took effect at once.
+    /// Delay of the response to an order in milliseconds; the order itself takes effect at once.
     pub slow_order: u64,
     /// Each piece is sent twice.
     pub twice: bool,
-    /// Each piece is preceded by one of an attempt that nobody asked for.
+    /// Each piece is preceded by one of an attempt that was never requested.
     pub crossed: bool,
-    /// Requests are refused as not started.
+    /// Requests are refused with 503 and marked as not started.
     pub refuse: bool,
-    /// Each piece is preceded by one of the attempt that the engine took before.
+    /// Each piece is preceded by one of the attempt that the engine admitted before this one.
     pub stale: bool,
-    /// The token at this offset is left out; 0 leaves out none.
+    /// The token at this offset is omitted; 0 omits none.
     pub skip: u32,
-    /// From this offset on nothing is sent, though the connection stays open; 0 never.
+    /// From this offset on nothing is sent, but the connection stays open; 0 disables the fault.
     pub stall: u32,
-    /// The answer ends without a last line at this offset; 0 never.
+    /// The answer ends at this offset without a final piece; 0 disables the fault.
     pub ends: u32,
 }
 
@@ -101,12 +101,13 @@
 pub struct OrderRecord {
     /// The order.
     pub order: OrderBody,
-    /// Whether it took effect.
+    /// Whether the order took effect.
     pub applied: bool,
-    /// Microseconds since the engine's start.
+    /// Time of receipt in microseconds since the start of the engine.
     pub at: u64,
 }
 
+/// An answer that is being streamed.
 struct Answer {
     sender: mpsc::UnboundedSender<PieceBody>,
     body: GenerateBody,
@@ -118,8 +119,8 @@
 
 struct State {
     batch: Batch,
-    /// Answers whose last token is in the step that goes on: a report without them would call the engine empty, and an
-    /// order would cut them.
+    /// Number of answers whose last token belongs to the step in progress. A load report that left them out would show
+    /// the engine as idle, and an order given on that basis would cut their streams.
     finishing: usize,
     cache: PrefixCache,
     answers: BTreeMap<Uuid, Answer>,
@@ -153,7 +154,7 @@
     }
 }
 
-/// Registers the protocol's routes with a state of their own.
+/// Registers the routes of the protocol; all workers share one new state and one task that runs the steps.
 pub fn configure(settings: EngineSettings) -> impl Fn(&mut ServiceConfig) + Send + Clone + 'static {
     let engine = Arc::new(new_engine(settings));
     move |config| {
@@ -208,7 +209,7 @@
     }
 }
 
-/// Runs steps for as long as there is work, and waits for work otherwise.
+/// Runs steps while the batch has sequences, and waits for new requests otherwise.
 async fn run_steps(engine: Arc<Engine>) {
     loop {
         let work = engine.work.notified();
@@ -255,7 +256,8 @@
     }
 }
 
-/// Sends a token's piece, and the last line after the last token; `false` if nobody listens any more.
+/// Sends the piece of a token, and the final piece after the last token; `false` if the answer is to be ended because
+/// its receiver is gone or a fault ends it here.
 fn send(answer: &Answer, fault: &EngineFault, token: &Token) -> bool {
     let passed = |at: u32| at > 0 && token.offset >= at;
     if passed(fault.stall) || (fault.skip > 0 && token.offset == fault.skip) {
@@ -349,7 +351,7 @@
     let cached = state.cache.lookup(&digests);
     state.cache.store(&digests);
     let version = state.target.version;
-    let before = state.last_attempt.replace(body.attempt);
+    let previous_attempt = state.last_attempt.replace(body.attempt);
     if body.offset >= body.limit {
         let answer = Answer {
             sender,
@@ -357,7 +359,7 @@
             cached,
             crash_offset: None,
             version,
-            previous_attempt: before,
+            previous_attempt,
         };
         let _ = answer.sender.send(final_piece(&answer, answer.body.limit));
         return;
@@ -380,7 +382,7 @@
         crash_offset: crash_offset(&body.prompt),
         cached,
         version,
-        previous_attempt: before,
+        previous_attempt,
         body,
     };
     state.answers.insert(answer.body.attempt, answer);
@@ -468,7 +470,7 @@
 
 async fn order(engine: Data<Engine>, order: Json<OrderBody>) -> HttpResponse {
     let order = order.into_inner();
-    let slow = {
+    let delay = {
         let mut state = engine.lock();
         let stale = engine.settings.check_fence && order.fence < state.fence;
         state.orders.push(OrderRecord {
@@ -482,7 +484,7 @@
         apply_order(&engine.settings, &mut state, order);
         state.fault.slow_order
     };
-    tokio::time::sleep(Duration::from_millis(slow)).await;
+    tokio::time::sleep(Duration::from_millis(delay)).await;
     HttpResponse::Ok().json(())
 }
 
@@ -496,7 +498,7 @@
         state.target = order.target;
         state.away_until = Some(Instant::now() + settings.away_time);
         state.cache.clear();
-        // The worst case: what still runs is cut, its streams end without a finish.
+        // The worst case for callers: running answers are cut, and their streams end without a final piece.
         state.cut_streams += state.answers.len() as u64;
         for attempt in std::mem::take(&mut state.answers).into_keys() {
             state.batch.cancel(attempt);
@@ -517,7 +519,7 @@
     HttpResponse::Ok().json(engine.lock().served)
 }
 
-/// Streams that an order cut.
+/// Responds with the number of streams cut by orders.
 async fn cut(engine: Data<Engine>) -> HttpResponse {
     HttpResponse::Ok().json(engine.lock().cut_streams)
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,8 +1,8 @@
 //! Stand-in for a model engine.
 //!
-//! It models continuous batching: each step spends a budget on prompt tokens of waiting requests and
-//! generates one token for each running one. Output is a pure function of seed, prompt, model version and
-//! offset, so that a test knows the whole expected text, and a resumed answer can be compared byte for byte.
+//! It models continuous batching: each step processes a limited number of prompt tokens of waiting requests and
+//! generates one token for each running request. Output is a pure function of seed, prompt, model version and
+//! offset, so that a test knows the whole expected text and can compare a resumed answer byte for byte.
 
 mod batch;
 mod cache;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins for the systems around sequoiastream, for tests and for trying it out; not published.
+//! Stand-ins: small simulated versions of the systems around sequoiastream, for tests and demonstrations; not
+//! published.
 //!
-//! Each is a plain process: the [`platform`] with its key-value service, leases, watches and lists; an
-//! [`engine`] that models continuous batching; a [`plain`] service that counts the runs of each key.
-//! All of them have a `/control` interface by which a test injects faults and reads what was recorded.
+//! Each runs as a process of its own: the [`platform`] with its key-value service, leases, watches and lists; an
+//! [`engine`] that models continuous batching; a [`plain`] service that counts the runs of each idempotency key.
+//! All of them have a `/control` interface through which a test injects faults and reads what was recorded.
 
 pub mod engine;
 pub mod experiment;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,5 @@
-//! Starts one stand-in (`platform`, `engine` or `plain`) or the callers (`load`).
+//! Command line of the stand-ins: starts one of them (`platform`, `engine` or `plain`), generates load (`load`),
+//! runs experiments (`experiment`) or prints an idempotency key (`uuid`).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,18 +29,18 @@
         .subcommand_required(true)
         .subcommand(
             Command::new("platform")
-                .about("Key-value service, leases, watches, lists")
+                .about("Platform: key-value service with leases and watches, and lists")
                 .arg(listen.clone()),
         )
         .subcommand(
             Command::new("plain")
-                .about("Plain service that counts runs per key")
+                .about("Plain service that counts the runs of each idempotency key")
                 .arg(listen.clone()),
         )
         .subcommand(engine_command().arg(listen))
         .subcommand(load::cli::cli())
         .subcommand(experiment::cli::cli())
-        .subcommand(Command::new("uuid").about("Prints a fresh idempotency key (UUIDv7)"))
+        .subcommand(Command::new("uuid").about("Prints a new idempotency key (UUIDv7)"))
 }
 
 fn engine_command() -> Command {
@@ -48,39 +49,43 @@
         .arg(number_arg("prefill-rate", "Prompt tokens per second", "8000"))
         .arg(number_arg(
             "decode-rate",
-            "Tokens per second of a lone request",
+            "Output tokens per second of a request that runs alone",
             "40",
         ))
-        .arg(number_arg("slots", "Most requests that generate at once", "32"))
+        .arg(number_arg(
+            "slots",
+            "Maximum number of concurrent sequences in role decode",
+            "32",
+        ))
         .arg(number_arg(
             "cache",
-            "Tokens that fit into the prefix cache",
+            "Capacity of the prefix cache in tokens",
             "100000",
         ))
         .arg(number_arg(
             "away",
-            "Milliseconds that a role change takes",
+            "Milliseconds that the engine is away when an order changes its target",
             "3000",
         ))
         .arg(
             Arg::new("model")
                 .long("model")
                 .default_value("ghiaccio-7b")
-                .help("Model loaded at first"),
+                .help("Initially loaded model"),
         )
         .arg(
             Arg::new("role")
                 .long("role")
                 .value_parser(["prefill", "decode", "mixed"])
                 .default_value("mixed")
-                .help("Role at first"),
+                .help("Initial role"),
         )
         .arg(
             Arg::new("fencing")
                 .long("fencing")
                 .value_parser(["checked", "ignored"])
                 .default_value("checked")
-                .help("Whether orders with an old fencing token are refused"),
+                .help("Whether orders with a stale fencing token are refused"),
         )
 }
 
--- a/crates/standin/src/plain/mod.rs
+++ b/crates/standin/src/plain/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service: counts how often each idempotency key ran.
+//! Stand-in for a plain service: counts the runs of each idempotency key.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How the service misbehaves, set by `PUT /control/fault`.
+/// Injected faults, set by `PUT /control/fault`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlainFault {
-    /// Answers are this late, in milliseconds, though the call ran at once.
+    /// Delay of each response in milliseconds; the call itself runs at once.
     pub delay: u64,
-    /// So many of the next calls run, but their connection closes without an answer.
+    /// Number of next calls that run but whose connection is closed without a complete response.
     pub lose: u32,
-    /// Calls are answered by a redirect to the same path, after they ran.
+    /// Calls are answered with a redirect to the same path after they have run.
     pub redirect: bool,
-    /// Calls are refused as not started.
+    /// Calls are refused with 503 and marked as not started.
     pub refuse: bool,
 }
 
@@ -48,7 +48,7 @@
     path: String,
 }
 
-/// Registers the service's routes with a state of their own.
+/// Registers the routes of the service; all workers share one new state.
 pub fn configure() -> impl Fn(&mut ServiceConfig) + Send + Clone + 'static {
     let plain = Arc::new(PlainService::default());
     move |config| {
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP protocol, and the switches by which a test makes it fail.
+//! HTTP protocol of the platform, and the faults that a test can inject.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,36 +31,36 @@
 use crate::platform::store::Store;
 use crate::platform::store::Stored;
 
-/// Largest value, in bytes.
+/// Maximum size of a value in bytes.
 const MAX_VALUE: usize = 1024 * 1024;
 
-/// How often lapsed leases are looked for.
+/// Interval at which a waiting watch checks for lapsed leases.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How the platform misbehaves, set by `PUT /control/fault`.
+/// Injected faults, set by `PUT /control/fault`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Every call is refused with 503.
+    /// All calls are refused with 503.
     pub outage: bool,
-    /// Callers by name (header `x-caller`, the daemon's instance name) that get no answer at all.
+    /// Names of callers (header `x-caller`, the instance name of the daemon) that get no response at all.
     pub cut: Vec<String>,
-    /// Every answer is this late, in milliseconds.
+    /// Delay of each call in milliseconds, before it takes effect.
     pub delay: u64,
-    /// So many of the next writes take effect, but their answer is lost.
+    /// Number of next writes that take effect but get no response.
     pub lose: u32,
-    /// Only answers to writes of keys that begin so are lost.
+    /// Key prefix of the writes to which `lose` applies.
     pub only: String,
-    /// The lists are shown as they were this many milliseconds ago.
+    /// Lists are returned in their state of this many milliseconds ago.
     pub lag: u64,
-    /// Answers to reads of the weight store are refused.
+    /// Reads of the weight store are refused with 429.
     pub throttle: bool,
 }
 
-/// Calls counted since the start, by method and first path part.
+/// Counters since the start of the stand-in.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Counts.
+    /// Number of calls by kind: `get`, `put`, `watch`, `lease`, `list` or `weights`.
     pub calls: BTreeMap<String, u64>,
     /// Bytes of values written.
     pub written: u64,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Registers the protocol's routes with a state of their own.
+/// Registers the routes of the protocol; all workers share one new state.
 pub fn configure() -> impl Fn(&mut ServiceConfig) + Send + Clone + 'static {
     let platform = Arc::new(Platform::default());
     move |config| {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Counts the call and applies the faults that come before it takes effect.
+/// Counts the call and applies the faults that act before the call takes effect; returns the refusal, if any.
 async fn admit_call(platform: &Platform, request: &HttpRequest, kind: &str) -> Option<HttpResponse> {
     let (fault, cut) = {
         let mut state = platform.lock();
@@ -131,14 +131,14 @@
     fault.outage.then(|| HttpResponse::ServiceUnavailable().finish())
 }
 
-/// Whether the answer to this write is to be lost.
+/// Whether the response to this write is to be withheld; uses up one of the `lose` writes if so.
 fn take_lost_answer(state: &mut State, key: &str) -> bool {
     let lost = state.fault.lose > 0 && key.starts_with(&state.fault.only);
     state.fault.lose -= u32::from(lost);
     lost
 }
 
-/// Never answers: the write took effect, its writer doesn't learn so.
+/// Never responds: the write took effect, but the writer gets no confirmation.
 async fn withhold_answer() -> HttpResponse {
     std::future::pending::<()>().await;
     HttpResponse::Ok().finish()
@@ -217,7 +217,7 @@
     if let Some(refusal) = admit_call(&platform, &request, "watch").await {
         return refusal;
     }
-    let until = Instant::now() + Duration::from_millis(query.wait_ms);
+    let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         let changed = platform.changed.notified();
         {
@@ -232,7 +232,7 @@
                 return HttpResponse::Ok().json(entry_body(stored));
             }
         }
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return HttpResponse::NotModified().finish();
         }
@@ -311,6 +311,7 @@
     }
 }
 
+/// Adds the current state of a list to the history from which `lag` is served.
 fn record_list(state: &mut State, kind: &str) {
     let list = state.store.list(kind);
     state.history.push((Instant::now(), kind.to_string(), list));
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform.
+//! Stand-in for the platform: key-value service, leases, watches and lists.
 
 mod http;
 mod store;
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Keys, leases and lists in memory.
+//! In-memory store of keys, leases and lists.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 /// A stored value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stored {
-    /// Version of the key.
+    /// Version of the key; 0 if the key never existed.
     pub version: u64,
-    /// The value in base64; `None` for a key that was removed.
+    /// The value in base64; `None` if the key was removed or never existed.
     pub value: Option<String>,
-    /// The lease it is bound to.
+    /// ID of the lease that the key is bound to.
     pub lease: Option<u64>,
 }
 
-/// How a write ended.
+/// Outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// Written with this version.
+    /// The value was written with this version.
     Written(u64),
-    /// The key has another version.
+    /// The key has another version than expected; holds the current value.
     Conflict(Stored),
-    /// The lease has lapsed.
+    /// The lease has lapsed or was released.
     LeaseLapsed,
 }
 
@@ -35,7 +35,7 @@
     renewed_at: Instant,
 }
 
-/// The key-value service and the lists.
+/// State of the key-value service and of the lists.
 #[derive(Debug, Default)]
 pub struct Store {
     revision: u64,
@@ -45,7 +45,7 @@
 }
 
 impl Store {
-    /// The key's value and version; version 0 if it never existed.
+    /// The value and version of a key; version 0 if the key never existed.
     pub fn get(&self, key: &str) -> Stored {
         self.keys.get(key).cloned().unwrap_or(Stored {
             version: 0,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Writes if the key has version `expect`, 0 standing for an absent key.
+    /// Writes a base64 value if the key has version `expect`; 0 means that the key must be absent.
     pub fn put(&mut self, key: &str, expect: u64, value: String, lease: Option<u64>) -> PutOutcome {
         if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
             return PutOutcome::LeaseLapsed;
@@ -77,14 +77,14 @@
         PutOutcome::Written(self.revision)
     }
 
-    /// Grants a lease.
+    /// Grants a lease that lapses `ttl` after its last renewal; returns its ID.
     pub fn grant(&mut self, ttl: Duration, now: Instant) -> u64 {
         self.revision += 1;
         self.leases.insert(self.revision, Lease { ttl, renewed_at: now });
         self.revision
     }
 
-    /// Renews a lease; `false` if it has lapsed.
+    /// Renews a lease; `false` if it has lapsed or was released.
     pub fn renew(&mut self, id: u64, now: Instant) -> bool {
         match self.leases.get_mut(&id) {
             Some(lease) => {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Ends a lease and removes the keys bound to it.
+    /// Releases a lease and removes the keys bound to it.
     pub fn release(&mut self, id: u64) {
         self.leases.remove(&id);
         for stored in self.keys.values_mut().filter(|s| s.lease == Some(id)) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Ends the leases that lapsed; `true` if there were any.
+    /// Releases the leases that have lapsed; `true` if there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let lapsed = self.leases.iter().filter(|(_, l)| now >= l.renewed_at + l.ttl);
         let lapsed: Vec<u64> = lapsed.map(|(id, _)| *id).collect();
@@ -118,7 +118,7 @@
         !lapsed.is_empty()
     }
 
-    /// Sets an entry of the list `kind`.
+    /// Adds or replaces an entry of the list `kind`.
     pub fn set_listed(&mut self, kind: &str, listed: Listed) {
         let list = self.lists.entry(kind.to_string()).or_default();
         list.insert(listed.name.clone(), listed);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The list `kind` in the order of names.
+    /// The entries of the list `kind`, sorted by name.
     pub fn list(&self, kind: &str) -> Vec<Listed> {
         self.lists
             .get(kind)
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that end with their handle.
+//! Child processes that are killed when their handle is dropped.
 
 use std::ffi::OsStr;
 use std::io::BufRead;
@@ -10,7 +10,7 @@
 use std::process::ExitStatus;
 use std::process::Stdio;
 
-/// A running process of the product or a stand-in; killed when dropped.
+/// A child process that runs the product or a stand-in; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -18,11 +18,11 @@
 }
 
 impl Process {
-    /// Starts `binary` and waits until it says where it listens.
+    /// Starts `binary` and waits until it has printed `listening ADDRESS`.
     ///
     /// # Panics
     ///
-    /// If the process does not start.
+    /// If the process does not start or its first line is not `listening ADDRESS`.
     pub fn start<I, S>(binary: &Path, args: I) -> Process
     where
         I: IntoIterator<Item = S>,
@@ -50,27 +50,30 @@
             .and_then(|a| a.parse().ok());
         let Some(address) = address else {
             let _ = child.kill();
-            panic!("{} did not say where it listens: {line:?}", binary.display());
+            panic!(
+                "{} did not print its listening address: {line:?}",
+                binary.display()
+            );
         };
         Process { child, address }
     }
 
-    /// Where it listens.
+    /// The address that the process listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its base URL.
+    /// The base URL of the process.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Its process id.
+    /// The process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by name, such as `STOP`, `CONT` or `TERM`, to this process alone.
+    /// Sends a signal by name, such as `STOP`, `CONT` or `TERM`, to this process but not to its children.
     ///
     /// # Panics
     ///
@@ -84,27 +87,27 @@
         assert!(status.success(), "kill -{name} {} failed", self.id());
     }
 
-    /// Kills it without warning.
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether it still runs.
+    /// Whether the process is still running.
     ///
     /// # Panics
     ///
-    /// If its state can't be read.
+    /// If the state of the process can't be read.
     pub fn is_running(&mut self) -> bool {
         let status = self.child.try_wait().expect("a child's state can be read");
         status.is_none()
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has ended.
     ///
     /// # Panics
     ///
-    /// If it can't be waited for.
+    /// If the process can't be waited for.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().expect("a child can be waited for")
     }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starting an HTTP server the same way in all stand-ins.
+//! The HTTP server shared by all stand-ins, with graceful shutdown.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -22,21 +22,21 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Seconds that a stand-in gives running requests after SIGTERM.
+/// Seconds that running requests have to finish after SIGTERM or SIGINT.
 const DRAIN_SECONDS: u64 = 30;
 
-/// Set once the stand-in is told to end.
+/// Set once the stand-in has received a signal to shut down.
 #[derive(Debug, Default)]
 struct Stopping(AtomicBool);
 
 /// Serves `configure` on `listen` until SIGTERM or SIGINT, then finishes running requests.
 ///
-/// Prints `listening ADDRESS` on standard output once it accepts connections, so that a caller that asked for
-/// port 0 learns the port.
+/// Prints `listening ADDRESS` on standard output once it accepts connections, so that whoever started it with port 0
+/// learns the port.
 ///
 /// # Errors
 ///
-/// If the address can't be bound or the server fails.
+/// If the address can't be bound, standard output can't be written or the server fails.
 pub async fn serve<F>(listen: SocketAddr, workers: usize, configure: F) -> eyre::Result<()>
 where
     F: Fn(&mut ServiceConfig) + Send + Clone + 'static,
@@ -64,10 +64,10 @@
     Ok(())
 }
 
-/// Ends each connection with its next answer once the stand-in is stopping.
+/// Closes each connection after its next response once the stand-in is shutting down.
 ///
-/// Failure guarded against: a daemon asks for the load every half second over a kept connection, which never
-/// falls idle, and the shutdown waits for it until its time is over.
+/// Without this, a daemon that polls the load every half second over a keep-alive connection never lets the
+/// connection become idle, and the shutdown waits for it until [`DRAIN_SECONDS`] have passed.
 async fn close_when_stopping<B>(
     stopping: Data<Stopping>,
     request: ServiceRequest,
@@ -84,6 +84,7 @@
     Ok(response)
 }
 
+/// Shuts the server down gracefully on SIGTERM or SIGINT.
 async fn stop_on_signal(stopping: Arc<Stopping>, server: ServerHandle) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
