--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,5 @@
-//! Starts one stand-in (`platform`, `engine` or `plain`) or the callers (`load`).
+//! Command line of the stand-ins: starts one of them (`platform`, `engine` or `plain`), generates load (`load`),
+//! runs experiments (`experiment`) or prints an idempotency key (`uuid`).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,51 +29,67 @@
         .subcommand_required(true)
         .subcommand(
             Command::new("platform")
-                .about("Key-value service, leases, watches, lists")
+                .about("Platform: key-value service with leases and watches, and lists")
                 .arg(listen.clone()),
         )
         .subcommand(
             Command::new("plain")
-                .about("Plain service that counts runs per key")
+                .about("Plain service that counts the runs of each idempotency key")
                 .arg(listen.clone()),
         )
-        .subcommand(engine_cli().arg(listen))
+        .subcommand(engine_command().arg(listen))
         .subcommand(load::cli::cli())
         .subcommand(experiment::cli::cli())
-        .subcommand(Command::new("uuid").about("Prints a fresh idempotency key (UUIDv7)"))
+        .subcommand(Command::new("uuid").about("Prints a new idempotency key (UUIDv7)"))
 }
 
-fn engine_cli() -> Command {
+fn engine_command() -> Command {
     Command::new("engine")
         .about("Model engine with continuous batching")
-        .arg(number("prefill-rate", "Prompt tokens per second", "8000"))
-        .arg(number("decode-rate", "Tokens per second of a lone request", "40"))
-        .arg(number("slots", "Most requests that generate at once", "32"))
-        .arg(number("cache", "Tokens that fit into the prefix cache", "100000"))
-        .arg(number("away", "Milliseconds that a role change takes", "3000"))
+        .arg(number_arg("prefill-rate", "Prompt tokens per second", "8000"))
+        .arg(number_arg(
+            "decode-rate",
+            "Output tokens per second of a request that runs alone",
+            "40",
+        ))
+        .arg(number_arg(
+            "slots",
+            "Maximum number of concurrent sequences in role decode",
+            "32",
+        ))
+        .arg(number_arg(
+            "cache",
+            "Capacity of the prefix cache in tokens",
+            "100000",
+        ))
+        .arg(number_arg(
+            "away",
+            "Milliseconds that the engine is away when an order changes its target",
+            "3000",
+        ))
         .arg(
             Arg::new("model")
                 .long("model")
                 .default_value("ghiaccio-7b")
-                .help("Model loaded at first"),
+                .help("Initially loaded model"),
         )
         .arg(
             Arg::new("role")
                 .long("role")
                 .value_parser(["prefill", "decode", "mixed"])
                 .default_value("mixed")
-                .help("Role at first"),
+                .help("Initial role"),
         )
         .arg(
             Arg::new("fencing")
                 .long("fencing")
                 .value_parser(["checked", "ignored"])
                 .default_value("checked")
-                .help("Whether orders with an old fencing token are refused"),
+                .help("Whether orders with a stale fencing token are refused"),
         )
 }
 
-fn number(name: &'static str, help: &'static str, default: &'static str) -> Arg {
+fn number_arg(name: &'static str, help: &'static str, default: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .help(help)
@@ -80,14 +97,14 @@
         .value_parser(value_parser!(u64))
 }
 
-fn settings(matches: &ArgMatches) -> EngineSettings {
+fn engine_settings(matches: &ArgMatches) -> EngineSettings {
     let number = |name: &str| *matches.get_one::<u64>(name).expect("has a default");
     let text = |name: &str| matches.get_one::<String>(name).expect("has a default").clone();
     EngineSettings {
         rates: Rates {
-            prefill: number("prefill-rate") as f64,
-            decode: number("decode-rate") as f64,
-            crowding: 0.02,
+            prefill_rate: number("prefill-rate") as f64,
+            decode_rate: number("decode-rate") as f64,
+            sequence_overhead: 0.02,
             slots: number("slots") as usize,
         },
         capacity: number("cache"),
@@ -97,8 +114,8 @@
             _ => Role::Mixed,
         },
         model: text("model"),
-        checked: text("fencing") == "checked",
-        away: Duration::from_millis(number("away")),
+        check_fence: text("fencing") == "checked",
+        away_time: Duration::from_millis(number("away")),
     }
 }
 
@@ -119,6 +136,6 @@
     match name {
         "platform" => serve(listen, 1, platform::configure()).await,
         "plain" => serve(listen, 1, plain::configure()).await,
-        _ => serve(listen, 1, engine::configure(settings(matches))).await,
+        _ => serve(listen, 1, engine::configure(engine_settings(matches))).await,
     }
 }
--- a/crates/standin/src/plain/mod.rs
+++ b/crates/standin/src/plain/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service: counts how often each idempotency key ran.
+//! Stand-in for a plain service: counts the runs of each idempotency key.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How the service misbehaves, set by `PUT /control/fault`.
+/// Injected faults, set by `PUT /control/fault`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlainFault {
-    /// Answers are this late, in milliseconds, though the call ran at once.
+    /// Delay of each response in milliseconds; the call itself runs at once.
     pub delay: u64,
-    /// So many of the next calls run, but their connection closes without an answer.
+    /// Number of next calls that run but whose connection is closed without a complete response.
     pub lose: u32,
-    /// Calls are answered by a redirect to the same path, after they ran.
+    /// Calls are answered with a redirect to the same path after they have run.
     pub redirect: bool,
-    /// Calls are refused as not started.
+    /// Calls are refused with 503 and marked as not started.
     pub refuse: bool,
 }
 
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Plain {
+struct PlainService {
     state: Mutex<State>,
 }
 
@@ -48,9 +48,9 @@
     path: String,
 }
 
-/// Registers the service's routes with a state of their own.
+/// Registers the routes of the service; all workers share one new state.
 pub fn configure() -> impl Fn(&mut ServiceConfig) + Send + Clone + 'static {
-    let plain = Arc::new(Plain::default());
+    let plain = Arc::new(PlainService::default());
     move |config| {
         config
             .app_data(Data::from(plain.clone()))
@@ -60,7 +60,7 @@
     }
 }
 
-async fn run(plain: Data<Plain>, request: HttpRequest, _body: Bytes) -> HttpResponse {
+async fn run(plain: Data<PlainService>, request: HttpRequest, _body: Bytes) -> HttpResponse {
     let key = request.headers().get("idempotency-key");
     let key = key.and_then(|v| v.to_str().ok()).unwrap_or("-").to_string();
     let (fault, run, lost) = {
@@ -94,7 +94,7 @@
     }
 }
 
-async fn set_fault(plain: Data<Plain>, fault: Json<PlainFault>) -> HttpResponse {
+async fn set_fault(plain: Data<PlainService>, fault: Json<PlainFault>) -> HttpResponse {
     plain
         .state
         .lock()
@@ -103,7 +103,7 @@
     HttpResponse::Ok().finish()
 }
 
-async fn runs(plain: Data<Plain>) -> HttpResponse {
+async fn runs(plain: Data<PlainService>) -> HttpResponse {
     let state = plain
         .state
         .lock()
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Keys, leases and lists in memory.
+//! In-memory store of keys, leases and lists.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,32 +10,32 @@
 /// A stored value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stored {
-    /// Version of the key.
+    /// Version of the key; 0 if the key never existed.
     pub version: u64,
-    /// The value in base64; `None` for a key that was removed.
+    /// The value in base64; `None` if the key was removed or never existed.
     pub value: Option<String>,
-    /// The lease it is bound to.
+    /// ID of the lease that the key is bound to.
     pub lease: Option<u64>,
 }
 
-/// How a write ended.
+/// Outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Put {
-    /// Written with this version.
-    Done(u64),
-    /// The key has another version.
+pub enum PutOutcome {
+    /// The value was written with this version.
+    Written(u64),
+    /// The key has another version than expected; holds the current value.
     Conflict(Stored),
-    /// The lease has lapsed.
-    NoLease,
+    /// The lease has lapsed or was released.
+    LeaseLapsed,
 }
 
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
-/// The key-value service and the lists.
+/// State of the key-value service and of the lists.
 #[derive(Debug, Default)]
 pub struct Store {
     revision: u64,
@@ -45,7 +45,7 @@
 }
 
 impl Store {
-    /// The key's value and version; version 0 if it never existed.
+    /// The value and version of a key; version 0 if the key never existed.
     pub fn get(&self, key: &str) -> Stored {
         self.keys.get(key).cloned().unwrap_or(Stored {
             version: 0,
@@ -54,10 +54,10 @@
         })
     }
 
-    /// Writes if the key has version `expect`, 0 standing for an absent key.
-    pub fn put(&mut self, key: &str, expect: u64, value: String, lease: Option<u64>) -> Put {
+    /// Writes a base64 value if the key has version `expect`; 0 means that the key must be absent.
+    pub fn put(&mut self, key: &str, expect: u64, value: String, lease: Option<u64>) -> PutOutcome {
         if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
-            return Put::NoLease;
+            return PutOutcome::LeaseLapsed;
         }
         let current = self.get(key);
         let matches = match current.value {
@@ -65,7 +65,7 @@
             None => expect == 0,
         };
         if !matches {
-            return Put::Conflict(current);
+            return PutOutcome::Conflict(current);
         }
         self.revision += 1;
         let stored = Stored {
@@ -74,28 +74,28 @@
             lease,
         };
         self.keys.insert(key.to_string(), stored);
-        Put::Done(self.revision)
+        PutOutcome::Written(self.revision)
     }
 
-    /// Grants a lease.
+    /// Grants a lease that lapses `ttl` after its last renewal; returns its ID.
     pub fn grant(&mut self, ttl: Duration, now: Instant) -> u64 {
         self.revision += 1;
-        self.leases.insert(self.revision, Lease { ttl, renewed: now });
+        self.leases.insert(self.revision, Lease { ttl, renewed_at: now });
         self.revision
     }
 
-    /// Renews a lease; `false` if it has lapsed.
+    /// Renews a lease; `false` if it has lapsed or was released.
     pub fn renew(&mut self, id: u64, now: Instant) -> bool {
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.renewed = now;
+                lease.renewed_at = now;
                 true
             }
             None => false,
         }
     }
 
-    /// Ends a lease and removes the keys bound to it.
+    /// Releases a lease and removes the keys bound to it.
     pub fn release(&mut self, id: u64) {
         self.leases.remove(&id);
         for stored in self.keys.values_mut().filter(|s| s.lease == Some(id)) {
@@ -108,9 +108,9 @@
         }
     }
 
-    /// Ends the leases that lapsed; `true` if there were any.
+    /// Releases the leases that have lapsed; `true` if there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let lapsed = self.leases.iter().filter(|(_, l)| now >= l.renewed + l.ttl);
+        let lapsed = self.leases.iter().filter(|(_, l)| now >= l.renewed_at + l.ttl);
         let lapsed: Vec<u64> = lapsed.map(|(id, _)| *id).collect();
         for id in &lapsed {
             self.release(*id);
@@ -118,7 +118,7 @@
         !lapsed.is_empty()
     }
 
-    /// Sets an entry of the list `kind`.
+    /// Adds or replaces an entry of the list `kind`.
     pub fn set_listed(&mut self, kind: &str, listed: Listed) {
         let list = self.lists.entry(kind.to_string()).or_default();
         list.insert(listed.name.clone(), listed);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The list `kind` in the order of names.
+    /// The entries of the list `kind`, sorted by name.
     pub fn list(&self, kind: &str) -> Vec<Listed> {
         self.lists
             .get(kind)
