--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -161,11 +161,11 @@
     answer: Answer,
     streams: Vec<Stream>,
     delivered: Vec<(u32, u32)>,
-    pieces: Vec<(Uuid, u32, u32)>,
+    sent_tokens: Vec<(Uuid, u32, u32)>,
     started: bool,
     continued: bool,
     ended: Option<Ending>,
-    numbers: u128,
+    attempt_count: u128,
 }
 
 const LENGTH: u32 = 12;
@@ -178,20 +178,20 @@
             answer: Answer::new(Time::ZERO, LIMITS, Resume::default()),
             streams: Vec::new(),
             delivered: Vec::new(),
-            pieces: Vec::new(),
+            sent_tokens: Vec::new(),
             started: false,
             continued: false,
             ended: None,
-            numbers: 0,
+            attempt_count: 0,
         }
     }
 
-    fn feed(&mut self, event: Event, version: u32) {
+    fn handle(&mut self, event: Event, version: u32) {
         let actions = self.answer.on(self.now, event);
-        self.carry_out(&actions, version);
+        self.execute(&actions, version);
     }
 
-    fn carry_out(&mut self, actions: &[Action], version: u32) {
+    fn execute(&mut self, actions: &[Action], version: u32) {
         for action in actions {
             assert_eq!(self.ended, None, "{action:?} after the end");
             match action {
@@ -207,11 +207,11 @@
 
     fn pick(&mut self) {
         match self.rng.random_range(0..10) {
-            0 => self.feed(Event::NoEngine, 0),
-            1 => self.feed(Event::Busy, 0),
+            0 => self.handle(Event::NoEngine, 0),
+            1 => self.handle(Event::Busy, 0),
             _ => {
-                self.numbers += 1;
-                self.feed(Event::Picked(attempt(self.numbers * 2)), 0);
+                self.attempt_count += 1;
+                self.handle(Event::Picked(attempt(self.attempt_count * 2)), 0);
             }
         }
     }
@@ -220,13 +220,13 @@
         let version = self.rng.random_range(1..3);
         self.continued |= send.continued;
         match self.rng.random_range(0..8) {
-            0 => self.feed(Event::AttemptFailed(send.attempt, Failure::NotStarted), 0),
+            0 => self.handle(Event::AttemptFailed(send.attempt, Failure::NotStarted), 0),
             1 => {
                 self.started = true;
-                self.feed(Event::AttemptFailed(send.attempt, Failure::MayHaveRun), 0);
+                self.handle(Event::AttemptFailed(send.attempt, Failure::MayHaveRun), 0);
             }
             _ if send.version.is_some_and(|v| v != version) && self.rng.random_bool(0.7) => {
-                self.feed(Event::AttemptFailed(send.attempt, Failure::VersionMismatch), 0);
+                self.handle(Event::AttemptFailed(send.attempt, Failure::VersionMismatch), 0);
             }
             _ => {
                 self.started = true;
@@ -236,7 +236,7 @@
                     next: send.offset,
                     closed: false,
                 });
-                self.feed(Event::Opened(send.attempt, version), 0);
+                self.handle(Event::Opened(send.attempt, version), 0);
             }
         }
     }
@@ -253,7 +253,7 @@
         self.now = self.now + Duration::from_millis(self.rng.random_range(0..8));
         if self.streams.is_empty() || self.rng.random_bool(0.05) {
             self.now = self.answer.due();
-            return self.feed(Event::Tick, 0);
+            return self.handle(Event::Tick, 0);
         }
         let index = self.rng.random_range(0..self.streams.len());
         let (attempt, version, next) = {
@@ -261,36 +261,36 @@
             (stream.attempt, stream.version, stream.next)
         };
         if next >= LENGTH && self.rng.random_bool(0.7) {
-            return self.feed(Event::Finished(attempt, next), version);
+            return self.handle(Event::Finished(attempt, next), version);
         }
         match self.rng.random_range(0..40) {
             0 => self.streams[index].next += 1,
-            1 => self.feed(Event::Finished(attempt, next + 1), version),
-            2 => self.feed(
+            1 => self.handle(Event::Finished(attempt, next + 1), version),
+            2 => self.handle(
                 Event::Token(Uuid::from_u128(attempt.as_u128() ^ 1), next),
                 version,
             ),
-            3 if !self.pieces.is_empty() => self.repeat(),
+            3 if !self.sent_tokens.is_empty() => self.repeat_token(),
             4 => {
-                self.feed(Event::AttemptFailed(attempt, Failure::MayHaveRun), version);
+                self.handle(Event::AttemptFailed(attempt, Failure::MayHaveRun), version);
                 self.streams[index].closed = true;
             }
-            5 => self.feed(Event::Relocate, version),
+            5 => self.handle(Event::Relocate, version),
             _ if next < LENGTH => {
-                self.pieces.push((attempt, next, version));
+                self.sent_tokens.push((attempt, next, version));
                 self.streams[index].next += 1;
-                self.feed(Event::Token(attempt, next), version);
-                self.feed(Event::Delivered, version);
+                self.handle(Event::Token(attempt, next), version);
+                self.handle(Event::Delivered, version);
             }
             _ => {}
         }
     }
 
     /// A piece that came before comes once more.
-    fn repeat(&mut self) {
-        let index = self.rng.random_range(0..self.pieces.len());
-        let (attempt, offset, version) = self.pieces[index];
-        self.feed(Event::Token(attempt, offset), version);
+    fn repeat_token(&mut self) {
+        let index = self.rng.random_range(0..self.sent_tokens.len());
+        let (attempt, offset, version) = self.sent_tokens[index];
+        self.handle(Event::Token(attempt, offset), version);
     }
 
     fn check(&self, seed: u64) {
--- a/tests/testsuite/callers.rs
+++ b/tests/testsuite/callers.rs
@@ -163,8 +163,8 @@
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\ncontent-length: 100\r\n\r\n{{\"model\""
     );
-    let patience = Duration::from_secs(20);
-    socket.set_read_timeout(Some(patience)).expect("set");
+    let timeout = Duration::from_secs(20);
+    socket.set_read_timeout(Some(timeout)).expect("set");
     socket.write_all(head.as_bytes()).expect("sent");
     let mut answer = vec![0; 4096];
     let count = socket.read(&mut answer).expect("an answer");
--- a/tests/testsuite/channel.rs
+++ b/tests/testsuite/channel.rs
@@ -25,7 +25,10 @@
     let pool = Pool::new();
     for _ in 0..3 {
         let channel = pool.take(address, LIMIT).await.expect("a connection");
-        let mut answer = channel.send(question(address), LIMIT).await.expect("an answer");
+        let mut answer = channel
+            .send(empty_request(address), LIMIT)
+            .await
+            .expect("an answer");
         while answer.next().await.expect("a chunk").is_some() {}
         pool.keep(address, answer);
         // A connection rests before its next request.
@@ -34,7 +37,7 @@
     assert_eq!(connections.get(), 1);
 }
 
-fn question(address: SocketAddr) -> Request<Full<Bytes>> {
+fn empty_request(address: SocketAddr) -> Request<Full<Bytes>> {
     let request = Request::builder().uri("/").header("host", address.to_string());
     request.body(Full::new(Bytes::new())).expect("a request")
 }
--- a/tests/testsuite/ci.rs
+++ b/tests/testsuite/ci.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 /// The names of this suite's tests that a run with these arguments would run.
-fn listed(arguments: &[&str]) -> BTreeSet<String> {
+fn list_tests(arguments: &[&str]) -> BTreeSet<String> {
     let suite = std::env::current_exe().expect("the path of this suite");
     let output = Command::new(suite).arg("--list").args(arguments).output();
     let output = output.expect("a list");
@@ -17,12 +17,12 @@
 /// like it.
 #[test]
 fn skip_whole_names_only() {
-    let all = listed(&[]);
-    let none = listed(&["--exact", "--skip", "ci::skip_whole"]);
+    let all = list_tests(&[]);
+    let none = list_tests(&["--exact", "--skip", "ci::skip_whole"]);
     assert_eq!(none, all);
     let mut but_one = all.clone();
     but_one.remove("ci::skip_whole_names_only");
-    let passed = listed(&["--exact", "--skip", "ci::skip_whole_names_only"]);
+    let passed = list_tests(&["--exact", "--skip", "ci::skip_whole_names_only"]);
     assert_eq!(passed, but_one);
     let script = include_str!("../../.ci/run");
     assert!(script.contains("cargo test --locked --workspace -- --exact \"${skips[@]}\"\n"));
@@ -31,7 +31,7 @@
 /// A line of the list names a test that is no more: nothing is passed over, and the fault it stands for is forgotten.
 #[test]
 fn known_red_exist() {
-    let all = listed(&[]);
+    let all = list_tests(&[]);
     let known = include_str!("../../KNOWN-RED.txt");
     for line in known.lines().filter(|line| !line.trim().is_empty()) {
         let name = line.split('|').next().unwrap_or_default().trim();
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -21,11 +21,11 @@
         .expect("the tool runs")
 }
 
-fn out(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn err(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -43,7 +43,7 @@
     let fleet = fleet().start_configured().await;
     let output = tool(&fleet, &["query", "show", "products"]);
     assert_data_eq!(
-        out(&output),
+        stdout(&output),
         str![[r#"
 PRODUCT   SHARE  DEADLINE  WEIGHT  KEYS
 dispatch  60%    30000ms   0       1
@@ -65,7 +65,7 @@
         ],
     );
     assert_data_eq!(
-        out(&output),
+        stdout(&output),
         str![[r#"
 {
   "table": {
@@ -102,7 +102,7 @@
     fleet.complete(0, "how much dry ice", 5, 1).await;
     let output = tool(&fleet, &["query", "show limits"]);
     assert_data_eq!(
-        out(&output),
+        stdout(&output),
         str![[r#"
 SERVICE     PRODUCT   OWED   USED   CAPACITY
 assistente  dispatch  0.600  0.[..]  1.00
@@ -117,7 +117,7 @@
     let output = tool(&fleet, &["query", "show products where colour = blue"]);
     assert_eq!(output.status.code(), Some(3));
     assert_data_eq!(
-        err(&output),
+        stderr(&output),
         str![[r#"
 error: there is no column `colour` in `products`; it has product, share, deadline, weight, keys
 
@@ -131,7 +131,7 @@
     let output = tool(&fleet, &["query", "create product dispatch share 101"]);
     assert_eq!(output.status.code(), Some(3));
     assert_data_eq!(
-        err(&output),
+        stderr(&output),
         str![[r#"
 error: could not read the statement: line 1, column 31: expected a share in percent, 0 to 100, found `101`
   create product dispatch share 101
@@ -148,7 +148,7 @@
     let output = tool(&fleet, &["--token", "guessed", "query", "show products"]);
     assert_eq!(output.status.code(), Some(3));
     assert_data_eq!(
-        err(&output),
+        stderr(&output),
         str![[r#"
 error: the operator token is missing or wrong
 help: set SEQUOIASTREAM_OPERATOR_TOKEN
@@ -174,14 +174,14 @@
     std::fs::remove_file(&file).expect("removed");
     assert_eq!(output.status.code(), Some(3));
     assert_data_eq!(
-        err(&output),
+        stderr(&output),
         str![[r#"
 error: could not accept the change: command [..] can't be applied: product `dispatch` already exists
 
 "#]]
     );
     assert_data_eq!(
-        out(&after),
+        stdout(&after),
         str![[r#"
 PRODUCT   SHARE  DEADLINE  WEIGHT  KEYS
 dispatch  60%    30000ms   0       1
@@ -205,7 +205,7 @@
     let second = tool(&fleet, &args);
     assert_eq!((first.status.code(), second.status.code()), (Some(0), Some(0)));
     assert_data_eq!(
-        out(&second),
+        stdout(&second),
         str![[r#"
 was accepted before as version 2, in force on [..] of the [..] instances heard of
 
@@ -222,7 +222,7 @@
         .expect("the tool runs");
     assert_eq!(output.status.code(), Some(5));
     assert_data_eq!(
-        err(&output),
+        stderr(&output),
         str![[r#"
 note: this was command 01a238d1-61c7-72ee-9d08-fa614a7b3517; `--id` gives it again safely
 error: could not reach http://127.0.0.1:1/operator/statement: Failed to connect to host: Connection refused[..]
@@ -245,7 +245,7 @@
     ]);
     assert_eq!(output.status.code(), Some(2));
     assert_data_eq!(
-        err(&output),
+        stderr(&output),
         str![[r#"
 error: could not accept the settings:
   - --name "Lodi": 'L' can't stand at byte 0 of a name (lower-case letter first, then also digits, `-`, `.`, `_`)
@@ -270,5 +270,5 @@
         "--cluster-key=a-key-of-some-length",
     ]);
     assert_eq!(output.status.code(), Some(0));
-    assert_eq!(out(&output), "the settings are good\n");
+    assert_eq!(stdout(&output), "the settings are good\n");
 }
--- a/tests/testsuite/config_fleet.rs
+++ b/tests/testsuite/config_fleet.rs
@@ -89,8 +89,8 @@
     let again = accepted(&give(&fleet, 1, &body).await);
     assert_eq!((first.version, first.repeated), (2, false));
     assert_eq!((again.version, again.repeated), (2, true));
-    let trail = column(&fleet, 1, "show changes", "statement").await;
-    assert_eq!(trail[0], "create product studio key \"***\" share 5");
+    let statements = column(&fleet, 1, "show changes", "statement").await;
+    assert_eq!(statements[0], "create product studio key \"***\" share 5");
     let from = column(&fleet, 1, "show changes", "from").await;
     assert!(from[0].starts_with("127.0.0.1:"), "{from:?}");
 }
@@ -156,11 +156,11 @@
         fleet.daemons[0].signal("CONT");
     };
     let (reply, ()) = join(writer, others).await;
-    let trail = column(&fleet, 1, "show changes where who = amina", "version").await;
+    let versions = column(&fleet, 1, "show changes where who = amina", "version").await;
     match reply.status {
-        200 => assert_eq!(trail, [accepted(&reply).version.to_string()]),
+        200 => assert_eq!(versions, [accepted(&reply).version.to_string()]),
         // Too far behind to tell what was changed, or too late: either way nothing of it was accepted.
-        409 | 503 => assert!(trail.is_empty(), "{reply:?}"),
+        409 | 503 => assert!(versions.is_empty(), "{reply:?}"),
         status => panic!("{status}: {reply:?}"),
     }
     let held = column(&fleet, 1, "show quarantine", "fingerprint").await;
--- a/tests/testsuite/config_keeper.rs
+++ b/tests/testsuite/config_keeper.rs
@@ -70,14 +70,14 @@
 }
 
 /// A keeper that has seen `head` at revision 1.
-fn keeper(head: &Head) -> Replicator {
-    let mut keeper = Replicator::new(Time::ZERO, LIMIT);
-    keeper.on(Time::ZERO, Event::Read(stored(1, head)));
-    keeper
+fn replicator(head: &Head) -> Replicator {
+    let mut replicator = Replicator::new(Time::ZERO, LIMIT);
+    replicator.on(Time::ZERO, Event::Read(stored(1, head)));
+    replicator
 }
 
-fn submit(keeper: &mut Replicator, proposal: Proposal) -> Vec<Action> {
-    keeper.on(Time::ZERO, Event::Submitted(SubmissionId(1), Box::new(proposal)))
+fn submit(replicator: &mut Replicator, proposal: Proposal) -> Vec<Action> {
+    replicator.on(Time::ZERO, Event::Submitted(SubmissionId(1), Box::new(proposal)))
 }
 
 /// Two operators look at version 3. One quarantines a fingerprint; the other, who hasn't seen that, decides on the
@@ -121,8 +121,8 @@
 #[test]
 fn swap_paused_writer() {
     let (head, _) = history(3);
-    let mut keeper = keeper(&head);
-    let actions = submit(&mut keeper, proposal(100, "amina", "beef", implied(3)));
+    let mut replicator = replicator(&head);
+    let actions = submit(&mut replicator, proposal(100, "amina", "beef", implied(3)));
     let expect = match actions.as_slice() {
         [Action::SwapHead(SubmissionId(1), revision, _)] => *revision,
         other => panic!("{other:?}"),
@@ -136,9 +136,9 @@
     let later = later.shorten();
     let woken = Time::ZERO + LIMIT + Duration::from_secs(50);
     let conflict = SwapResult::Conflict(stored(90, &later));
-    let actions = keeper.on(woken, Event::Swapped(SubmissionId(1), conflict));
+    let actions = replicator.on(woken, Event::Swapped(SubmissionId(1), conflict));
     assert_eq!(actions, [Action::ReadSnapshot(Version(40))]);
-    let actions = keeper.on(woken, Event::Snapshot(Some(Box::new(state))));
+    let actions = replicator.on(woken, Event::Snapshot(Some(Box::new(state))));
     let answer = Action::Answer(SubmissionId(1), Err(SubmitError::TimedOut));
     assert_eq!(actions, [Action::Publish, answer]);
 }
@@ -148,11 +148,11 @@
 #[test]
 fn swap_answer_lost() {
     let (head, state) = history(3);
-    let mut keeper = keeper(&head);
+    let mut replicator = replicator(&head);
     let ours = proposal(100, "amina", "beef", implied(3));
-    submit(&mut keeper, ours.clone());
+    submit(&mut replicator, ours.clone());
     assert_eq!(
-        keeper.on(Time::ZERO, Event::Swapped(SubmissionId(1), SwapResult::Unknown)),
+        replicator.on(Time::ZERO, Event::Swapped(SubmissionId(1), SwapResult::Unknown)),
         [Action::Read]
     );
     let taken = head.push(&state, &ours).expect("accepted");
@@ -161,7 +161,7 @@
         .apply(taken.tail.back().expect("just pushed"))
         .expect("it follows");
     let above = taken.push(&state, &proposal(101, "baraka", "cafe", implied(4)));
-    let actions = keeper.on(Time::ZERO, Event::Read(stored(9, &above.expect("accepted"))));
+    let actions = replicator.on(Time::ZERO, Event::Read(stored(9, &above.expect("accepted"))));
     let outcome = Outcome {
         version: Version(4),
         repeated: false,
@@ -176,11 +176,11 @@
 #[test]
 fn swap_answer_lost_service_out() {
     let (head, _) = history(3);
-    let mut keeper = keeper(&head);
-    submit(&mut keeper, proposal(100, "amina", "beef", implied(3)));
-    keeper.on(Time::ZERO, Event::Swapped(SubmissionId(1), SwapResult::Unknown));
-    keeper.on(Time::ZERO, Event::ReadFailed);
-    let actions = keeper.on(Time::ZERO + LIMIT, Event::Tick);
+    let mut replicator = replicator(&head);
+    submit(&mut replicator, proposal(100, "amina", "beef", implied(3)));
+    replicator.on(Time::ZERO, Event::Swapped(SubmissionId(1), SwapResult::Unknown));
+    replicator.on(Time::ZERO, Event::ReadFailed);
+    let actions = replicator.on(Time::ZERO + LIMIT, Event::Tick);
     assert_eq!(
         actions,
         [Action::Answer(SubmissionId(1), Err(SubmitError::Unknown))]
@@ -223,14 +223,20 @@
 #[test]
 fn heard_fresh() {
     let peer: SocketAddr = "10.0.0.2:80".parse().expect("an address");
-    let mut keeper = Replicator::new(Time::ZERO, LIMIT);
-    assert_eq!(keeper.on(Time::ZERO, Event::PeerVersion(peer, Version(3))), []);
+    let mut replicator = Replicator::new(Time::ZERO, LIMIT);
+    assert_eq!(
+        replicator.on(Time::ZERO, Event::PeerVersion(peer, Version(3))),
+        []
+    );
     // The service is out: better the peer that is farthest ahead than nothing.
     let later = Time::ZERO + Duration::from_secs(3);
     let ahead: SocketAddr = "10.0.0.3:80".parse().expect("an address");
-    assert_eq!(keeper.on(Time::ZERO, Event::PeerVersion(ahead, Version(5))), []);
+    assert_eq!(
+        replicator.on(Time::ZERO, Event::PeerVersion(ahead, Version(5))),
+        []
+    );
     let fetch = Action::Fetch(ahead, Version(0));
-    assert_eq!(keeper.on(later, Event::Tick), [fetch]);
+    assert_eq!(replicator.on(later, Event::Tick), [fetch]);
 }
 
 /// The tail is long: its writer stores a snapshot first, swaps in a head with a short tail, and removes the
@@ -240,12 +246,12 @@
     let (mut head, state) = history(40);
     head.prior = Version(1);
     head.base = Version(2);
-    let mut keeper = Replicator::new(Time::ZERO, LIMIT);
-    keeper.on(Time::ZERO, Event::Read(stored(1, &head)));
-    let actions = submit(&mut keeper, proposal(100, "amina", "beef", implied(40)));
+    let mut replicator = Replicator::new(Time::ZERO, LIMIT);
+    replicator.on(Time::ZERO, Event::Read(stored(1, &head)));
+    let actions = submit(&mut replicator, proposal(100, "amina", "beef", implied(40)));
     assert_eq!(actions, [Action::StoreSnapshot(SubmissionId(1), Box::new(state))]);
     let event = Event::SnapshotStored(SubmissionId(1), Version(40), true);
-    let actions = keeper.on(Time::ZERO, event);
+    let actions = replicator.on(Time::ZERO, event);
     let [Action::SwapHead(_, Revision(1), next)] = actions.as_slice() else {
         panic!("{actions:?}");
     };
@@ -255,7 +261,7 @@
     );
     assert_eq!(next.tail.len(), 9);
     let done = Event::Swapped(SubmissionId(1), SwapResult::Done(Revision(2)));
-    let actions = keeper.on(Time::ZERO, done);
+    let actions = replicator.on(Time::ZERO, done);
     let outcome = Outcome {
         version: Version(41),
         repeated: false,
@@ -272,11 +278,11 @@
 #[test]
 fn submit_before_snapshot() {
     let (head, state) = history(40);
-    let mut keeper = Replicator::new(Time::ZERO, LIMIT);
-    keeper.on(Time::ZERO, Event::Read(stored(1, &head.shorten())));
-    let waits = submit(&mut keeper, proposal(100, "amina", "f3", implied(0)));
+    let mut replicator = Replicator::new(Time::ZERO, LIMIT);
+    replicator.on(Time::ZERO, Event::Read(stored(1, &head.shorten())));
+    let waits = submit(&mut replicator, proposal(100, "amina", "f3", implied(0)));
     assert_eq!(waits, []);
-    let actions = keeper.on(Time::ZERO, Event::Snapshot(Some(Box::new(state))));
+    let actions = replicator.on(Time::ZERO, Event::Snapshot(Some(Box::new(state))));
     assert!(
         matches!(
             actions.as_slice(),
--- a/tests/testsuite/config_run/mod.rs
+++ b/tests/testsuite/config_run/mod.rs
@@ -7,25 +7,25 @@
 
 mod world;
 
-use crate::config_run::world::World;
+use crate::config_run::world::Simulation;
 
 /// Runs one seed to its end and checks it.
 fn run(seed: u64) {
-    let mut world = World::new(seed);
+    let mut simulation = Simulation::new(seed);
     for _ in 0..6_000 {
-        world.step();
+        simulation.step();
     }
-    world.settle();
-    world.check_end();
+    simulation.settle();
+    simulation.check_end();
 }
 
 /// Seeds that showed a fault. 201: an instance that had restarted read the head, waited for its snapshot, and put an
 /// older configuration in force that a peer told it meanwhile.
-const FOUND: [u64; 1] = [201];
+const REGRESSION_SEEDS: [u64; 1] = [201];
 
 #[test]
 fn run_fixed_seeds() {
-    for seed in (0..24).chain(FOUND) {
+    for seed in (0..24).chain(REGRESSION_SEEDS) {
         run(seed);
     }
 }
--- a/tests/testsuite/config_run/world.rs
+++ b/tests/testsuite/config_run/world.rs
@@ -30,18 +30,18 @@
 use uuid::Uuid;
 
 const INSTANCES: usize = 4;
-const FRESH: Duration = Duration::from_secs(2);
+const STARTUP_WAIT: Duration = Duration::from_secs(2);
 const LIMIT: Duration = Duration::from_secs(10);
 
 /// A message on its way, to the service, to a peer or back.
 #[derive(Debug, Clone)]
 enum Message {
-    Do(Action),
-    Tell(Event),
+    Call(Action),
+    Event(Event),
 }
 
 #[derive(Debug, Clone)]
-struct Flying {
+struct InFlight {
     due: Time,
     instance: usize,
     /// Incarnation of the instance; a message to an earlier one is lost.
@@ -51,56 +51,56 @@
 
 #[derive(Debug)]
 struct Instance {
-    keeper: Replicator,
+    replicator: Replicator,
     incarnation: u64,
     paused: Option<Time>,
     published: Version,
     started: Time,
     /// The highest version that an earlier incarnation had in force.
-    floor: Version,
+    min_version: Version,
 }
 
 /// Everything around the keepers.
-pub struct World {
+pub struct Simulation {
     random: ChaCha8Rng,
     now: Time,
     instances: Vec<Instance>,
-    flying: Vec<Flying>,
+    in_flight: Vec<InFlight>,
     stored: StoredHead,
     snapshots: BTreeMap<Version, State>,
     /// The accepted changes in their order, and the configuration after each.
     accepted: Vec<(CommandId, Config)>,
     submitted: BTreeMap<CommandId, u32>,
-    tickets: BTreeMap<SubmissionId, (usize, CommandId)>,
-    denied: Vec<CommandId>,
-    faults: bool,
+    submissions: BTreeMap<SubmissionId, (usize, CommandId)>,
+    rejected: Vec<CommandId>,
+    faults_enabled: bool,
     /// Kills, and stored snapshots whose writer did not learn so: each may leave a snapshot behind.
-    excuses: usize,
+    allowed_leaks: usize,
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
         let instance = |_| Instance {
-            keeper: Replicator::new(Time::ZERO, LIMIT),
+            replicator: Replicator::new(Time::ZERO, LIMIT),
             incarnation: 0,
             paused: None,
             published: Version::default(),
             started: Time::ZERO,
-            floor: Version::default(),
+            min_version: Version::default(),
         };
-        World {
+        Simulation {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Time::ZERO,
             instances: (0..INSTANCES).map(instance).collect(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             stored: StoredHead::default(),
             snapshots: BTreeMap::new(),
             accepted: Vec::new(),
             submitted: BTreeMap::new(),
-            tickets: BTreeMap::new(),
-            denied: Vec::new(),
-            faults: true,
-            excuses: 0,
+            submissions: BTreeMap::new(),
+            rejected: Vec::new(),
+            faults_enabled: true,
+            allowed_leaks: 0,
         }
     }
 
@@ -110,31 +110,31 @@
         let instance = self.random.random_range(0..INSTANCES);
         match self.random.random_range(0..1_000) {
             0..60 => self.submit(instance),
-            60..63 => self.kill(instance),
+            60..63 => self.restart(instance),
             63..68 => {
                 let until = self.now + Duration::from_millis(self.random.random_range(0..25_000));
                 self.instances[instance].paused = Some(until);
             }
-            68..120 => self.gossip(instance),
-            120..170 => self.watch(instance),
-            170..300 => self.tell(instance, Event::Tick),
+            68..120 => self.announce_version(instance),
+            120..170 => self.notify_head(instance),
+            170..300 => self.handle(instance, Event::Tick),
             _ => self.deliver(),
         }
     }
 
     /// Ends the faults and lets everything come to rest.
     pub fn settle(&mut self) {
-        self.faults = false;
+        self.faults_enabled = false;
         for instance in &mut self.instances {
             instance.paused = None;
         }
         for _ in 0..400 {
             self.now = self.now + Duration::from_millis(200);
             for instance in 0..INSTANCES {
-                self.watch(instance);
-                self.tell(instance, Event::Tick);
+                self.notify_head(instance);
+                self.handle(instance, Event::Tick);
             }
-            while self.flying.iter().any(|f| f.due <= self.now) {
+            while self.in_flight.iter().any(|f| f.due <= self.now) {
                 self.deliver();
             }
         }
@@ -145,9 +145,9 @@
         assert!(base > Version::default(), "only {} changes", self.accepted.len());
         let stayed = self.snapshots.len();
         assert!(
-            stayed <= 2 + self.excuses / 4,
-            "{stayed} snapshots stayed, {} excuses",
-            self.excuses
+            stayed <= 2 + self.allowed_leaks / 4,
+            "{stayed} snapshots stayed, {} allowed_leaks",
+            self.allowed_leaks
         );
         for instance in &self.instances {
             assert_eq!(
@@ -156,8 +156,8 @@
                 "all know the last version"
             );
         }
-        assert!(self.tickets.is_empty(), "unanswered: {:?}", self.tickets);
-        for id in &self.denied {
+        assert!(self.submissions.is_empty(), "unanswered: {:?}", self.submissions);
+        for id in &self.rejected {
             let once = self.submitted[id] == 1;
             let accepted = self.accepted.iter().any(|(a, _)| a == id);
             assert!(!(once && accepted), "{id:?} was said not to be accepted");
@@ -174,8 +174,8 @@
             false => CommandId(Uuid::from_u128(self.random.random())),
         };
         *self.submitted.entry(id).or_default() += 1;
-        let ticket = SubmissionId(self.random.random());
-        self.tickets.insert(ticket, (instance, id));
+        let submission = SubmissionId(self.random.random());
+        self.submissions.insert(submission, (instance, id));
         let proposal = Proposal {
             id,
             who: format!("operator-{}", self.random.random_range(0..3)),
@@ -186,42 +186,42 @@
             commands: vec![Command::Quarantine {
                 fingerprint: format!("{:02x}", id.0.as_bytes()[0] % 40),
             }],
-            base: Base::Implied(self.instances[instance].keeper.state().version),
+            base: Base::Implied(self.instances[instance].replicator.state().version),
         };
-        self.tell(instance, Event::Submitted(ticket, Box::new(proposal)));
+        self.handle(instance, Event::Submitted(submission, Box::new(proposal)));
     }
 
-    fn kill(&mut self, instance: usize) {
-        self.excuses += 1;
-        let killed = &mut self.instances[instance];
-        killed.keeper = Replicator::new(self.now, LIMIT);
-        killed.incarnation += 1;
-        killed.paused = None;
-        killed.floor = killed.floor.max(killed.published);
-        killed.published = Version::default();
-        killed.started = self.now;
+    fn restart(&mut self, instance: usize) {
+        self.allowed_leaks += 1;
+        let restarted = &mut self.instances[instance];
+        restarted.replicator = Replicator::new(self.now, LIMIT);
+        restarted.incarnation += 1;
+        restarted.paused = None;
+        restarted.min_version = restarted.min_version.max(restarted.published);
+        restarted.published = Version::default();
+        restarted.started = self.now;
         // Its operators hear nothing; what they asked for may have been accepted.
-        self.tickets.retain(|_, (at, _)| *at != instance);
+        self.submissions.retain(|_, (at, _)| *at != instance);
     }
 
-    fn gossip(&mut self, instance: usize) {
+    fn announce_version(&mut self, instance: usize) {
         let version = self.instances[instance].published;
         let to = self.random.random_range(0..INSTANCES);
-        self.fly(to, Message::Tell(Event::PeerVersion(address(instance), version)));
+        self.send_delayed(to, Message::Event(Event::PeerVersion(address(instance), version)));
     }
 
-    fn watch(&mut self, instance: usize) {
+    fn notify_head(&mut self, instance: usize) {
         let event = Event::Read(self.stored.clone());
-        self.fly(instance, Message::Tell(event));
+        self.send_delayed(instance, Message::Event(event));
     }
 
-    fn fly(&mut self, instance: usize, message: Message) {
-        let delay = match (self.faults, self.random.random_range(0..100)) {
+    fn send_delayed(&mut self, instance: usize, message: Message) {
+        let delay = match (self.faults_enabled, self.random.random_range(0..100)) {
             (true, 0..3) => self.random.random_range(0..30_000),
             (true, _) => self.random.random_range(0..400),
             (false, _) => 0,
         };
-        self.flying.push(Flying {
+        self.in_flight.push(InFlight {
             due: self.now + Duration::from_millis(delay),
             instance,
             incarnation: self.instances[instance].incarnation,
@@ -231,42 +231,42 @@
 
     /// Delivers one of the messages that are due, in any order.
     fn deliver(&mut self) {
-        let due: Vec<usize> = (0..self.flying.len())
-            .filter(|i| self.flying[*i].due <= self.now)
+        let due: Vec<usize> = (0..self.in_flight.len())
+            .filter(|i| self.in_flight[*i].due <= self.now)
             .collect();
         if due.is_empty() {
             return;
         }
         let index = due[self.random.random_range(0..due.len())];
-        let flying = self.flying.swap_remove(index);
-        match flying.message {
-            Message::Do(action) => self.serve(flying.instance, flying.incarnation, action),
-            Message::Tell(event) => {
-                let instance = &self.instances[flying.instance];
+        let in_flight = self.in_flight.swap_remove(index);
+        match in_flight.message {
+            Message::Call(action) => self.execute_call(in_flight.instance, in_flight.incarnation, action),
+            Message::Event(event) => {
+                let instance = &self.instances[in_flight.instance];
                 let paused = instance.paused.is_some_and(|until| until > self.now);
                 if paused {
                     let due = self.now + Duration::from_millis(500);
-                    let message = Message::Tell(event);
-                    self.flying.push(Flying {
+                    let message = Message::Event(event);
+                    self.in_flight.push(InFlight {
                         due,
                         message,
-                        ..flying
+                        ..in_flight
                     });
-                } else if instance.incarnation == flying.incarnation {
-                    self.tell(flying.instance, event);
+                } else if instance.incarnation == in_flight.incarnation {
+                    self.handle(in_flight.instance, event);
                 }
             }
         }
     }
 
     /// What the service or a peer does about a call that has reached it.
-    fn serve(&mut self, instance: usize, incarnation: u64, action: Action) {
+    fn execute_call(&mut self, instance: usize, incarnation: u64, action: Action) {
         let chance = match action {
             Action::StoreSnapshot(..) => 0.4,
             _ => 0.05,
         };
-        let failed = self.faults && self.random.random_bool(chance);
-        let lost = self.faults && self.random.random_bool(0.05);
+        let failed = self.faults_enabled && self.random.random_bool(chance);
+        let lost = self.faults_enabled && self.random.random_bool(0.05);
         let event = match action {
             Action::Read if failed => Event::ReadFailed,
             Action::Read => Event::Read(self.stored.clone()),
@@ -274,22 +274,22 @@
                 let snapshot = self.snapshots.get(&version).filter(|_| !failed);
                 Event::Snapshot(snapshot.cloned().map(Box::new))
             }
-            Action::StoreSnapshot(ticket, state) => {
+            Action::StoreSnapshot(submission, state) => {
                 let version = state.version;
                 if !failed {
                     self.snapshots.entry(version).or_insert(*state);
-                    self.excuses += usize::from(lost);
+                    self.allowed_leaks += usize::from(lost);
                 }
-                Event::SnapshotStored(ticket, version, !failed && !lost)
+                Event::SnapshotStored(submission, version, !failed && !lost)
             }
-            Action::SwapHead(ticket, ..) if failed => Event::Swapped(ticket, SwapResult::Failed),
-            Action::SwapHead(ticket, expect, head) => {
+            Action::SwapHead(submission, ..) if failed => Event::Swapped(submission, SwapResult::Failed),
+            Action::SwapHead(submission, expect, head) => {
                 let swapped = self.swap(expect, *head);
-                Event::Swapped(ticket, if lost { SwapResult::Unknown } else { swapped })
+                Event::Swapped(submission, if lost { SwapResult::Unknown } else { swapped })
             }
             Action::Fetch(peer, after) => {
                 let told = (0..INSTANCES).find(|i| address(*i) == peer && !failed);
-                Event::Fetched(told.map(|i| self.instances[i].keeper.update_after(after)))
+                Event::Fetched(told.map(|i| self.instances[i].replicator.update_after(after)))
             }
             Action::RemoveSnapshot(version) => {
                 self.snapshots.remove(&version);
@@ -298,7 +298,7 @@
             other => panic!("{other:?} goes nowhere"),
         };
         if self.instances[instance].incarnation == incarnation {
-            self.fly(instance, Message::Tell(event));
+            self.send_delayed(instance, Message::Event(event));
         }
     }
 
@@ -336,17 +336,17 @@
     }
 
     /// Gives the keeper an event and carries out its actions.
-    fn tell(&mut self, instance: usize, event: Event) {
+    fn handle(&mut self, instance: usize, event: Event) {
         let paused = self.instances[instance].paused;
         if paused.is_some_and(|until| until > self.now) {
-            return self.fly(instance, Message::Tell(event));
+            return self.send_delayed(instance, Message::Event(event));
         }
-        let actions = self.instances[instance].keeper.on(self.now, event);
+        let actions = self.instances[instance].replicator.on(self.now, event);
         for action in actions {
             match action {
                 Action::Publish => self.publish(instance),
-                Action::Answer(ticket, answer) => {
-                    let Some((_, id)) = self.tickets.remove(&ticket) else {
+                Action::Answer(submission, answer) => {
+                    let Some((_, id)) = self.submissions.remove(&submission) else {
                         continue;
                     };
                     match answer {
@@ -358,29 +358,29 @@
                         Err(SubmitError::Rejected(ProposalError::Apply(ApplyError::Gap { state, next }))) => {
                             panic!("version {next} was tried on a state of version {state}")
                         }
-                        Err(_) => self.denied.push(id),
+                        Err(_) => self.rejected.push(id),
                     }
                 }
                 Action::Inconsistent(error) => panic!("{error}"),
                 Action::Stale(_) => {}
-                action => self.fly(instance, Message::Do(action)),
+                action => self.send_delayed(instance, Message::Call(action)),
             }
         }
     }
 
     fn publish(&mut self, instance: usize) {
-        let state = self.instances[instance].keeper.state().clone();
+        let state = self.instances[instance].replicator.state().clone();
         let before = self.instances[instance].published;
         assert!(state.version > before, "version {} after {before}", state.version);
         let expected = &self.accepted[state.version.0 as usize - 1].1;
         assert_eq!(state.config, *expected, "version {}", state.version);
         let restarted = &self.instances[instance];
         // Past this time without an answer of the service, an instance takes what a peer tells.
-        if self.now.since(restarted.started) < FRESH {
-            let floor = restarted.floor;
+        if self.now.since(restarted.started) < STARTUP_WAIT {
+            let min_version = restarted.min_version;
             assert!(
-                state.version >= floor,
-                "back from {floor} to {} over a restart",
+                state.version >= min_version,
+                "back from {min_version} to {} over a restart",
                 state.version
             );
         }
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -42,9 +42,9 @@
         ),
     ];
     let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
-    let story = explain("q1", &[log("one.log", &lines)]).expect("a story");
+    let explanation = explain("q1", &[log("one.log", &lines)]).expect("an explanation");
     assert_data_eq!(
-        story.to_string(),
+        explanation.to_string(),
         str![[r#"
 request q1
 > one.log:4 09:00:04 401 refused left=1900 takes=214 why=it would be late
@@ -80,9 +80,9 @@
         ),
     ];
     let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
-    let story = explain("q1", &[log("one.log", &lines)]).expect("a story");
+    let explanation = explain("q1", &[log("one.log", &lines)]).expect("an explanation");
     assert_data_eq!(
-        story.to_string(),
+        explanation.to_string(),
         str![[r#"
 request q1
   one.log:2 09:00:02 405 forwarded engine=e1
@@ -105,10 +105,10 @@
     ];
     let second = ["12.5 two ".to_string() + &line("09:00:03", r#""message":"c","event":400,"request":"q1""#)];
     let logs = [log("one", &[&first[0], &first[1]]), log("two", &[&second[0]])];
-    let story = explain("q1", &logs).expect("a story").to_string();
-    let order: Vec<&str> = story.lines().skip(1).take(3).map(|l| &l[2..7]).collect();
+    let explanation = explain("q1", &logs).expect("an explanation").to_string();
+    let order: Vec<&str> = explanation.lines().skip(1).take(3).map(|l| &l[2..7]).collect();
     assert_eq!(order, ["two:1", "one:1", "one:2"]);
-    assert!(story.contains("decided by one:2"), "{story}");
+    assert!(explanation.contains("decided by one:2"), "{explanation}");
 }
 
 #[test]
