--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -1,4 +1,4 @@
-//! The decisions about one answer: endings in tables, and seeded runs in which engines do everything wrong.
+//! State machine of one answer: tables of its endings, and seeded runs with misbehaving engines.
 
 use std::time::Duration;
 
@@ -35,9 +35,9 @@
     })
 }
 
-/// A buyer is told `not-run` and orders the same work again, or waits for a refusal that was decided long ago.
-/// Order: attempts fail in one way or the other; the last one is refused. Cause: only the last attempt counts, or the
-/// refusal is kept until the deadline.
+/// The ending must reflect all attempts, and must be reported at once. If only the last attempt counted, a refusal
+/// after a failed attempt that may have run would be reported as `not-run`, and the caller would repeat work that has
+/// run. If the refusal were held until the deadline, the caller would wait for a result that is already decided.
 #[test]
 fn end_by_history() {
     let (a, b) = (attempt(1), attempt(2));
@@ -74,7 +74,7 @@
         for event in events {
             assert_eq!(ending(&answer.on(Time::ZERO, event)), None, "{name}");
         }
-        // The decision falls with the event that makes it, at the very time of that event.
+        // The ending is returned by the event that decides it, not by a later tick.
         let last = answer.on(Time::ZERO, Event::NoEngine);
         assert_eq!(ending(&last), Some(expected), "{name}");
         assert!(
@@ -107,8 +107,9 @@
     }
 }
 
-/// Half of a verdict by one version of the model, half by another. Order: an answer is resumed on an engine that
-/// was given a new version meanwhile. Cause: seed and prompt are the same, so nobody looks at the version.
+/// An answer must not silently mix tokens of two model versions. This happens when an answer is resumed on an engine
+/// that has been updated meanwhile and only the seed and the prompt are compared, which are the same for both
+/// versions.
 #[test]
 fn resume_version_gone() {
     let (a, b, c) = (attempt(1), attempt(2), attempt(3));
@@ -125,7 +126,7 @@
         matches!(sent[..], [Action::Send(send)] if send.version == Some(1) && send.offset == 1),
         "{sent:?}"
     );
-    // An engine that doesn't look at the version must not have its tokens delivered.
+    // Tokens of an engine that ignores the requested version must not be delivered.
     let opened = answer.on(Time::ZERO, Event::Opened(b, 2));
     assert_eq!(opened, vec![Action::Cancel(b), Action::Pick]);
     assert!(answer.on(Time::ZERO, Event::Token(b, 1)).is_empty());
@@ -146,7 +147,7 @@
     assert_eq!(answer.version(), None);
 }
 
-/// One engine's side of a seeded run.
+/// The stream of one engine in a seeded run.
 struct Stream {
     attempt: Uuid,
     version: u32,
@@ -154,7 +155,7 @@
     closed: bool,
 }
 
-/// A seeded run: what the caller got, and what the engines did.
+/// A seeded run: the tokens delivered to the caller, and the state of the engines.
 struct Run {
     rng: StdRng,
     now: Time,
@@ -193,7 +194,7 @@
 
     fn execute(&mut self, actions: &[Action], version: u32) {
         for action in actions {
-            assert_eq!(self.ended, None, "{action:?} after the end");
+            assert_eq!(self.ended, None, "{action:?} after the answer ended");
             match action {
                 Action::Pick => self.pick(),
                 Action::Send(send) => self.send(*send),
@@ -242,13 +243,13 @@
     }
 
     fn close(&mut self, attempt: Uuid) {
-        // Pieces of a closed stream may still come: an engine may have ignored the cancel.
+        // Tokens of a closed stream may still arrive: an engine may ignore the cancellation.
         for stream in self.streams.iter_mut().filter(|s| s.attempt == attempt) {
             stream.closed = true;
         }
     }
 
-    /// Some engine does something, or time passes.
+    /// Advances the time and simulates one random event of an engine, or a tick.
     fn step(&mut self) {
         self.now = self.now + Duration::from_millis(self.rng.random_range(0..8));
         if self.streams.is_empty() || self.rng.random_bool(0.05) {
@@ -286,7 +287,7 @@
         }
     }
 
-    /// A piece that came before comes once more.
+    /// Sends a random earlier token again.
     fn repeat_token(&mut self) {
         let index = self.rng.random_range(0..self.sent_tokens.len());
         let (attempt, offset, version) = self.sent_tokens[index];
@@ -295,22 +296,29 @@
 
     fn check(&self, seed: u64) {
         for (index, (offset, _)) in self.delivered.iter().enumerate() {
-            assert_eq!(*offset, index as u32, "seed {seed}: gap or repeat");
+            assert_eq!(*offset, index as u32, "seed {seed}: missing or repeated token");
         }
         let mixed = self.delivered.windows(2).any(|pair| pair[0].1 != pair[1].1);
-        assert!(!mixed || self.continued, "seed {seed}: two versions mixed");
+        assert!(
+            !mixed || self.continued,
+            "seed {seed}: tokens of two versions mixed without a continuation"
+        );
         let whole = self.ended == Some(Ending::Whole);
         assert!(
             !whole || self.delivered.len() >= LENGTH as usize,
-            "seed {seed}: cut"
+            "seed {seed}: truncated answer reported as whole"
         );
         let not_run = matches!(self.ended, Some(Ending::NotRun(_)));
-        assert!(!not_run || !self.started, "seed {seed}: a false not-run");
+        assert!(
+            !not_run || !self.started,
+            "seed {seed}: reported as not-run although an attempt may have run"
+        );
     }
 }
 
-/// Whatever engines send, in whatever order, twice or not at all: no gap, no repeat, no foreign token, no false
-/// `not-run`, and an end by the deadline.
+/// Engines may send tokens in any order, repeatedly or not at all. The delivered answer must have no gap, no repeated
+/// token and no token of another attempt, must not be reported as `not-run` if it may have run, and must end by the
+/// deadline.
 #[test]
 fn deliver_seeded_runs() {
     let mut whole = 0;
@@ -323,9 +331,12 @@
             }
             run.step();
         }
-        assert!(run.ended.is_some(), "seed {seed}: no end");
+        assert!(run.ended.is_some(), "seed {seed}: the answer did not end");
         run.check(seed);
         whole += usize::from(run.ended == Some(Ending::Whole));
     }
-    assert!(whole > 500, "only {whole} whole: the runs prove little");
+    assert!(
+        whole > 500,
+        "only {whole} runs ended whole, too few for the checks to be meaningful"
+    );
 }
--- a/tests/testsuite/attempts.rs
+++ b/tests/testsuite/attempts.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt proves.
+//! Whether a request may be retried after an attempt has ended.
 
 use sequoiastream_core::attempt::AttemptLimit;
 use sequoiastream_core::attempt::Attempts;
@@ -16,8 +16,8 @@
     End::Silent,
 ];
 
-/// An order runs twice. Order: it is sent on a kept connection, which breaks; the engine had read it. Cause: a broken
-/// connection, or silence, is taken for proof that nothing ran.
+/// A request that must not run twice may be retried only if the attempt certainly did not run. A reused connection may
+/// break after the engine has read the request, so neither a broken connection nor a missing answer proves that.
 #[test]
 fn next_once_needs_proof() {
     for kind in [RouteKind::Once, RouteKind::Stream] {
@@ -49,8 +49,9 @@
     }
 }
 
-/// A caller is told that its order has not run, and sends it again; it had run. Order: a first engine breaks off, a
-/// second one declines. Cause: only the last attempt is looked at.
+/// A request may be refused as not run only if no attempt may have run. If only the last attempt were considered, a
+/// request whose first engine breaks off and whose second declines would be refused, and the caller would send it
+/// again.
 #[test]
 fn refuse_only_if_none_ran() {
     let mut attempts = Attempts::new(Repeat::Safe, AttemptLimit::Sent(9));
--- a/tests/testsuite/callers.rs
+++ b/tests/testsuite/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: what ordinary clients send and expect, and what is refused.
+//! The HTTP API for callers: requests and replies of common clients, and requests that are rejected.
 
 use std::io::Read;
 use std::io::Write;
@@ -106,7 +106,7 @@
         .iter()
         .map(|d| serde_json::from_str(d).expect("JSON"))
         .collect();
-    assert_eq!(events.len(), 4, "two tokens, the finish, the usage");
+    assert_eq!(events.len(), 4, "two tokens, the finish reason and the usage");
     assert_eq!(events[0]["choices"][0]["delta"]["role"], "assistant");
     assert_eq!(events[1]["choices"][0]["delta"]["role"], Value::Null);
     assert_eq!(events[2]["choices"][0]["finish_reason"], "length");
@@ -154,8 +154,8 @@
     );
 }
 
-/// Callers that never finish their request hold all connections, and nobody else gets through. Order: a caller
-/// sends half a body and waits. Cause: the body has no time limit.
+/// Reading a request body must have a time limit. Otherwise callers that send half a body and then wait can occupy all
+/// connections and lock out everybody else.
 #[actix_web::test]
 async fn body_too_slow() {
     let fleet = fleet().daemon_arg("--body-ms=200").start_configured().await;
@@ -173,7 +173,7 @@
     assert!(answer.contains("sequoiastream-outcome: not-run"), "{answer}");
 }
 
-/// An engine's lines come in whatever parts the network makes of them: the pieces must be the same.
+/// The network may split an engine's lines at any byte; the decoded pieces must be the same.
 #[test]
 fn lines_cut_anywhere() {
     let pieces: Vec<PieceBody> = (0..4)
@@ -205,7 +205,7 @@
     });
 }
 
-/// Whatever an engine sends, reading it neither panics nor grows without bound.
+/// Reading arbitrary bytes from an engine must neither panic nor use unbounded memory.
 #[test]
 fn lines_any_bytes() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|bytes| {
--- a/tests/testsuite/channel.rs
+++ b/tests/testsuite/channel.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: which are used again.
+//! Reuse of connections to upstreams.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// Each stream costs its engine a new connection. Order: an answer in chunks is read to its end, the next request follows.
-/// Cause: the end of such a body shows only in reading it, and its connection was taken for one that still has bytes.
+/// A connection must be reused after a chunked response has been read to its end. The end of a chunked body is known
+/// only after reading it; if the connection were taken to have unread bytes, each stream would open a new connection.
 #[actix_web::test]
 async fn keep_after_chunks() {
     let connections = Rc::new(Cell::new(0));
@@ -31,7 +31,7 @@
             .expect("an answer");
         while answer.next().await.expect("a chunk").is_some() {}
         pool.keep(address, answer);
-        // A connection rests before its next request.
+        // A connection stays idle for a short time before it is used for the next request.
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
     assert_eq!(connections.get(), 1);
@@ -42,7 +42,7 @@
     request.body(Full::new(Bytes::new())).expect("a request")
 }
 
-/// Answers every request on every connection with two chunks, and counts the connections.
+/// Starts a server that answers every request with two chunks and counts the connections.
 async fn serve_chunks(connections: Rc<Cell<u32>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
--- a/tests/testsuite/ci.rs
+++ b/tests/testsuite/ci.rs
@@ -1,9 +1,9 @@
-//! What CI passes over.
+//! Tests that CI skips because they are known to fail.
 
 use std::collections::BTreeSet;
 use std::process::Command;
 
-/// The names of this suite's tests that a run with these arguments would run.
+/// Returns the names of the tests that this suite would run with these arguments.
 fn list_tests(arguments: &[&str]) -> BTreeSet<String> {
     let suite = std::env::current_exe().expect("the path of this suite");
     let output = Command::new(suite).arg("--list").args(arguments).output();
@@ -13,8 +13,7 @@
     names.map(str::to_string).collect()
 }
 
-/// A fault goes unseen. Order: a test is known to fail and is listed; CI passes over another one as well, whose name begins
-/// like it.
+/// Skipping a listed test must not skip others whose names begin with the same text; their failures would go unnoticed.
 #[test]
 fn skip_whole_names_only() {
     let all = list_tests(&[]);
@@ -28,13 +27,13 @@
     assert!(script.contains("cargo test --locked --workspace -- --exact \"${skips[@]}\"\n"));
 }
 
-/// A line of the list names a test that is no more: nothing is passed over, and the fault it stands for is forgotten.
+/// Each listed test must exist. An entry for a removed test skips nothing, and the fault that it records is forgotten.
 #[test]
 fn known_red_exist() {
     let all = list_tests(&[]);
     let known = include_str!("../../KNOWN-RED.txt");
     for line in known.lines().filter(|line| !line.trim().is_empty()) {
         let name = line.split('|').next().unwrap_or_default().trim();
-        assert!(all.contains(name), "{name} is no test of this suite");
+        assert!(all.contains(name), "{name} is not a test of this suite");
     }
 }
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -1,4 +1,4 @@
-//! The command-line tool and the daemon's settings: whole outputs and exit codes.
+//! The command-line tool and the daemon's settings: complete output and exit codes.
 
 use std::process::Command;
 use std::process::Output;
@@ -29,7 +29,7 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Runs the daemon with no settings but those given.
+/// Runs the daemon with the given settings only and an empty environment.
 fn daemon(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_sequoiastreamd"))
         .args(args)
@@ -157,8 +157,8 @@
     );
 }
 
-/// An operator applies a file whose last command can't be accepted. Nothing of the file may be in force
-/// afterwards, or the fleet would stand half changed.
+/// If the last command of an applied file is rejected, no command of the file may take effect. Otherwise the fleet
+/// would be left in a partly changed state.
 #[actix_web::test]
 async fn apply_all_or_nothing() {
     let fleet = fleet().start_configured().await;
@@ -190,8 +190,8 @@
     );
 }
 
-/// An operator's connection breaks and she gives the command again under its id: it must be answered with its
-/// first outcome and not be carried out twice.
+/// An operator whose connection breaks submits the command again with the same id. It must return the first outcome and
+/// must not be executed twice.
 #[actix_web::test]
 async fn query_same_id_twice() {
     let fleet = fleet().start_configured().await;
@@ -232,7 +232,8 @@
     );
 }
 
-/// An operator mends one setting after the other, restarting each time. All faults must be named at once.
+/// All invalid settings must be reported at once, or an operator would have to restart the daemon after fixing each
+/// one.
 #[test]
 fn settings_all_faults() {
     let output = daemon(&[
--- a/tests/testsuite/config.rs
+++ b/tests/testsuite/config.rs
@@ -1,4 +1,4 @@
-//! Accepting changes of the configuration.
+//! Validation of configuration changes.
 
 use sequoiastream_core::config::Config;
 use sequoiastream_core::config::Share;
@@ -33,8 +33,8 @@
     assert_eq!(error, "service `s` still has engine `e`: withdraw it first");
 }
 
-/// A platform of 1,500 products owes each less than a tenth of a percent; rounded to whole percents each would be
-/// owed nothing, or all together far more than there is.
+/// With 1,500 products, the share of each is less than a tenth of a percent. Rounded to whole percents, each share
+/// would be zero, or their sum would far exceed 100%.
 #[test]
 fn share_small_products() {
     let mut config = Config::default();
@@ -69,7 +69,7 @@
     }
 }
 
-/// A newcomer applies an example and is refused.
+/// The example files must be accepted, since new users apply them first.
 #[test]
 fn examples_accepted() {
     let cases = [
--- a/tests/testsuite/config_fleet.rs
+++ b/tests/testsuite/config_fleet.rs
@@ -1,4 +1,4 @@
-//! Configuration over several real processes.
+//! Configuration changes across several daemon processes.
 
 use futures_util::future::join;
 use sequoiastream_standin::platform::Fault;
@@ -12,8 +12,8 @@
 use crate::support::wait_for_standing;
 use crate::support::wait_until_met;
 
-/// One instance is cut off from the key-value service. An operator drains an engine through another. The cut
-/// instance must not send it work for as long as the cut lasts: it learns the change from its peers.
+/// An instance that is disconnected from the key-value service must learn from its peers that an engine was drained
+/// through another instance. Otherwise it would send work to that engine for as long as it is disconnected.
 #[actix_web::test]
 async fn apply_cut_instance() {
     let fleet = quick_fleet().daemons(4).engines(2).start_configured().await;
@@ -32,8 +32,8 @@
     assert_eq!(states, ["draining"]);
 }
 
-/// The key-value service takes 400 ms for each call, nearly the deadline of one. A change must be in force on all
-/// instances all the same.
+/// A change must take effect on all instances even if each call to the key-value service takes 400 ms, which is close
+/// to the deadline of a call.
 #[actix_web::test]
 async fn apply_slow_service() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
@@ -49,9 +49,9 @@
     assert_eq!((reply.version, reply.in_force, reply.known), (2, 3, 3));
 }
 
-/// Two operators look at the same version and change the same engine through two instances at the same moment.
-/// One must win, and the other be told which change came first; a third who changes another engine is not in
-/// their way.
+/// Two operators change the same engine concurrently through two instances, based on the same version. One change
+/// must be accepted and the other rejected with the change that came first. A change to another engine does not
+/// conflict.
 #[actix_web::test]
 async fn apply_racing() {
     let fleet = quick_fleet().daemons(3).engines(2).start_configured().await;
@@ -73,8 +73,8 @@
     assert_eq!(accepted(&give(&fleet, 2, &other).await).version, 3);
 }
 
-/// The service writes a change, but its answer is lost, and the operator gives the command again through another
-/// instance. It must have taken effect once, and both must be told the same version.
+/// The key-value service writes a change but its response is lost, and the operator submits the command again through
+/// another instance. The change must take effect once, and both replies must name the same version.
 #[actix_web::test]
 async fn apply_answer_lost() {
     let fleet = quick_fleet().daemons(2).start_configured().await;
@@ -95,9 +95,9 @@
     assert!(from[0].starts_with("127.0.0.1:"), "{from:?}");
 }
 
-/// An instance is paused for so long that the others accept more changes than a tail holds, and wakes without the
-/// key-value service. It must neither bring its old configuration back to the others nor keep it: its peers
-/// tell it the one in force.
+/// An instance is paused until the others have accepted more changes than a tail holds, and resumes without access to
+/// the key-value service. It must neither spread its old configuration to its peers nor keep it, but get the current
+/// one from them.
 #[actix_web::test]
 async fn apply_stale_peer() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
@@ -122,8 +122,8 @@
     }
 }
 
-/// A change waits in the slow service when its writer is paused; others accept changes meanwhile. Whatever its
-/// operator is told after it wakes must be true, and nothing of the others' changes may be undone.
+/// An instance is paused while its write is pending in the slow key-value service, and another instance accepts changes
+/// meanwhile. After it resumes, its reply to the operator must be correct, and no other change may be undone.
 #[actix_web::test]
 async fn apply_paused_writer() {
     let fleet = quick_fleet().daemons(2).engines(2).start_configured().await;
@@ -142,7 +142,7 @@
             stats.calls.get("put").copied().unwrap_or_default()
         };
         let before = puts().await;
-        http::until("the write is on its way", || async {
+        http::until("the write has been sent", || async {
             (puts().await > before).then_some(())
         })
         .await;
@@ -159,7 +159,7 @@
     let versions = column(&fleet, 1, "show changes where who = amina", "version").await;
     match reply.status {
         200 => assert_eq!(versions, [accepted(&reply).version.to_string()]),
-        // Too far behind to tell what was changed, or too late: either way nothing of it was accepted.
+        // Too far behind to detect conflicts (409), or timed out (503): in both cases the change was not accepted.
         409 | 503 => assert!(versions.is_empty(), "{reply:?}"),
         status => panic!("{status}: {reply:?}"),
     }
@@ -167,8 +167,8 @@
     assert_eq!(held.len(), 40);
 }
 
-/// An instance is restarted while the key-value service is out. It must serve by the configuration in force, told
-/// by a peer, not refuse every product as unknown.
+/// An instance that restarts during an outage of the key-value service must get the current configuration from a peer.
+/// Otherwise it would reject every product as unknown.
 #[actix_web::test]
 async fn restart_service_out() {
     let mut fleet = quick_fleet().daemons(3).start_configured().await;
@@ -180,7 +180,7 @@
     fleet.platform_fault(&outage).await;
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon(1).await;
-    // It can't read the list either, so a peer must find it: only the list at the peers names it.
+    // It cannot read the instance list either, so it must be contacted by a peer, whose list contains it.
     fleet
         .platform_fault(&Fault {
             cut: vec!["i1".to_string()],
--- a/tests/testsuite/config_keeper.rs
+++ b/tests/testsuite/config_keeper.rs
@@ -1,4 +1,4 @@
-//! Accepting and following changes: the order of events that each guard is for.
+//! Accepting and replicating configuration changes: for each safeguard, the sequence of events that requires it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// A proposal of `who` to quarantine `print`, based on version `base`.
+/// A proposal by `who` to quarantine the fingerprint `print`, based on version `base`.
 fn proposal(id: u128, who: &str, print: &str, base: Base) -> Proposal {
     Proposal {
         id: CommandId(Uuid::from_u128(id)),
@@ -49,7 +49,7 @@
     Base::Implied(Version(version))
 }
 
-/// A head of `count` changes, each by another operator of another thing, and its state.
+/// A head of `count` changes, each by a different operator to a different resource, and the resulting state.
 fn history(count: u64) -> (Head, State) {
     let (mut head, mut state) = (Head::default(), State::default());
     for i in 1..=count {
@@ -69,7 +69,7 @@
     }
 }
 
-/// A keeper that has seen `head` at revision 1.
+/// A replicator that has read `head` at revision 1.
 fn replicator(head: &Head) -> Replicator {
     let mut replicator = Replicator::new(Time::ZERO, LIMIT);
     replicator.on(Time::ZERO, Event::Read(stored(1, head)));
@@ -80,9 +80,9 @@
     replicator.on(Time::ZERO, Event::Submitted(SubmissionId(1), Box::new(proposal)))
 }
 
-/// Two operators look at version 3. One quarantines a fingerprint; the other, who hasn't seen that, decides on the
-/// same fingerprint and would undo it. He is told which change came first; one who decides on something else, and
-/// the first operator himself, are not in anyone's way.
+/// Two operators act on version 3. One quarantines a fingerprint; the other, unaware of that, changes the same
+/// fingerprint and would undo it. The second must be rejected with the change that came first. A change to another
+/// resource, or another change by the first operator, does not conflict.
 #[test]
 fn check_racing() {
     let (head, state) = history(3);
@@ -115,9 +115,9 @@
     }
 }
 
-/// A writer stores its head, is paused before the write reaches the service, and wakes when many changes and two
-/// snapshots later nothing of its head holds. Its write must fail, and it must not be tried anew on a
-/// configuration that its operator has never seen.
+/// A writer is paused before its write reaches the key-value service, and resumes many changes and two snapshots later,
+/// when its head is out of date. The write must fail, and must not be retried on a configuration that its operator has
+/// never seen.
 #[test]
 fn swap_paused_writer() {
     let (head, _) = history(3);
@@ -130,7 +130,7 @@
     assert_eq!(
         expect,
         Revision(1),
-        "compared on the service's version of the key"
+        "the write must be conditional on the revision of the stored head"
     );
     let (later, state) = history(40);
     let later = later.shorten();
@@ -143,8 +143,8 @@
     assert_eq!(actions, [Action::Publish, answer]);
 }
 
-/// The write took effect, its answer was lost, and another change came on top. The operator must be told the
-/// version that his change made, and it must not be made a second time.
+/// A write takes effect, its response is lost, and another change follows. The operator must be told the version that
+/// the change created, and the change must not be applied a second time.
 #[test]
 fn swap_answer_lost() {
     let (head, state) = history(3);
@@ -172,7 +172,7 @@
     );
 }
 
-/// The same, but the service stays out: nobody can tell, and the operator is told just that.
+/// As above, but the key-value service stays unavailable: the operator must be told that the outcome is unknown.
 #[test]
 fn swap_answer_lost_service_out() {
     let (head, _) = history(3);
@@ -187,7 +187,8 @@
     );
 }
 
-/// An answer of the service comes late, after a newer one, and offers a configuration that operators have replaced.
+/// A delayed response of the key-value service, received after a newer one, must not bring back a replaced
+/// configuration.
 #[test]
 fn stored_from_the_past() {
     let (old, _) = history(3);
@@ -200,7 +201,7 @@
     assert_eq!(follower.state().version, Version(5));
 }
 
-/// A peer that was cut off for long tells its old configuration, whole and as changes.
+/// A peer that was disconnected for long sends its old configuration, as a full state and as changes; both are ignored.
 #[test]
 fn update_stale_peer() {
     let (head, state) = history(5);
@@ -218,8 +219,8 @@
     }
 }
 
-/// An instance that restarts hears a peer that is itself behind, and then the service. The peer must not be
-/// asked first, or the instance would serve an older configuration than before its restart.
+/// A restarted instance may hear from a peer that is itself behind before it hears from the key-value service. It
+/// must not fetch from the peer first, or it would serve an older configuration than before its restart.
 #[test]
 fn heard_fresh() {
     let peer: SocketAddr = "10.0.0.2:80".parse().expect("an address");
@@ -228,7 +229,7 @@
         replicator.on(Time::ZERO, Event::PeerVersion(peer, Version(3))),
         []
     );
-    // The service is out: better the peer that is farthest ahead than nothing.
+    // If the service stays unavailable, the peer with the highest version is used instead.
     let later = Time::ZERO + Duration::from_secs(3);
     let ahead: SocketAddr = "10.0.0.3:80".parse().expect("an address");
     assert_eq!(
@@ -239,8 +240,8 @@
     assert_eq!(replicator.on(later, Event::Tick), [fetch]);
 }
 
-/// The tail is long: its writer stores a snapshot first, swaps in a head with a short tail, and removes the
-/// snapshot before the last, which only a reader a whole tail behind could still want.
+/// If the tail is long, the writer first stores a snapshot, then swaps in a head with a short tail and removes the
+/// snapshot before the previous one, which only a reader that is a whole tail behind could still need.
 #[test]
 fn submit_tail_long() {
     let (mut head, state) = history(40);
@@ -273,8 +274,8 @@
     );
 }
 
-/// An instance has just started and waits for the snapshot when an operator's statement comes in. It must be
-/// worked out on the configuration in force, not on the empty one, and not be refused for being based on it.
+/// A statement that arrives while a newly started instance waits for the snapshot must be evaluated against the current
+/// configuration instead of the empty one, and must not be rejected for being based on the empty one.
 #[test]
 fn submit_before_snapshot() {
     let (head, state) = history(40);
@@ -292,8 +293,8 @@
     );
 }
 
-/// An operator gives a command again days later, when its id has left the trail. It must not take effect a
-/// second time; ids of later commands must be taken.
+/// A command that is submitted again days later, when its id is no longer in the trail, must not take effect a second
+/// time. Ids of later commands must be accepted.
 #[test]
 fn find_forgotten() {
     let id = |second: u64| {
@@ -317,7 +318,7 @@
     assert_eq!(head.check(&state, &again), Err(ProposalError::Expired));
 }
 
-/// Two histories claim the same version: an invariant of ours is broken, and the one that is in force stays.
+/// Two histories with different changes for the same version violate an invariant; the one in force must be kept.
 #[test]
 fn apply_fork() {
     let (head, state) = history(4);
--- a/tests/testsuite/config_run/mod.rs
+++ b/tests/testsuite/config_run/mod.rs
@@ -1,15 +1,15 @@
-//! Seeded runs of several keepers of the configuration over a fake key-value service and fake peers.
+//! Seeded simulations of several configuration replicators with a simulated key-value service and simulated peers.
 //!
-//! Messages are delayed, reordered and lost, answers are lost after the write, instances are killed and paused,
-//! operators race and repeat commands through other instances. Whatever the order of events: accepted changes
-//! are a total order, an id is accepted at most once, what operators were told is true, and no version goes
-//! back.
+//! Messages are delayed, reordered and lost, responses are lost after the write, instances are killed and paused, and
+//! operators submit conflicting commands and repeat commands through other instances. In every order of events,
+//! accepted changes must be totally ordered, an id must be accepted at most once, replies to operators must be
+//! correct, and no instance may go back to an earlier version.
 
 mod world;
 
 use crate::config_run::world::Simulation;
 
-/// Runs one seed to its end and checks it.
+/// Runs the simulation of one seed and checks its final state.
 fn run(seed: u64) {
     let mut simulation = Simulation::new(seed);
     for _ in 0..6_000 {
@@ -19,8 +19,8 @@
     simulation.check_end();
 }
 
-/// Seeds that showed a fault. 201: an instance that had restarted read the head, waited for its snapshot, and put an
-/// older configuration in force that a peer told it meanwhile.
+/// Seeds that have found a fault. 201: a restarted instance read the head and, while waiting for its snapshot,
+/// applied an older configuration that it received from a peer.
 const REGRESSION_SEEDS: [u64; 1] = [201];
 
 #[test]
@@ -30,7 +30,8 @@
     }
 }
 
-/// Runs many seeds: `CONFIG_SEEDS=1000..9000 cargo test run_more_seeds`. Without it, a few further ones.
+/// Runs many seeds: `CONFIG_SEEDS=1000..9000 cargo test run_more_seeds`. Without the variable, runs a few
+/// additional seeds.
 #[test]
 fn run_more_seeds() {
     let range = std::env::var("CONFIG_SEEDS").unwrap_or_else(|_| "100..104".to_string());
--- a/tests/testsuite/config_run/world.rs
+++ b/tests/testsuite/config_run/world.rs
@@ -1,4 +1,4 @@
-//! The fakes around the keepers, and what is checked of them.
+//! The simulated environment of the replicators, and the invariants that are checked.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 const STARTUP_WAIT: Duration = Duration::from_secs(2);
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// A message on its way, to the service, to a peer or back.
+/// A call to the key-value service or a peer, or an event for an instance.
 #[derive(Debug, Clone)]
 enum Message {
     Call(Action),
@@ -44,7 +44,7 @@
 struct InFlight {
     due: Time,
     instance: usize,
-    /// Incarnation of the instance; a message to an earlier one is lost.
+    /// Incarnation of the instance; a message to an earlier incarnation is lost.
     incarnation: u64,
     message: Message,
 }
@@ -60,7 +60,7 @@
     min_version: Version,
 }
 
-/// Everything around the keepers.
+/// Simulated instances, network, key-value service and operators.
 pub struct Simulation {
     random: ChaCha8Rng,
     now: Time,
@@ -74,7 +74,7 @@
     submissions: BTreeMap<SubmissionId, (usize, CommandId)>,
     rejected: Vec<CommandId>,
     faults_enabled: bool,
-    /// Kills, and stored snapshots whose writer did not learn so: each may leave a snapshot behind.
+    /// Number of restarts, and of stored snapshots whose writer got no confirmation: each may leave an unused snapshot.
     allowed_leaks: usize,
 }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    /// One random event.
+    /// Simulates one random event.
     pub fn step(&mut self) {
         self.now = self.now + Duration::from_millis(self.random.random_range(0..40));
         let instance = self.random.random_range(0..INSTANCES);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Ends the faults and lets everything come to rest.
+    /// Stops injecting faults and runs until all instances have converged.
     pub fn settle(&mut self) {
         self.faults_enabled = false;
         for instance in &mut self.instances {
@@ -142,25 +142,36 @@
 
     pub fn check_end(&self) {
         let base = self.stored.head.base;
-        assert!(base > Version::default(), "only {} changes", self.accepted.len());
+        assert!(
+            base > Version::default(),
+            "no snapshot was taken after {} changes",
+            self.accepted.len()
+        );
         let stayed = self.snapshots.len();
         assert!(
             stayed <= 2 + self.allowed_leaks / 4,
-            "{stayed} snapshots stayed, {} allowed_leaks",
+            "{stayed} snapshots left, {} restarts and unconfirmed snapshots",
             self.allowed_leaks
         );
         for instance in &self.instances {
             assert_eq!(
                 instance.published.0,
                 self.accepted.len() as u64,
-                "all know the last version"
+                "all instances must have published the last version"
             );
         }
-        assert!(self.submissions.is_empty(), "unanswered: {:?}", self.submissions);
+        assert!(
+            self.submissions.is_empty(),
+            "unanswered submissions: {:?}",
+            self.submissions
+        );
         for id in &self.rejected {
             let once = self.submitted[id] == 1;
             let accepted = self.accepted.iter().any(|(a, _)| a == id);
-            assert!(!(once && accepted), "{id:?} was said not to be accepted");
+            assert!(
+                !(once && accepted),
+                "{id:?} was accepted but reported as rejected"
+            );
         }
     }
 
@@ -200,7 +211,7 @@
         restarted.min_version = restarted.min_version.max(restarted.published);
         restarted.published = Version::default();
         restarted.started = self.now;
-        // Its operators hear nothing; what they asked for may have been accepted.
+        // Operators with pending submissions get no reply; their changes may have been accepted.
         self.submissions.retain(|_, (at, _)| *at != instance);
     }
 
@@ -229,7 +240,7 @@
         });
     }
 
-    /// Delivers one of the messages that are due, in any order.
+    /// Delivers a random one of the messages that are due.
     fn deliver(&mut self) {
         let due: Vec<usize> = (0..self.in_flight.len())
             .filter(|i| self.in_flight[*i].due <= self.now)
@@ -259,7 +270,7 @@
         }
     }
 
-    /// What the service or a peer does about a call that has reached it.
+    /// Executes a call at the key-value service or a peer, and sends its result.
     fn execute_call(&mut self, instance: usize, incarnation: u64, action: Action) {
         let chance = match action {
             Action::StoreSnapshot(..) => 0.4,
@@ -295,7 +306,7 @@
                 self.snapshots.remove(&version);
                 return;
             }
-            other => panic!("{other:?} goes nowhere"),
+            other => panic!("{other:?} is not a call to the service or a peer"),
         };
         if self.instances[instance].incarnation == incarnation {
             self.send_delayed(instance, Message::Event(event));
@@ -309,7 +320,7 @@
         assert_eq!(
             head.version.0,
             self.accepted.len() as u64 + 1,
-            "versions follow on each other"
+            "versions must be consecutive"
         );
         let change = head.tail.back().expect("the head ends with its change").clone();
         assert!(
@@ -325,7 +336,7 @@
         self.accepted.push((change.id, config));
         assert!(
             head.base == Version::default() || self.snapshots.contains_key(&head.base),
-            "the snapshot {} of the head is stored",
+            "the snapshot {} that the head refers to must be stored",
             head.base
         );
         self.stored = StoredHead {
@@ -335,7 +346,7 @@
         SwapResult::Done(self.stored.revision)
     }
 
-    /// Gives the keeper an event and carries out its actions.
+    /// Passes an event to the replicator and executes its actions.
     fn handle(&mut self, instance: usize, event: Event) {
         let paused = self.instances[instance].paused;
         if paused.is_some_and(|until| until > self.now) {
@@ -352,11 +363,14 @@
                     match answer {
                         Ok(outcome) => {
                             let accepted = &self.accepted[outcome.version.0 as usize - 1].0;
-                            assert_eq!(*accepted, id, "the operator was told another's version");
+                            assert_eq!(
+                                *accepted, id,
+                                "the operator was told the version of another change"
+                            );
                         }
                         Err(SubmitError::Unknown) => {}
                         Err(SubmitError::Rejected(ProposalError::Apply(ApplyError::Gap { state, next }))) => {
-                            panic!("version {next} was tried on a state of version {state}")
+                            panic!("version {next} was applied to a state of version {state}")
                         }
                         Err(_) => self.rejected.push(id),
                     }
@@ -371,16 +385,20 @@
     fn publish(&mut self, instance: usize) {
         let state = self.instances[instance].replicator.state().clone();
         let before = self.instances[instance].published;
-        assert!(state.version > before, "version {} after {before}", state.version);
+        assert!(
+            state.version > before,
+            "published version {} after {before}",
+            state.version
+        );
         let expected = &self.accepted[state.version.0 as usize - 1].1;
         assert_eq!(state.config, *expected, "version {}", state.version);
         let restarted = &self.instances[instance];
-        // Past this time without an answer of the service, an instance takes what a peer tells.
+        // After this time without a response of the service, an instance accepts the configuration of a peer.
         if self.now.since(restarted.started) < STARTUP_WAIT {
             let min_version = restarted.min_version;
             assert!(
                 state.version >= min_version,
-                "back from {min_version} to {} over a restart",
+                "version went back from {min_version} to {} after a restart",
                 state.version
             );
         }
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -1,4 +1,4 @@
-//! The story of a request out of logs.
+//! Explaining the outcome of a request from logs.
 
 use sequoiastream::ops::explain::Log;
 use sequoiastream::ops::explain::explain;
@@ -16,7 +16,7 @@
     format!(r#"{{"timestamp":"{time}","level":"INFO","fields":{{{fields}}}}}"#)
 }
 
-/// Somebody asks why an order was refused under load.
+/// Explains why a request was refused under load.
 #[test]
 fn refused_under_load() {
     let lines = [
@@ -56,7 +56,7 @@
     );
 }
 
-/// A stream broke off. Its engine failed, another one took over, and failed too.
+/// Explains a stream that broke off: its engine failed, and so did the engine on which it was resumed.
 #[test]
 fn broken_stream() {
     let lines = [
@@ -96,7 +96,8 @@
     );
 }
 
-/// The clock of one instance is behind, and went back. Each file's own order holds; a collector's stamp is passed over.
+/// The clock of one instance is behind and was set back: the order within each file is kept. A log collector's
+/// timestamp in front of a line is ignored.
 #[test]
 fn order_within_files() {
     let first = [
@@ -114,7 +115,7 @@
 #[test]
 fn unknown_request() {
     let error = explain("q1", &[log("one", &["{"])])
-        .expect_err("nothing said")
+        .expect_err("the request is not in the log")
         .to_string();
     assert!(
         error.starts_with("no line of 1 files names request q1"),
--- a/tests/testsuite/grammar.rs
+++ b/tests/testsuite/grammar.rs
@@ -1,4 +1,4 @@
-//! The statement language.
+//! Parsing of the statement language.
 
 use sequoiastream_core::config::Command;
 use sequoiastream_core::name::Name;
@@ -46,7 +46,7 @@
     );
 }
 
-/// Mistakes, the column of the caret, and what is expected there.
+/// Invalid statements, the column of the caret, and what the error says is expected there.
 #[test]
 fn parse_mistakes_table() {
     let cases = [
@@ -123,7 +123,7 @@
     assert_eq!(parse(text), Ok(Statement::Show(query)));
 }
 
-/// No text makes the parser panic, and the caret always stands within the line or right behind it.
+/// The parser must not panic on any text, and the caret must be within the line or directly behind its end.
 #[test]
 fn parse_any_text() {
     bolero::check!().with_type::<String>().for_each(|text| {
@@ -133,7 +133,7 @@
     });
 }
 
-/// Words of the language in any order: what random texts seldom reach.
+/// Parses keywords in random order, which reaches parser states that random text rarely does.
 #[test]
 fn parse_any_words() {
     const WORDS: &[&str] = &[
@@ -180,8 +180,8 @@
     });
 }
 
-/// An operator creates a product; later somebody who may read the audit trail, but holds no key, reads the API
-/// key in the statement. Cause: the trail kept statements as they were typed.
+/// API keys must be masked in statements of the audit trail. If statements were kept as typed, anyone who may read the
+/// trail could read the keys of products.
 #[test]
 fn summary_hides_keys() {
     let cases = [
