--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -1,4 +1,4 @@
-//! The decisions about one answer: endings in tables, and seeded runs in which engines do everything wrong.
+//! State machine of one answer: tables of its endings, and seeded runs with misbehaving engines.
 
 use std::time::Duration;
 
@@ -35,9 +35,9 @@
     })
 }
 
-/// A buyer is told `not-run` and orders the same work again, or waits for a refusal that was decided long ago.
-/// Order: attempts fail in one way or the other; the last one is refused. Cause: only the last attempt counts, or the
-/// refusal is kept until the deadline.
+/// The ending must reflect all attempts, and must be reported at once. If only the last attempt counted, a refusal
+/// after a failed attempt that may have run would be reported as `not-run`, and the caller would repeat work that has
+/// run. If the refusal were held until the deadline, the caller would wait for a result that is already decided.
 #[test]
 fn end_by_history() {
     let (a, b) = (attempt(1), attempt(2));
@@ -74,7 +74,7 @@
         for event in events {
             assert_eq!(ending(&answer.on(Time::ZERO, event)), None, "{name}");
         }
-        // The decision falls with the event that makes it, at the very time of that event.
+        // The ending is returned by the event that decides it, not by a later tick.
         let last = answer.on(Time::ZERO, Event::NoEngine);
         assert_eq!(ending(&last), Some(expected), "{name}");
         assert!(
@@ -107,8 +107,9 @@
     }
 }
 
-/// Half of a verdict by one version of the model, half by another. Order: an answer is resumed on an engine that
-/// was given a new version meanwhile. Cause: seed and prompt are the same, so nobody looks at the version.
+/// An answer must not silently mix tokens of two model versions. This happens when an answer is resumed on an engine
+/// that has been updated meanwhile and only the seed and the prompt are compared, which are the same for both
+/// versions.
 #[test]
 fn resume_version_gone() {
     let (a, b, c) = (attempt(1), attempt(2), attempt(3));
@@ -125,7 +126,7 @@
         matches!(sent[..], [Action::Send(send)] if send.version == Some(1) && send.offset == 1),
         "{sent:?}"
     );
-    // An engine that doesn't look at the version must not have its tokens delivered.
+    // Tokens of an engine that ignores the requested version must not be delivered.
     let opened = answer.on(Time::ZERO, Event::Opened(b, 2));
     assert_eq!(opened, vec![Action::Cancel(b), Action::Pick]);
     assert!(answer.on(Time::ZERO, Event::Token(b, 1)).is_empty());
@@ -146,7 +147,7 @@
     assert_eq!(answer.version(), None);
 }
 
-/// One engine's side of a seeded run.
+/// The stream of one engine in a seeded run.
 struct Stream {
     attempt: Uuid,
     version: u32,
@@ -154,18 +155,18 @@
     closed: bool,
 }
 
-/// A seeded run: what the caller got, and what the engines did.
+/// A seeded run: the tokens delivered to the caller, and the state of the engines.
 struct Run {
     rng: StdRng,
     now: Time,
     answer: Answer,
     streams: Vec<Stream>,
     delivered: Vec<(u32, u32)>,
-    pieces: Vec<(Uuid, u32, u32)>,
+    sent_tokens: Vec<(Uuid, u32, u32)>,
     started: bool,
     continued: bool,
     ended: Option<Ending>,
-    numbers: u128,
+    attempt_count: u128,
 }
 
 const LENGTH: u32 = 12;
@@ -178,22 +179,22 @@
             answer: Answer::new(Time::ZERO, LIMITS, Resume::default()),
             streams: Vec::new(),
             delivered: Vec::new(),
-            pieces: Vec::new(),
+            sent_tokens: Vec::new(),
             started: false,
             continued: false,
             ended: None,
-            numbers: 0,
+            attempt_count: 0,
         }
     }
 
-    fn feed(&mut self, event: Event, version: u32) {
+    fn handle(&mut self, event: Event, version: u32) {
         let actions = self.answer.on(self.now, event);
-        self.carry_out(&actions, version);
+        self.execute(&actions, version);
     }
 
-    fn carry_out(&mut self, actions: &[Action], version: u32) {
+    fn execute(&mut self, actions: &[Action], version: u32) {
         for action in actions {
-            assert_eq!(self.ended, None, "{action:?} after the end");
+            assert_eq!(self.ended, None, "{action:?} after the answer ended");
             match action {
                 Action::Pick => self.pick(),
                 Action::Send(send) => self.send(*send),
@@ -207,11 +208,11 @@
 
     fn pick(&mut self) {
         match self.rng.random_range(0..10) {
-            0 => self.feed(Event::NoEngine, 0),
-            1 => self.feed(Event::Busy, 0),
+            0 => self.handle(Event::NoEngine, 0),
+            1 => self.handle(Event::Busy, 0),
             _ => {
-                self.numbers += 1;
-                self.feed(Event::Picked(attempt(self.numbers * 2)), 0);
+                self.attempt_count += 1;
+                self.handle(Event::Picked(attempt(self.attempt_count * 2)), 0);
             }
         }
     }
@@ -220,13 +221,13 @@
         let version = self.rng.random_range(1..3);
         self.continued |= send.continued;
         match self.rng.random_range(0..8) {
-            0 => self.feed(Event::AttemptFailed(send.attempt, Failure::NotStarted), 0),
+            0 => self.handle(Event::AttemptFailed(send.attempt, Failure::NotStarted), 0),
             1 => {
                 self.started = true;
-                self.feed(Event::AttemptFailed(send.attempt, Failure::MayHaveRun), 0);
+                self.handle(Event::AttemptFailed(send.attempt, Failure::MayHaveRun), 0);
             }
             _ if send.version.is_some_and(|v| v != version) && self.rng.random_bool(0.7) => {
-                self.feed(Event::AttemptFailed(send.attempt, Failure::VersionMismatch), 0);
+                self.handle(Event::AttemptFailed(send.attempt, Failure::VersionMismatch), 0);
             }
             _ => {
                 self.started = true;
@@ -236,24 +237,24 @@
                     next: send.offset,
                     closed: false,
                 });
-                self.feed(Event::Opened(send.attempt, version), 0);
+                self.handle(Event::Opened(send.attempt, version), 0);
             }
         }
     }
 
     fn close(&mut self, attempt: Uuid) {
-        // Pieces of a closed stream may still come: an engine may have ignored the cancel.
+        // Tokens of a closed stream may still arrive: an engine may ignore the cancellation.
         for stream in self.streams.iter_mut().filter(|s| s.attempt == attempt) {
             stream.closed = true;
         }
     }
 
-    /// Some engine does something, or time passes.
+    /// Advances the time and simulates one random event of an engine, or a tick.
     fn step(&mut self) {
         self.now = self.now + Duration::from_millis(self.rng.random_range(0..8));
         if self.streams.is_empty() || self.rng.random_bool(0.05) {
             self.now = self.answer.due();
-            return self.feed(Event::Tick, 0);
+            return self.handle(Event::Tick, 0);
         }
         let index = self.rng.random_range(0..self.streams.len());
         let (attempt, version, next) = {
@@ -261,56 +262,63 @@
             (stream.attempt, stream.version, stream.next)
         };
         if next >= LENGTH && self.rng.random_bool(0.7) {
-            return self.feed(Event::Finished(attempt, next), version);
+            return self.handle(Event::Finished(attempt, next), version);
         }
         match self.rng.random_range(0..40) {
             0 => self.streams[index].next += 1,
-            1 => self.feed(Event::Finished(attempt, next + 1), version),
-            2 => self.feed(
+            1 => self.handle(Event::Finished(attempt, next + 1), version),
+            2 => self.handle(
                 Event::Token(Uuid::from_u128(attempt.as_u128() ^ 1), next),
                 version,
             ),
-            3 if !self.pieces.is_empty() => self.repeat(),
+            3 if !self.sent_tokens.is_empty() => self.repeat_token(),
             4 => {
-                self.feed(Event::AttemptFailed(attempt, Failure::MayHaveRun), version);
+                self.handle(Event::AttemptFailed(attempt, Failure::MayHaveRun), version);
                 self.streams[index].closed = true;
             }
-            5 => self.feed(Event::Relocate, version),
+            5 => self.handle(Event::Relocate, version),
             _ if next < LENGTH => {
-                self.pieces.push((attempt, next, version));
+                self.sent_tokens.push((attempt, next, version));
                 self.streams[index].next += 1;
-                self.feed(Event::Token(attempt, next), version);
-                self.feed(Event::Delivered, version);
+                self.handle(Event::Token(attempt, next), version);
+                self.handle(Event::Delivered, version);
             }
             _ => {}
         }
     }
 
-    /// A piece that came before comes once more.
-    fn repeat(&mut self) {
-        let index = self.rng.random_range(0..self.pieces.len());
-        let (attempt, offset, version) = self.pieces[index];
-        self.feed(Event::Token(attempt, offset), version);
+    /// Sends a random earlier token again.
+    fn repeat_token(&mut self) {
+        let index = self.rng.random_range(0..self.sent_tokens.len());
+        let (attempt, offset, version) = self.sent_tokens[index];
+        self.handle(Event::Token(attempt, offset), version);
     }
 
     fn check(&self, seed: u64) {
         for (index, (offset, _)) in self.delivered.iter().enumerate() {
-            assert_eq!(*offset, index as u32, "seed {seed}: gap or repeat");
+            assert_eq!(*offset, index as u32, "seed {seed}: missing or repeated token");
         }
         let mixed = self.delivered.windows(2).any(|pair| pair[0].1 != pair[1].1);
-        assert!(!mixed || self.continued, "seed {seed}: two versions mixed");
+        assert!(
+            !mixed || self.continued,
+            "seed {seed}: tokens of two versions mixed without a continuation"
+        );
         let whole = self.ended == Some(Ending::Whole);
         assert!(
             !whole || self.delivered.len() >= LENGTH as usize,
-            "seed {seed}: cut"
+            "seed {seed}: truncated answer reported as whole"
         );
         let not_run = matches!(self.ended, Some(Ending::NotRun(_)));
-        assert!(!not_run || !self.started, "seed {seed}: a false not-run");
+        assert!(
+            !not_run || !self.started,
+            "seed {seed}: reported as not-run although an attempt may have run"
+        );
     }
 }
 
-/// Whatever engines send, in whatever order, twice or not at all: no gap, no repeat, no foreign token, no false
-/// `not-run`, and an end by the deadline.
+/// Engines may send tokens in any order, repeatedly or not at all. The delivered answer must have no gap, no repeated
+/// token and no token of another attempt, must not be reported as `not-run` if it may have run, and must end by the
+/// deadline.
 #[test]
 fn deliver_seeded_runs() {
     let mut whole = 0;
@@ -323,9 +331,12 @@
             }
             run.step();
         }
-        assert!(run.ended.is_some(), "seed {seed}: no end");
+        assert!(run.ended.is_some(), "seed {seed}: the answer did not end");
         run.check(seed);
         whole += usize::from(run.ended == Some(Ending::Whole));
     }
-    assert!(whole > 500, "only {whole} whole: the runs prove little");
+    assert!(
+        whole > 500,
+        "only {whole} runs ended whole, too few for the checks to be meaningful"
+    );
 }
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -1,4 +1,4 @@
-//! The story of a request out of logs.
+//! Explaining the outcome of a request from logs.
 
 use sequoiastream::ops::explain::Log;
 use sequoiastream::ops::explain::explain;
@@ -16,7 +16,7 @@
     format!(r#"{{"timestamp":"{time}","level":"INFO","fields":{{{fields}}}}}"#)
 }
 
-/// Somebody asks why an order was refused under load.
+/// Explains why a request was refused under load.
 #[test]
 fn refused_under_load() {
     let lines = [
@@ -42,9 +42,9 @@
         ),
     ];
     let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
-    let story = explain("q1", &[log("one.log", &lines)]).expect("a story");
+    let explanation = explain("q1", &[log("one.log", &lines)]).expect("an explanation");
     assert_data_eq!(
-        story.to_string(),
+        explanation.to_string(),
         str![[r#"
 request q1
 > one.log:4 09:00:04 401 refused left=1900 takes=214 why=it would be late
@@ -56,7 +56,7 @@
     );
 }
 
-/// A stream broke off. Its engine failed, another one took over, and failed too.
+/// Explains a stream that broke off: its engine failed, and so did the engine on which it was resumed.
 #[test]
 fn broken_stream() {
     let lines = [
@@ -80,9 +80,9 @@
         ),
     ];
     let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
-    let story = explain("q1", &[log("one.log", &lines)]).expect("a story");
+    let explanation = explain("q1", &[log("one.log", &lines)]).expect("an explanation");
     assert_data_eq!(
-        story.to_string(),
+        explanation.to_string(),
         str![[r#"
 request q1
   one.log:2 09:00:02 405 forwarded engine=e1
@@ -96,7 +96,8 @@
     );
 }
 
-/// The clock of one instance is behind, and went back. Each file's own order holds; a collector's stamp is passed over.
+/// The clock of one instance is behind and was set back: the order within each file is kept. A log collector's
+/// timestamp in front of a line is ignored.
 #[test]
 fn order_within_files() {
     let first = [
@@ -105,16 +106,16 @@
     ];
     let second = ["12.5 two ".to_string() + &line("09:00:03", r#""message":"c","event":400,"request":"q1""#)];
     let logs = [log("one", &[&first[0], &first[1]]), log("two", &[&second[0]])];
-    let story = explain("q1", &logs).expect("a story").to_string();
-    let order: Vec<&str> = story.lines().skip(1).take(3).map(|l| &l[2..7]).collect();
+    let explanation = explain("q1", &logs).expect("an explanation").to_string();
+    let order: Vec<&str> = explanation.lines().skip(1).take(3).map(|l| &l[2..7]).collect();
     assert_eq!(order, ["two:1", "one:1", "one:2"]);
-    assert!(story.contains("decided by one:2"), "{story}");
+    assert!(explanation.contains("decided by one:2"), "{explanation}");
 }
 
 #[test]
 fn unknown_request() {
     let error = explain("q1", &[log("one", &["{"])])
-        .expect_err("nothing said")
+        .expect_err("the request is not in the log")
         .to_string();
     assert!(
         error.starts_with("no line of 1 files names request q1"),
