--- a/crates/standin/src/experiment/cases.rs
+++ b/crates/standin/src/experiment/cases.rs
@@ -2,15 +2,15 @@
 
 use sequoiastream_core::config::Role;
 
-use crate::experiment::fleet::Owed;
+use crate::experiment::fleet::ProductSpec;
 use crate::load::mix::Phase;
 use crate::load::mix::Traffic;
 
 /// Engines of a run.
-pub const ENGINES: usize = 8;
+pub const ENGINE_COUNT: usize = 8;
 
 /// Seconds of a phase.
-const PHASE: f64 = 20.0;
+const PHASE_SECONDS: f64 = 20.0;
 
 /// What goes wrong during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// Roles of the engines at first.
     pub roles: Vec<Role>,
     /// Products.
-    pub products: Vec<Owed>,
+    pub products: Vec<ProductSpec>,
     /// What they ask for.
     pub traffic: Vec<Traffic>,
     /// What goes wrong.
@@ -66,11 +66,11 @@
         true => Role::Prefill,
         false => Role::Decode,
     };
-    (0..ENGINES).map(role).collect()
+    (0..ENGINE_COUNT).map(role).collect()
 }
 
-fn owed(weight: u32) -> Vec<Owed> {
-    let product = |name: &str| Owed {
+fn products(weight: u32) -> Vec<ProductSpec> {
+    let product = |name: &str| ProductSpec {
         name: name.to_string(),
         share: 45,
         weight,
@@ -81,7 +81,7 @@
 /// The shifting mix: chat, then checks, then chat, then both.
 fn mix() -> Vec<Phase> {
     let phase = |checks, chats| Phase {
-        seconds: PHASE,
+        seconds: PHASE_SECONDS,
         checks,
         chats,
         orders: 1.0,
@@ -94,17 +94,17 @@
     ]
 }
 
-fn traffic(products: &[Owed], phases: &[Phase]) -> Vec<Traffic> {
-    let of = |owed: &Owed| Traffic {
-        product: owed.name.clone(),
-        key: owed.key(),
+fn traffic(products: &[ProductSpec], phases: &[Phase]) -> Vec<Traffic> {
+    let of = |product: &ProductSpec| Traffic {
+        product: product.name.clone(),
+        key: product.key(),
         phases: phases.to_vec(),
     };
     products.iter().map(of).collect()
 }
 
 fn case(name: &str, policy: &str, roles: Vec<Role>, weight: u32) -> Case {
-    let products = owed(weight);
+    let products = products(weight);
     Case {
         name: name.to_string(),
         policy: policy.to_string(),
@@ -116,7 +116,7 @@
 }
 
 fn shift() -> Vec<Case> {
-    let half = || split(ENGINES / 2);
+    let half = || split(ENGINE_COUNT / 2);
     vec![
         case("a: fixed split, round-robin", "round-robin", half(), 0),
         case("b: least load by reports", "least-load", half(), 0),
@@ -131,12 +131,17 @@
         .into_iter()
         .map(|prefill| case(&format!("split {prefill} prefill"), "fixed", split(prefill), 0))
         .collect();
-    cases.push(case("split all mixed", "fixed", vec![Role::Mixed; ENGINES], 0));
+    cases.push(case(
+        "split all mixed",
+        "fixed",
+        vec![Role::Mixed; ENGINE_COUNT],
+        0,
+    ));
     cases
 }
 
 fn dial() -> Vec<Case> {
-    let half = || split(ENGINES / 2);
+    let half = || split(ENGINE_COUNT / 2);
     [0, 50, 100]
         .into_iter()
         .map(|weight| case(&format!("weight {weight:3}"), "adaptive", half(), weight))
@@ -156,7 +161,7 @@
         .into_iter()
         .map(|(name, fault)| Case {
             fault,
-            ..case(name, "adaptive", split(ENGINES / 2), 20)
+            ..case(name, "adaptive", split(ENGINE_COUNT / 2), 20)
         })
         .collect()
 }
@@ -165,7 +170,7 @@
 fn greedy() -> Vec<Case> {
     let steady = |chats: f64| {
         vec![Phase {
-            seconds: PHASE,
+            seconds: PHASE_SECONDS,
             checks: chats / 8.0,
             chats,
             orders: 0.0,
@@ -173,12 +178,12 @@
     };
     let build = |name: &str, policy: &str, greedy: f64| {
         let products = vec![
-            Owed {
+            ProductSpec {
                 name: "modest".to_string(),
                 share: 40,
                 weight: 0,
             },
-            Owed {
+            ProductSpec {
                 name: "greedy".to_string(),
                 share: 10,
                 weight: 0,
@@ -189,7 +194,7 @@
         Case {
             name: name.to_string(),
             policy: policy.to_string(),
-            roles: vec![Role::Mixed; ENGINES],
+            roles: vec![Role::Mixed; ENGINE_COUNT],
             products,
             traffic: asked,
             fault: FaultCase::None,
--- a/crates/standin/src/experiment/cli.rs
+++ b/crates/standin/src/experiment/cli.rs
@@ -66,12 +66,12 @@
         seeds.push(seed.parse::<u64>().wrap_err("--seeds holds no numbers")?);
     }
     let plan = Plan {
-        binaries: binaries()?,
+        binaries: binary_folder()?,
         policy: String::new(),
         roles: Vec::new(),
         daemons: usize::try_from(number("daemons"))?,
         products: Vec::new(),
-        away: number("away"),
+        change_ms: number("away"),
         slots: 16,
         decode: 100,
     };
@@ -103,10 +103,10 @@
 /// Measures what an entry instance adds, at several numbers of streams.
 async fn entry(plan: &Plan, out: &Path) -> eyre::Result<()> {
     let mut results = Vec::new();
-    println!("{}", entry::HEAD);
+    println!("{}", entry::TABLE_HEADER);
     for streams in ENTRY_STREAMS {
         let result = entry::measure(streams, plan).await?;
-        println!("{}", result.line());
+        println!("{}", result.table_row());
         results.push(result);
     }
     std::fs::create_dir_all(out)?;
@@ -114,7 +114,7 @@
     Ok(())
 }
 
-fn binaries() -> eyre::Result<PathBuf> {
+fn binary_folder() -> eyre::Result<PathBuf> {
     let own = std::env::current_exe()?;
     Ok(own.parent().unwrap_or(Path::new(".")).to_path_buf())
 }
--- a/crates/standin/src/experiment/entry.rs
+++ b/crates/standin/src/experiment/entry.rs
@@ -17,8 +17,8 @@
 
 use crate::experiment::fleet::Fleet;
 use crate::experiment::fleet::MODEL;
-use crate::experiment::fleet::Owed;
 use crate::experiment::fleet::Plan;
+use crate::experiment::fleet::ProductSpec;
 use crate::load::caller::Ending;
 use crate::load::caller::Session;
 use crate::load::caller::call;
@@ -26,23 +26,23 @@
 use crate::load::mix::Kind;
 
 /// Short calls of each way.
-const CALLS: usize = 1_000;
+const CALL_COUNT: usize = 1_000;
 
 /// Pause between them.
-const PAUSE: Duration = Duration::from_millis(4);
+const CALL_INTERVAL: Duration = Duration::from_millis(4);
 
 /// Tokens of a stream.
-const TOKENS: u32 = 400;
+const STREAM_TOKENS: u32 = 400;
 
 /// Until the streams run.
-const RAMP: Duration = Duration::from_secs(2);
+const RAMP_UP: Duration = Duration::from_secs(2);
 
 /// Ticks of processor time a second in `/proc`.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// The result at one number of streams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct EntryResult {
     /// Streams through the instance.
     pub streams: usize,
     /// Median and 99th percentile of a direct call, in microseconds.
@@ -57,9 +57,9 @@
     pub broken: usize,
 }
 
-impl Entry {
+impl EntryResult {
     /// One line of the table.
-    pub fn line(&self) -> String {
+    pub fn table_row(&self) -> String {
         let added = |i: usize| self.through[i] as f64 / 1_000.0 - self.direct[i] as f64 / 1_000.0;
         format!(
             "| {} | {:.2} / {:.2} | {:.2} / {:.2} | {:.2} / {:.2} | {:.0} | {} |",
@@ -77,21 +77,21 @@
 }
 
 /// Heading of the table.
-pub const HEAD: &str = "| streams | direct p50 / p99, ms | through p50 / p99, ms | added p50 / p99, ms | tokens a processor second | broken |\n| --- | --- | --- | --- | --- | --- |";
+pub const TABLE_HEADER: &str = "| streams | direct p50 / p99, ms | through p50 / p99, ms | added p50 / p99, ms | tokens a processor second | broken |\n| --- | --- | --- | --- | --- | --- |";
 
 /// Measures with `streams` streams.
 ///
 /// # Errors
 ///
 /// If a process doesn't start.
-pub async fn measure(streams: usize, plan: &Plan) -> eyre::Result<Entry> {
+pub async fn measure(streams: usize, plan: &Plan) -> eyre::Result<EntryResult> {
     let plan = Plan {
         policy: "round-robin".to_string(),
         roles: vec![Role::Decode; 4],
         daemons: 1,
         slots: 1_024,
         decode: 150,
-        products: vec![Owed {
+        products: vec![ProductSpec {
             name: "assistente".to_string(),
             share: 100,
             weight: 0,
@@ -115,27 +115,27 @@
     let running: Vec<_> = (0..streams)
         .map(|index| start(&client, &session, index))
         .collect();
-    tokio::time::sleep(RAMP).await;
+    tokio::time::sleep(RAMP_UP).await;
     let path = "/lookup";
     let direct = format!("{}{path}", fleet.plain.url());
     let through = format!("{}/services/ordini{path}", session.base);
     let mut times = [histogram()?, histogram()?];
-    for _ in 0..CALLS {
-        times[0].saturating_record(timed(&client, &direct, &session.key).await);
-        times[1].saturating_record(timed(&client, &through, &session.key).await);
-        tokio::time::sleep(PAUSE).await;
+    for _ in 0..CALL_COUNT {
+        times[0].saturating_record(time_call(&client, &direct, &session.key).await);
+        times[1].saturating_record(time_call(&client, &through, &session.key).await);
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
     let mut whole = 0;
     for stream in running {
         whole += usize::from(stream.await?);
     }
     let processor = processor_seconds(fleet.daemons[0].id())? - before;
-    let both = |h: &Histogram<u64>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99)];
-    Ok(Entry {
+    let median_and_p99 = |h: &Histogram<u64>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99)];
+    Ok(EntryResult {
         streams,
-        direct: both(&times[0]),
-        through: both(&times[1]),
-        tokens: whole as u64 * u64::from(TOKENS),
+        direct: median_and_p99(&times[0]),
+        through: median_and_p99(&times[1]),
+        tokens: whole as u64 * u64::from(STREAM_TOKENS),
         processor,
         broken: streams - whole,
     })
@@ -153,14 +153,14 @@
         product: 0,
         kind: Kind::Chat,
         prompt: format!("stream {index}"),
-        limit: TOKENS,
+        max_tokens: STREAM_TOKENS,
         seed: index as u64,
     };
     actix_rt::spawn(async move { call(&client, &session, &job).await.ending == Ending::Whole })
 }
 
 /// Microseconds of one call.
-async fn timed(client: &Client, url: &str, key: &str) -> u64 {
+async fn time_call(client: &Client, url: &str, key: &str) -> u64 {
     let begun = Instant::now();
     let sent = client.get(url).bearer_auth(key).send().await;
     if let Ok(mut answer) = sent {
@@ -176,5 +176,5 @@
     let numbers: Vec<f64> = fields.split_whitespace().filter_map(|f| f.parse().ok()).collect();
     // Behind the state letter, user and system time are the 11th and 12th numbers.
     let ticks = numbers.get(10).copied().unwrap_or(0.0) + numbers.get(11).copied().unwrap_or(0.0);
-    Ok(ticks / TICKS)
+    Ok(ticks / TICKS_PER_SECOND)
 }
--- a/crates/standin/src/experiment/fleet.rs
+++ b/crates/standin/src/experiment/fleet.rs
@@ -18,23 +18,23 @@
 use crate::process::Process;
 
 /// Token of the operator.
-const TOKEN: &str = "operator-token-of-the-experiment";
+const OPERATOR_TOKEN: &str = "operator-token-of-the-experiment";
 
 /// Key of the messages between instances.
-const CLUSTER: &str = "cluster-key-of-the-experiment";
+const CLUSTER_KEY: &str = "cluster-key-of-the-experiment";
 
 /// Model of the engines.
 pub const MODEL: &str = "ghiaccio-7b";
 
 /// How long the configuration may take to be in force.
-const IN_FORCE: Duration = Duration::from_secs(20);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Pause between questions for the version in force.
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A product of the run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Owed {
+pub struct ProductSpec {
     /// Its name.
     pub name: String,
     /// Its share in percent.
@@ -43,7 +43,7 @@
     pub weight: u32,
 }
 
-impl Owed {
+impl ProductSpec {
     /// Its API key.
     pub fn key(&self) -> String {
         format!("key-of-{}", self.name)
@@ -62,9 +62,9 @@
     /// Daemons.
     pub daemons: usize,
     /// Products.
-    pub products: Vec<Owed>,
+    pub products: Vec<ProductSpec>,
     /// Milliseconds that a role change takes an engine away.
-    pub away: u64,
+    pub change_ms: u64,
     /// Requests that an engine runs at once in role decode.
     pub slots: u32,
     /// Tokens a second of a request that runs alone.
@@ -100,7 +100,7 @@
                 format!("--decode-rate={}", plan.decode),
                 format!("--slots={}", plan.slots),
                 "--cache=16000".to_string(),
-                format!("--away={}", plan.away),
+                format!("--away={}", plan.change_ms),
                 format!("--role={role}"),
                 format!("--model={MODEL}"),
             ];
@@ -129,11 +129,11 @@
             "--listen=127.0.0.1:0".to_string(),
             format!("--peer={peer}"),
             format!("--platform={}", self.platform.url()),
-            format!("--operator-token={TOKEN}"),
-            format!("--cluster-key={CLUSTER}"),
+            format!("--operator-token={OPERATOR_TOKEN}"),
+            format!("--cluster-key={CLUSTER_KEY}"),
             format!("--policy={}", plan.policy),
             "--load-ms=250".to_string(),
-            format!("--away-ms={}", plan.away),
+            format!("--away-ms={}", plan.change_ms),
         ];
         let daemon = Process::start(&plan.binaries.join("sequoiastreamd"), args);
         let listed = Listed {
@@ -172,7 +172,7 @@
         text.push_str(&format!(
             "place engine p0 service ordini zone lodi-a address {address};\n"
         ));
-        self.statement(&text).await?;
+        self.submit_statement(&text).await?;
         for daemon in &self.daemons {
             self.wait_in_force(daemon).await?;
         }
@@ -184,10 +184,14 @@
     /// # Errors
     ///
     /// If they are refused.
-    pub async fn statement(&self, text: &str) -> eyre::Result<()> {
+    pub async fn submit_statement(&self, text: &str) -> eyre::Result<()> {
         let body = json!({"id": Uuid::new_v4(), "who": "experiment", "text": text, "dry": false});
         let url = format!("{}/operator/statement", self.daemons[0].url());
-        let sent = client().post(url).bearer_auth(TOKEN).send_json(&body).await;
+        let sent = client()
+            .post(url)
+            .bearer_auth(OPERATOR_TOKEN)
+            .send_json(&body)
+            .await;
         let mut answer = sent.map_err(|e| eyre::eyre!("could not reach the daemon: {e}"))?;
         if !answer.status().is_success() {
             let body = answer.body().await?;
@@ -211,10 +215,10 @@
                 {
                     return;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(IN_FORCE, waiting).await?;
+        tokio::time::timeout(IN_FORCE_TIMEOUT, waiting).await?;
         Ok(())
     }
 
--- a/crates/standin/src/experiment/mod.rs
+++ b/crates/standin/src/experiment/mod.rs
@@ -22,23 +22,23 @@
 use crate::load::LoadSettings;
 use crate::load::mix::Deadlines;
 use crate::load::mix::Phase;
-use crate::load::report::Targets;
+use crate::load::report::LatencyTargets;
 use crate::platform::Fault;
 
 /// Wait after the start, so that load reports are there.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// When a fault begins, as a part of the run.
-const FAULT_FROM: f64 = 0.3;
+const FAULT_START: f64 = 0.3;
 
 /// When a fault that ends, ends.
-const FAULT_TO: f64 = 0.8;
+const FAULT_END: f64 = 0.8;
 
 /// How long an instance is paused.
-const PAUSE: Duration = Duration::from_secs(3);
+const PAUSE_DURATION: Duration = Duration::from_secs(3);
 
 /// Lag of late reports, in milliseconds.
-const LAG: u64 = 5_000;
+const REPORT_LAG_MS: u64 = 5_000;
 
 /// Runs one case with one seed.
 ///
@@ -53,21 +53,21 @@
         ..plan.clone()
     };
     let mut fleet = Fleet::start(&plan).await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let settings = LoadSettings {
         targets: fleet.daemon_addresses(),
         traffic: case.traffic.clone(),
         model: MODEL.to_string(),
         service: "ordini".to_string(),
         deadlines: Deadlines::default(),
-        goals: Targets::default(),
+        latency_targets: LatencyTargets::default(),
         seed,
         engines: fleet.engine_addresses(),
         plain: vec![fleet.plain.address()],
     };
-    let length = length(&case.traffic[0].phases);
+    let length = run_length(&case.traffic[0].phases);
     let (report, fault) =
-        futures_util::future::join(load::run(settings), break_things(&mut fleet, case.fault, length)).await;
+        futures_util::future::join(load::run(settings), inject_fault(&mut fleet, case.fault, length)).await;
     fault?;
     Ok(Row {
         set: set.to_string(),
@@ -76,28 +76,32 @@
     })
 }
 
-fn length(phases: &[Phase]) -> Duration {
+fn run_length(phases: &[Phase]) -> Duration {
     Duration::from_secs_f64(phases.iter().map(|p| p.seconds).sum())
 }
 
-async fn break_things(fleet: &mut Fleet, fault: FaultCase, length: Duration) -> eyre::Result<()> {
+async fn inject_fault(fleet: &mut Fleet, fault: FaultCase, length: Duration) -> eyre::Result<()> {
     if fault == FaultCase::LateReports {
         let late = EngineFault {
-            lag: LAG,
+            lag: REPORT_LAG_MS,
             ..EngineFault::default()
         };
         for engine in &fleet.engines {
             put(&format!("{}/control/fault", engine.url()), &late).await?;
         }
     }
-    tokio::time::sleep(length.mul_f64(FAULT_FROM)).await;
+    tokio::time::sleep(length.mul_f64(FAULT_START)).await;
     match fault {
         FaultCase::None | FaultCase::LateReports => Ok(()),
         FaultCase::EngineLost => {
             fleet.engines[0].kill();
             Ok(())
         }
-        FaultCase::EngineWithdrawn => fleet.statement("drain engine e0; withdraw engine e0;").await,
+        FaultCase::EngineWithdrawn => {
+            fleet
+                .submit_statement("drain engine e0; withdraw engine e0;")
+                .await
+        }
         FaultCase::PlatformOut => {
             let url = format!("{}/control/fault", fleet.platform.url());
             let down = Fault {
@@ -105,12 +109,12 @@
                 ..Fault::default()
             };
             put(&url, &down).await?;
-            tokio::time::sleep(length.mul_f64(FAULT_TO - FAULT_FROM)).await;
+            tokio::time::sleep(length.mul_f64(FAULT_END - FAULT_START)).await;
             put(&url, &Fault::default()).await
         }
         FaultCase::InstancePaused => {
             fleet.daemons[1].signal("STOP");
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(PAUSE_DURATION).await;
             fleet.daemons[1].signal("CONT");
             Ok(())
         }
--- a/crates/standin/src/experiment/plot.rs
+++ b/crates/standin/src/experiment/plot.rs
@@ -13,10 +13,10 @@
 const WIDTH: u32 = 960;
 
 /// Height of each case's bar, with the space around it.
-const BAR: u32 = 44;
+const BAR_HEIGHT: u32 = 44;
 
 /// Height of axes and title.
-const FRAME: u32 = 100;
+const FRAME_HEIGHT: u32 = 100;
 
 /// Draws the goodput of each case, as a bar to the median and a point for each seed.
 ///
@@ -25,10 +25,10 @@
 /// If the file can't be written.
 pub fn draw(rows: &[Row], title: &str, path: &Path) -> eyre::Result<()> {
     let cases = by_case(rows);
-    let height = FRAME + BAR * cases.len() as u32;
+    let height = FRAME_HEIGHT + BAR_HEIGHT * cases.len() as u32;
     let area = SVGBackend::new(path, (WIDTH, height)).into_drawing_area();
-    let failed = |e: &dyn std::fmt::Display| eyre!("could not draw {}: {e}", path.display());
-    area.fill(&WHITE).map_err(|e| failed(&e))?;
+    let draw_error = |e: &dyn std::fmt::Display| eyre!("could not draw {}: {e}", path.display());
+    area.fill(&WHITE).map_err(|e| draw_error(&e))?;
     let names: Vec<String> = cases.iter().map(|(name, _)| name.to_string()).collect();
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
@@ -36,7 +36,7 @@
         .x_label_area_size(36)
         .y_label_area_size(240)
         .build_cartesian_2d(0.0..100.0, 0.0..cases.len() as f64)
-        .map_err(|e| failed(&e))?;
+        .map_err(|e| draw_error(&e))?;
     chart
         .configure_mesh()
         .disable_y_mesh()
@@ -44,19 +44,22 @@
         .y_label_formatter(&|y| label(&names, *y))
         .x_desc("whole answers within their deadline, % of requests offered")
         .draw()
-        .map_err(|e| failed(&e))?;
+        .map_err(|e| draw_error(&e))?;
     for (index, (_, rows)) in cases.iter().enumerate() {
-        let low = index as f64;
+        let bottom = index as f64;
         let percents: Vec<f64> = rows.iter().map(|r| r.report.total.percent()).collect();
         let median = Spread::of(percents.clone()).median;
-        let bar = Rectangle::new([(0.0, low + 0.2), (median, low + 0.8)], BLUE.mix(0.4).filled());
-        chart.draw_series([bar]).map_err(|e| failed(&e))?;
+        let bar = Rectangle::new(
+            [(0.0, bottom + 0.2), (median, bottom + 0.8)],
+            BLUE.mix(0.4).filled(),
+        );
+        chart.draw_series([bar]).map_err(|e| draw_error(&e))?;
         let points = percents
             .iter()
-            .map(|p| Circle::new((*p, low + 0.5), 3, BLACK.filled()));
-        chart.draw_series(points).map_err(|e| failed(&e))?;
+            .map(|p| Circle::new((*p, bottom + 0.5), 3, BLACK.filled()));
+        chart.draw_series(points).map_err(|e| draw_error(&e))?;
     }
-    area.present().map_err(|e| failed(&e))
+    area.present().map_err(|e| draw_error(&e))
 }
 
 fn label(names: &[String], y: f64) -> String {
--- a/crates/standin/src/load/addresses.rs
+++ b/crates/standin/src/load/addresses.rs
@@ -10,18 +10,18 @@
 use serde::Deserialize;
 
 /// How long an answer is kept that names no time, and until one is asked for again after a failure.
-const KEEP: Duration = Duration::from_secs(5);
+const DEFAULT_TTL: Duration = Duration::from_secs(5);
 
 /// Time for the question.
-const LIMIT: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The addresses in use.
 #[derive(Debug)]
 pub struct Addresses {
-    given: Vec<SocketAddr>,
-    named: Vec<SocketAddr>,
-    until: Option<Instant>,
-    asked: usize,
+    configured: Vec<SocketAddr>,
+    discovered: Vec<SocketAddr>,
+    fresh_until: Option<Instant>,
+    attempts: usize,
 }
 
 #[derive(Debug, Deserialize)]
@@ -33,20 +33,20 @@
 
 impl Addresses {
     /// Uses the given addresses.
-    pub fn new(given: &[SocketAddr]) -> Addresses {
+    pub fn new(configured: &[SocketAddr]) -> Addresses {
         Addresses {
-            given: given.to_vec(),
-            named: Vec::new(),
-            until: None,
-            asked: 0,
+            configured: configured.to_vec(),
+            discovered: Vec::new(),
+            fresh_until: None,
+            attempts: 0,
         }
     }
 
     /// Base URL for the request `index`: callers spread over the addresses.
     pub fn choose(&self, index: usize) -> String {
-        let known = match self.named.is_empty() {
-            true => &self.given,
-            false => &self.named,
+        let known = match self.discovered.is_empty() {
+            true => &self.configured,
+            false => &self.discovered,
         };
         format!("http://{}", known[index % known.len()])
     }
@@ -56,19 +56,19 @@
 pub fn refresh(addresses: &Rc<RefCell<Addresses>>, client: &Client, key: &str) {
     let now = Instant::now();
     let mut known = addresses.borrow_mut();
-    if known.until.is_some_and(|until| now < until) {
+    if known.fresh_until.is_some_and(|until| now < until) {
         return;
     }
-    known.until = Some(now + KEEP);
-    known.asked += 1;
-    let to = known.given[known.asked % known.given.len()];
-    let asked = client
+    known.fresh_until = Some(now + DEFAULT_TTL);
+    known.attempts += 1;
+    let to = known.configured[known.attempts % known.configured.len()];
+    let request = client
         .get(format!("http://{to}/v1/addresses"))
         .bearer_auth(key)
-        .timeout(LIMIT);
+        .timeout(REQUEST_TIMEOUT);
     let addresses = addresses.clone();
     actix_rt::spawn(async move {
-        let Ok(mut answer) = asked.send().await else {
+        let Ok(mut answer) = request.send().await else {
             return;
         };
         if !answer.status().is_success() {
@@ -78,7 +78,7 @@
             return;
         };
         let mut known = addresses.borrow_mut();
-        known.until = Some(Instant::now() + body.keep.map_or(KEEP, Duration::from_secs));
-        known.named = body.addresses;
+        known.fresh_until = Some(Instant::now() + body.keep.map_or(DEFAULT_TTL, Duration::from_secs));
+        known.discovered = body.addresses;
     });
 }
--- a/crates/standin/src/load/caller.rs
+++ b/crates/standin/src/load/caller.rs
@@ -14,10 +14,10 @@
 use crate::load::mix::Kind;
 
 /// How long a caller waits beyond its deadline, to learn what became of its request.
-const GRACE: Duration = Duration::from_secs(10);
+const OUTCOME_GRACE: Duration = Duration::from_secs(10);
 
 /// Largest answer of a plain service, in bytes.
-const MAX_ANSWER: usize = 64 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// How a request ended, as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,29 +36,29 @@
 
 /// What a caller noted.
 #[derive(Debug, Clone)]
-pub struct Note {
+pub struct CallResult {
     /// How it ended.
     pub ending: Ending,
     /// Reason of a refusal.
     pub reason: Option<String>,
     /// From sending to the end.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// From sending to the first token.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// Between each token and the one before.
-    pub gaps: Vec<Duration>,
+    pub token_gaps: Vec<Duration>,
     /// Idempotency key of an order.
     pub key: Option<Uuid>,
 }
 
-impl Note {
-    fn of(ending: Ending, sent: Instant) -> Note {
-        Note {
+impl CallResult {
+    fn of(ending: Ending, sent: Instant) -> CallResult {
+        CallResult {
             ending,
             reason: None,
-            took: sent.elapsed(),
-            first: None,
-            gaps: Vec::new(),
+            elapsed: sent.elapsed(),
+            first_token: None,
+            token_gaps: Vec::new(),
             key: None,
         }
     }
@@ -100,17 +100,17 @@
 }
 
 /// Sends `job` and waits for its end.
-pub async fn call(client: &Client, session: &Session, job: &Job) -> Note {
+pub async fn call(client: &Client, session: &Session, job: &Job) -> CallResult {
     let sent = Instant::now();
-    let limit = session.deadline + GRACE;
+    let limit = session.deadline + OUTCOME_GRACE;
     let result = match job.kind {
         Kind::Order => tokio::time::timeout(limit, order(client, session, sent)).await,
         Kind::Check | Kind::Chat => tokio::time::timeout(limit, generate(client, session, job, sent)).await,
     };
-    result.unwrap_or_else(|_| Note::of(Ending::Unknown, sent))
+    result.unwrap_or_else(|_| CallResult::of(Ending::Unknown, sent))
 }
 
-async fn order(client: &Client, session: &Session, sent: Instant) -> Note {
+async fn order(client: &Client, session: &Session, sent: Instant) -> CallResult {
     let key = Uuid::now_v7();
     let url = format!("{}/services/{}/orders", session.base, session.service);
     let request = client
@@ -121,25 +121,25 @@
             "sequoiastream-deadline-ms",
             session.deadline.as_millis().to_string(),
         ));
-    let mut note = match request.send_json(&json!({"boxes": 4})).await {
-        Err(_) => Note::of(Ending::Unknown, sent),
+    let mut result = match request.send_json(&json!({"boxes": 4})).await {
+        Err(_) => CallResult::of(Ending::Unknown, sent),
         Ok(mut answer) => {
             let outcome = answer.headers().get("sequoiastream-outcome");
             let outcome = outcome
                 .and_then(|v| v.to_str().ok())
                 .unwrap_or("unknown")
                 .to_string();
-            let body = answer.body().limit(MAX_ANSWER).await.unwrap_or_default();
-            let mut note = Note::of(ending(&outcome), sent);
-            note.reason = reason(&body);
-            note
+            let body = answer.body().limit(MAX_ANSWER_BYTES).await.unwrap_or_default();
+            let mut result = CallResult::of(parse_ending(&outcome), sent);
+            result.reason = reason(&body);
+            result
         }
     };
-    note.key = Some(key);
-    note
+    result.key = Some(key);
+    result
 }
 
-fn ending(outcome: &str) -> Ending {
+fn parse_ending(outcome: &str) -> Ending {
     match outcome {
         "whole" => Ending::Whole,
         "not-run" => Ending::NotRun,
@@ -153,9 +153,9 @@
     event.error?.reason
 }
 
-async fn generate(client: &Client, session: &Session, job: &Job, sent: Instant) -> Note {
+async fn generate(client: &Client, session: &Session, job: &Job, sent: Instant) -> CallResult {
     let body = json!({
-        "model": session.model, "prompt": job.prompt, "max_tokens": job.limit, "seed": job.seed, "stream": true,
+        "model": session.model, "prompt": job.prompt, "max_tokens": job.max_tokens, "seed": job.seed, "stream": true,
     });
     let request = client
         .post(format!("{}/v1/completions", session.base))
@@ -166,21 +166,23 @@
         ));
     let mut answer = match request.send_json(&body).await {
         Ok(answer) => answer,
-        Err(_) => return Note::of(Ending::Unknown, sent),
+        Err(_) => return CallResult::of(Ending::Unknown, sent),
     };
     if !answer.status().is_success() {
-        let body = answer.body().limit(MAX_ANSWER).await.unwrap_or_default();
+        let body = answer.body().limit(MAX_ANSWER_BYTES).await.unwrap_or_default();
         let outcome = serde_json::from_slice::<EventBody>(&body)
             .ok()
             .and_then(|e| e.error);
-        let mut note = Note::of(
-            outcome.as_ref().map_or(Ending::Unknown, |e| ending(&e.outcome)),
+        let mut result = CallResult::of(
+            outcome
+                .as_ref()
+                .map_or(Ending::Unknown, |e| parse_ending(&e.outcome)),
             sent,
         );
-        note.reason = outcome.and_then(|e| e.reason);
-        return note;
+        result.reason = outcome.and_then(|e| e.reason);
+        return result;
     }
-    let mut reader = Reader::new(sent);
+    let mut reader = EventReader::new(sent);
     while let Some(Ok(bytes)) = answer.next().await {
         reader.take(&bytes);
     }
@@ -188,22 +190,22 @@
 }
 
 /// Reads server-sent events.
-struct Reader {
+struct EventReader {
     sent: Instant,
     buffer: Vec<u8>,
     text: String,
     last: Option<Instant>,
-    note: Note,
+    result: CallResult,
 }
 
-impl Reader {
-    fn new(sent: Instant) -> Reader {
-        Reader {
+impl EventReader {
+    fn new(sent: Instant) -> EventReader {
+        EventReader {
             sent,
             buffer: Vec::new(),
             text: String::new(),
             last: None,
-            note: Note::of(Ending::Unknown, sent),
+            result: CallResult::of(Ending::Unknown, sent),
         }
     }
 
@@ -222,10 +224,10 @@
             return;
         };
         if let Some(error) = event.error {
-            self.note.ending = ending(&error.outcome);
-            self.note.reason = error.reason;
+            self.result.ending = parse_ending(&error.outcome);
+            self.result.reason = error.reason;
         } else if let Some(outcome) = event.outcome {
-            self.note.ending = ending(&outcome);
+            self.result.ending = parse_ending(&outcome);
         } else if let Some(choice) = event.choices.first() {
             self.token(&choice.text);
         }
@@ -234,19 +236,19 @@
     fn token(&mut self, text: &str) {
         let now = Instant::now();
         match self.last {
-            None => self.note.first = Some(now - self.sent),
-            Some(last) => self.note.gaps.push(now - last),
+            None => self.result.first_token = Some(now - self.sent),
+            Some(last) => self.result.token_gaps.push(now - last),
         }
         self.last = Some(now);
         self.text.push_str(text);
     }
 
-    fn finish(mut self, job: &Job) -> Note {
-        self.note.took = self.sent.elapsed();
-        let whole = self.note.ending == Ending::Whole;
-        if whole && self.text != expected_text(job.seed, &job.prompt, 1, job.limit) {
-            self.note.ending = Ending::Wrong;
+    fn finish(mut self, job: &Job) -> CallResult {
+        self.result.elapsed = self.sent.elapsed();
+        let whole = self.result.ending == Ending::Whole;
+        if whole && self.text != expected_text(job.seed, &job.prompt, 1, job.max_tokens) {
+            self.result.ending = Ending::Wrong;
         }
-        self.note
+        self.result
     }
 }
--- a/crates/standin/src/load/cli.rs
+++ b/crates/standin/src/load/cli.rs
@@ -16,7 +16,7 @@
 use crate::load::mix::Deadlines;
 use crate::load::mix::Phase;
 use crate::load::mix::Traffic;
-use crate::load::report::Targets;
+use crate::load::report::LatencyTargets;
 
 /// Describes the command.
 pub fn cli() -> Command {
@@ -105,7 +105,7 @@
             chat: number("chat-ms"),
             order: number("order-ms"),
         },
-        goals: Targets {
+        latency_targets: LatencyTargets {
             first: number("first-ms"),
             between: number("between-ms"),
         },
--- a/crates/standin/src/load/mix.rs
+++ b/crates/standin/src/load/mix.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 /// Standards texts that checks share.
-const STANDARDS: u64 = 4;
+const STANDARD_COUNT: u64 = 4;
 
 /// Words of a standards text.
 const STANDARD_WORDS: usize = 1_600;
@@ -18,7 +18,7 @@
 const SPEC_WORDS: (usize, usize) = (400, 1_200);
 
 /// Tokens of a verdict.
-const VERDICT: u32 = 4;
+const VERDICT_TOKENS: u32 = 4;
 
 /// Words of a chat turn: least and most.
 const CHAT_WORDS: (usize, usize) = (30, 150);
@@ -108,7 +108,7 @@
     /// Its prompt.
     pub prompt: String,
     /// Tokens to generate.
-    pub limit: u32,
+    pub max_tokens: u32,
     /// Seed of the sampling.
     pub seed: u64,
 }
@@ -155,12 +155,12 @@
 }
 
 fn job(rng: &mut ChaCha8Rng, at: Duration, phase: usize, product: usize, kind: Kind) -> Job {
-    let (prompt, limit) = match kind {
-        Kind::Check => (check_prompt(rng), VERDICT),
+    let (prompt, max_tokens) = match kind {
+        Kind::Check => (check_prompt(rng), VERDICT_TOKENS),
         Kind::Chat => {
             let words = rng.random_range(CHAT_WORDS.0..=CHAT_WORDS.1);
-            let limit = rng.random_range(CHAT_TOKENS.0..=CHAT_TOKENS.1);
-            (words_of(rng.random(), words), limit)
+            let max_tokens = rng.random_range(CHAT_TOKENS.0..=CHAT_TOKENS.1);
+            (words_of(rng.random(), words), max_tokens)
         }
         Kind::Order => (String::new(), 0),
     };
@@ -170,14 +170,14 @@
         product,
         kind,
         prompt,
-        limit,
+        max_tokens,
         seed: rng.random(),
     }
 }
 
 /// A standards text that many checks share, then a spec of its own.
 fn check_prompt(rng: &mut ChaCha8Rng) -> String {
-    let standard = words_of(rng.random_range(0..STANDARDS), STANDARD_WORDS);
+    let standard = words_of(rng.random_range(0..STANDARD_COUNT), STANDARD_WORDS);
     let words = rng.random_range(SPEC_WORDS.0..=SPEC_WORDS.1);
     format!("{standard} {}", words_of(rng.random(), words))
 }
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -18,19 +18,19 @@
 
 use crate::engine::OrderRecord;
 use crate::load::addresses::Addresses;
+use crate::load::caller::CallResult;
 use crate::load::caller::Ending;
-use crate::load::caller::Note;
 use crate::load::caller::Session;
 use crate::load::mix::Deadlines;
 use crate::load::mix::Job;
 use crate::load::mix::Traffic;
 use crate::load::mix::jobs;
+use crate::load::report::LatencyTargets;
 use crate::load::report::Recorder;
 use crate::load::report::Report;
-use crate::load::report::Targets;
 
 /// Time for connecting to an instance.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What to send where.
 #[derive(Debug, Clone)]
@@ -46,7 +46,7 @@
     /// Deadlines by kind.
     pub deadlines: Deadlines,
     /// Targets to count.
-    pub goals: Targets,
+    pub latency_targets: LatencyTargets,
     /// Seed of the jobs.
     pub seed: u64,
     /// Engines whose role changes are counted.
@@ -55,7 +55,7 @@
     pub plain: Vec<SocketAddr>,
 }
 
-struct Placed {
+struct PlacedOrder {
     key: Uuid,
     ending: Ending,
 }
@@ -67,12 +67,15 @@
 /// If a stand-in's record can't be read.
 pub async fn run(settings: LoadSettings) -> eyre::Result<Report> {
     let client = Client::builder()
-        .connector(Connector::new().timeout(CONNECT).limit(0))
+        .connector(Connector::new().timeout(CONNECT_TIMEOUT).limit(0))
         .disable_redirects()
         .disable_timeout()
         .finish();
     let jobs = jobs(&settings.traffic, settings.seed);
-    let recorder = Rc::new(RefCell::new(Recorder::new(settings.seed, settings.goals)));
+    let recorder = Rc::new(RefCell::new(Recorder::new(
+        settings.seed,
+        settings.latency_targets,
+    )));
     let placed = Rc::new(RefCell::new(Vec::new()));
     let settings = Rc::new(settings);
     let addresses = Rc::new(RefCell::new(Addresses::new(&settings.targets)));
@@ -84,12 +87,12 @@
         let (client, recorder, placed) = (client.clone(), recorder.clone(), placed.clone());
         let settings = settings.clone();
         calls.push(actix_rt::spawn(async move {
-            let note = caller::call(&client, &session, &job).await;
-            record(&mut recorder.borrow_mut(), &settings, &job, &note);
-            if let Some(key) = note.key {
-                placed.borrow_mut().push(Placed {
+            let result = caller::call(&client, &session, &job).await;
+            record(&mut recorder.borrow_mut(), &settings, &job, &result);
+            if let Some(key) = result.key {
+                placed.borrow_mut().push(PlacedOrder {
                     key,
-                    ending: note.ending,
+                    ending: result.ending,
                 });
             }
         }));
@@ -126,19 +129,19 @@
     }
 }
 
-fn record(recorder: &mut Recorder, settings: &LoadSettings, job: &Job, note: &Note) {
+fn record(recorder: &mut Recorder, settings: &LoadSettings, job: &Job, result: &CallResult) {
     let product = &settings.traffic[job.product].product;
     let kind = format!("{:?}", job.kind).to_lowercase();
     let deadline = settings.deadlines.of(job.kind);
-    recorder.add(note, product, &kind, job.phase, deadline);
+    recorder.add(result, product, &kind, job.phase, deadline);
 }
 
 /// Orders that took effect at the engines and changed a role. Engines that don't answer count none.
 async fn count_changes(client: &Client, engines: &[SocketAddr]) -> eyre::Result<u64> {
     let mut changes = 0;
     for engine in engines {
-        let asked = client.get(format!("http://{engine}/control/orders"));
-        let Ok(mut answer) = asked.send().await else {
+        let request = client.get(format!("http://{engine}/control/orders"));
+        let Ok(mut answer) = request.send().await else {
             continue;
         };
         let orders: Vec<OrderRecord> = answer.json().await?;
@@ -156,7 +159,7 @@
 async fn count_orders(
     client: &Client,
     plain: &[SocketAddr],
-    placed: &[Placed],
+    placed: &[PlacedOrder],
     report: &mut Report,
 ) -> eyre::Result<()> {
     if plain.is_empty() {
@@ -164,8 +167,8 @@
     }
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for upstream in plain {
-        let asked = client.get(format!("http://{upstream}/control/runs"));
-        let Ok(mut answer) = asked.send().await else {
+        let request = client.get(format!("http://{upstream}/control/runs"));
+        let Ok(mut answer) = request.send().await else {
             continue;
         };
         let counted: BTreeMap<String, u32> = answer.json().limit(16 * 1024 * 1024).await?;
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -8,24 +8,24 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::load::caller::CallResult;
 use crate::load::caller::Ending;
-use crate::load::caller::Note;
 
 /// Largest time recorded, in microseconds.
 const MAX_MICROS: u64 = 120_000_000;
 
 /// Targets of the design size (`docs/DEVELOPERS.md`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Targets {
+pub struct LatencyTargets {
     /// Milliseconds until the first token.
     pub first: u64,
     /// Milliseconds between tokens, at the 95th percentile of an answer.
     pub between: u64,
 }
 
-impl Default for Targets {
-    fn default() -> Targets {
-        Targets {
+impl Default for LatencyTargets {
+    fn default() -> LatencyTargets {
+        LatencyTargets {
             first: 560,
             between: 48,
         }
@@ -68,10 +68,10 @@
         100.0 * self.good as f64 / self.offered.max(1) as f64
     }
 
-    fn add(&mut self, note: &Note, deadline: Duration) {
+    fn add(&mut self, result: &CallResult, deadline: Duration) {
         self.offered += 1;
-        match note.ending {
-            Ending::Whole if note.took <= deadline => self.good += 1,
+        match result.ending {
+            Ending::Whole if result.elapsed <= deadline => self.good += 1,
             Ending::Whole => self.late += 1,
             Ending::NotRun => self.refused += 1,
             Ending::Failed => self.failed += 1,
@@ -120,12 +120,12 @@
     report: Report,
     first: Histogram<u64>,
     between: Histogram<u64>,
-    targets: Targets,
+    targets: LatencyTargets,
 }
 
 impl Recorder {
     /// A recorder of nothing yet.
-    pub fn new(seed: u64, targets: Targets) -> Recorder {
+    pub fn new(seed: u64, targets: LatencyTargets) -> Recorder {
         let histogram = || Histogram::new_with_max(MAX_MICROS, 3).expect("the bounds are good");
         Recorder {
             report: Report {
@@ -139,32 +139,32 @@
     }
 
     /// Adds what a caller noted.
-    pub fn add(&mut self, note: &Note, product: &str, kind: &str, phase: usize, deadline: Duration) {
+    pub fn add(&mut self, result: &CallResult, product: &str, kind: &str, phase: usize, deadline: Duration) {
         let report = &mut self.report;
-        report.total.add(note, deadline);
+        report.total.add(result, deadline);
         report
             .products
             .entry(product.to_string())
             .or_default()
-            .add(note, deadline);
+            .add(result, deadline);
         report
             .kinds
             .entry(kind.to_string())
             .or_default()
-            .add(note, deadline);
+            .add(result, deadline);
         if report.phases.len() <= phase {
             report.phases.resize(phase + 1, Counts::default());
         }
-        report.phases[phase].add(note, deadline);
-        if let Some(reason) = &note.reason {
+        report.phases[phase].add(result, deadline);
+        if let Some(reason) = &result.reason {
             *report.reasons.entry(reason.clone()).or_default() += 1;
         }
-        let Some(first) = note.first else { return };
+        let Some(first) = result.first_token else { return };
         self.first.saturating_record(first.as_micros() as u64);
-        for gap in &note.gaps {
+        for gap in &result.token_gaps {
             self.between.saturating_record(gap.as_micros() as u64);
         }
-        self.report.targets += u64::from(meets(note, first, self.targets));
+        self.report.targets += u64::from(meets_targets(result, first, self.targets));
     }
 
     /// The report.
@@ -176,11 +176,11 @@
     }
 }
 
-fn meets(note: &Note, first: Duration, targets: Targets) -> bool {
+fn meets_targets(result: &CallResult, first: Duration, targets: LatencyTargets) -> bool {
     let limit = Duration::from_millis(targets.between);
-    let slow = note.gaps.iter().filter(|gap| **gap > limit).count();
-    let smooth = slow * 20 <= note.gaps.len();
-    note.ending == Ending::Whole && first <= Duration::from_millis(targets.first) && smooth
+    let slow = result.token_gaps.iter().filter(|gap| **gap > limit).count();
+    let smooth = slow * 20 <= result.token_gaps.len();
+    result.ending == Ending::Whole && first <= Duration::from_millis(targets.first) && smooth
 }
 
 fn percentiles(histogram: &Histogram<u64>) -> Percentiles {
--- a/tests/testsuite/policy/load.rs
+++ b/tests/testsuite/policy/load.rs
@@ -2,7 +2,7 @@
 use sequoiastream_standin::load::mix::Deadlines;
 use sequoiastream_standin::load::mix::Phase;
 use sequoiastream_standin::load::mix::Traffic;
-use sequoiastream_standin::load::report::Targets;
+use sequoiastream_standin::load::report::LatencyTargets;
 use sequoiastream_standin::load::run;
 use sequoiastream_testsupport::fleet::KEY;
 use sequoiastream_testsupport::fleet::MODEL;
@@ -49,7 +49,7 @@
             chat: 20_000,
             order: 20_000,
         },
-        goals: Targets::default(),
+        latency_targets: LatencyTargets::default(),
         seed: 5,
         engines: fleet.engines.iter().map(Process::address).collect(),
         plain: fleet.plain.iter().map(Process::address).collect(),
