--- a/examples/claim_writes.rs
+++ b/examples/claim_writes.rs
@@ -35,25 +35,25 @@
 const DAEMONS: usize = 8;
 
 /// How late the platform answers, in milliseconds.
-const DELAY: u64 = 3;
+const PLATFORM_DELAY_MS: u64 = 3;
 
 /// How long orders arrive at each rate.
-const LENGTH: Duration = Duration::from_secs(20);
+const RUN_DURATION: Duration = Duration::from_secs(20);
 
 /// How long orders arrive in each phase of a take-over.
-const PHASE: Duration = Duration::from_secs(8);
+const PHASE_DURATION: Duration = Duration::from_secs(8);
 
 /// After the last order: time for what became of the orders to be written.
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
 /// Longest latency that is told apart, in microseconds.
-const MAX_LATENCY: u64 = 60_000_000;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
 /// Orders a second.
 const RATES: [f64; 3] = [1.0, 20.0, 200.0];
 
 /// Paces to compare, in milliseconds; 0 writes each claim by itself.
-const PACES: [u64; 3] = [0, 80, 250];
+const CLAIM_PACES_MS: [u64; 3] = [0, 80, 250];
 
 /// What one run counted.
 struct Row {
@@ -83,12 +83,12 @@
         .start_configured()
         .await;
     let delay = Fault {
-        delay: DELAY,
+        delay: PLATFORM_DELAY_MS,
         ..Fault::default()
     };
     fleet.platform_fault(&delay).await;
     // The instances learn of each other from the platform's list and by heartbeats.
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     Ok(fleet)
 }
 
@@ -100,7 +100,7 @@
     stats.calls.get(kind).copied().unwrap_or_default()
 }
 
-async fn order(client: Client, url: String, row: Rc<RefCell<Row>>) {
+async fn send_order(client: Client, url: String, row: Rc<RefCell<Row>>) {
     let begin = Instant::now();
     let request = client
         .post(url)
@@ -117,14 +117,14 @@
 }
 
 /// Lets orders arrive at the first `entries` daemons for `length`, and waits until all are answered.
-async fn arrive(fleet: &Fleet, rate: f64, entries: usize, length: Duration) -> eyre::Result<Row> {
+async fn send_orders(fleet: &Fleet, rate: f64, entries: usize, length: Duration) -> eyre::Result<Row> {
     let row = Rc::new(RefCell::new(Row {
         orders: 0,
         whole: 0,
         writes: 0,
         reads: 0,
         bytes: 0,
-        latency: Histogram::new_with_max(MAX_LATENCY, 3)?,
+        latency: Histogram::new_with_max(MAX_LATENCY_MICROS, 3)?,
     }));
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let client = Client::builder().timeout(Duration::from_secs(30)).finish();
@@ -140,7 +140,7 @@
         tokio::time::sleep_until((begin + at).into()).await;
         let daemon = rng.random_range(0..entries);
         let url = format!("{}/services/ordini/orders", fleet.daemons[daemon].url());
-        running.push(actix_rt::spawn(order(client.clone(), url, row.clone())));
+        running.push(actix_rt::spawn(send_order(client.clone(), url, row.clone())));
     }
     for order in running {
         order.await?;
@@ -151,8 +151,8 @@
 
 async fn measure(fleet: &Fleet, rate: f64) -> eyre::Result<Row> {
     let before = stats(fleet).await;
-    let mut row = arrive(fleet, rate, fleet.daemons.len(), LENGTH).await?;
-    tokio::time::sleep(SETTLE).await;
+    let mut row = send_orders(fleet, rate, fleet.daemons.len(), RUN_DURATION).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
     let after = stats(fleet).await;
     row.writes = calls(&after, "put") - calls(&before, "put");
     row.reads = calls(&after, "get") - calls(&before, "get");
@@ -164,7 +164,7 @@
 async fn take_over() -> eyre::Result<()> {
     println!("| owners | orders | whole | p50 | p99 | longest |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    let mut fleet = start(PACES[1]).await?;
+    let mut fleet = start(CLAIM_PACES_MS[1]).await?;
     let entries = DAEMONS - 2;
     for phase in ["all run", "one paused", "it woke", "one killed"] {
         match phase {
@@ -173,11 +173,11 @@
             "one killed" => fleet.daemons[entries + 1].kill(),
             _ => {}
         }
-        let row = arrive(&fleet, RATES[1], entries, PHASE).await?;
+        let row = send_orders(&fleet, RATES[1], entries, PHASE_DURATION).await?;
         let millis = |quantile| row.latency.value_at_quantile(quantile) as f64 / 1_000.0;
-        let (half, most, max) = (millis(0.5), millis(0.99), millis(1.0));
+        let (p50, p99, max) = (millis(0.5), millis(0.99), millis(1.0));
         println!(
-            "| {phase} | {} | {} | {half:.1} ms | {most:.1} ms | {max:.1} ms |",
+            "| {phase} | {} | {} | {p50:.1} ms | {p99:.1} ms | {max:.1} ms |",
             row.orders, row.whole
         );
     }
@@ -193,7 +193,7 @@
         "| pace | orders/s | orders | whole | KV writes/order | KV reads/order | bytes/order | p50 | p95 | p99 |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for pace in PACES {
+    for pace in CLAIM_PACES_MS {
         let fleet = start(pace).await?;
         for rate in RATES {
             let row = measure(&fleet, rate).await?;
--- a/examples/config_cost.rs
+++ b/examples/config_cost.rs
@@ -29,7 +29,7 @@
 const READERS: u64 = 8;
 
 /// Calls that removing a snapshot takes: read, grant, write, release.
-const REMOVAL: u64 = 4;
+const REMOVAL_CALLS: u64 = 4;
 
 #[derive(Debug, Default)]
 struct Cost {
@@ -64,7 +64,7 @@
     }
 }
 
-fn proposal(keeper: &Replicator, statement: String, commands: Vec<Command>) -> Proposal {
+fn proposal(replicator: &Replicator, statement: String, commands: Vec<Command>) -> Proposal {
     Proposal {
         id: CommandId(Uuid::now_v7()),
         who: "giulia".to_string(),
@@ -72,20 +72,20 @@
         when: WallTime(1_796_000_000_000),
         statement,
         commands,
-        base: Base::Implied(keeper.state().version),
+        base: Base::Implied(replicator.state().version),
     }
 }
 
 /// Accepts a change and counts what it costs.
 fn accept(
-    keeper: &mut Replicator,
+    replicator: &mut Replicator,
     revision: &mut u64,
     proposal: Proposal,
     cost: &mut Cost,
 ) -> eyre::Result<()> {
     let mut events = vec![Event::Submitted(SubmissionId(1), Box::new(proposal))];
     while let Some(event) = events.pop() {
-        for action in keeper.on(Time::ZERO, event) {
+        for action in replicator.on(Time::ZERO, event) {
             match action {
                 Action::StoreSnapshot(ticket, state) => {
                     cost.write(serde_json::to_vec(&state)?.len());
@@ -98,7 +98,7 @@
                     *revision += 1;
                     events.push(Event::Swapped(ticket, SwapResult::Done(Revision(*revision))));
                 }
-                Action::RemoveSnapshot(_) => cost.calls += REMOVAL,
+                Action::RemoveSnapshot(_) => cost.calls += REMOVAL_CALLS,
                 Action::Answer(_, answer) => {
                     answer.map_err(|e| eyre!("{e}"))?;
                 }
@@ -110,7 +110,7 @@
 }
 
 /// One whole document with the same trail, so that it answers the same questions.
-fn whole(state: &State, cost: &mut Cost) -> eyre::Result<()> {
+fn write_full_document(state: &State, cost: &mut Cost) -> eyre::Result<()> {
     let bytes = serde_json::to_vec(state)?.len();
     cost.write(bytes);
     cost.read += READERS * bytes as u64;
@@ -118,14 +118,14 @@
 }
 
 /// One whole document without any trail: it can't tell a repeated command, nor a racing one.
-fn bare(state: &State, cost: &mut Cost) -> eyre::Result<()> {
+fn write_config_only(state: &State, cost: &mut Cost) -> eyre::Result<()> {
     let bytes = serde_json::to_vec(&state.config)?.len();
     cost.write(bytes);
     cost.read += READERS * bytes as u64;
     Ok(())
 }
 
-fn load(keeper: &mut Replicator, revision: &mut u64, products: u32) -> eyre::Result<()> {
+fn load_config(replicator: &mut Replicator, revision: &mut u64, products: u32) -> eyre::Result<()> {
     let mut texts = vec!["create service assistente model \"ghiaccio-7b\"".to_string()];
     texts.extend((0..products).map(|i| format!("create product p{i} key \"secret-{i}\" share 0")));
     texts.extend((0..24).map(|i| {
@@ -136,27 +136,27 @@
             .iter()
             .map(|text| command(text))
             .collect::<eyre::Result<Vec<_>>>()?;
-        let proposal = proposal(keeper, part.join("; "), commands);
-        accept(keeper, revision, proposal, &mut Cost::default())?;
+        let proposal = proposal(replicator, part.join("; "), commands);
+        accept(replicator, revision, proposal, &mut Cost::default())?;
     }
     Ok(())
 }
 
 fn main() -> eyre::Result<()> {
     for products in [10, 1_500] {
-        let mut keeper = Replicator::new(Time::ZERO, std::time::Duration::from_secs(10));
-        keeper.on(Time::ZERO, Event::Read(StoredHead::default()));
+        let mut replicator = Replicator::new(Time::ZERO, std::time::Duration::from_secs(10));
+        replicator.on(Time::ZERO, Event::Read(StoredHead::default()));
         let mut revision = 0;
-        load(&mut keeper, &mut revision, products)?;
+        load_config(&mut replicator, &mut revision, products)?;
         let (mut ours, mut trail, mut plain) = (Cost::default(), Cost::default(), Cost::default());
         for change in 0..CHANGES {
             let verb = if change % 2 == 0 { "drain" } else { "resume" };
             let text = format!("{verb} engine e{}", (change / 2) % 24);
             let commands = vec![command(&text)?];
-            let proposal = proposal(&keeper, text, commands);
-            accept(&mut keeper, &mut revision, proposal, &mut ours)?;
-            whole(keeper.state(), &mut trail)?;
-            bare(keeper.state(), &mut plain)?;
+            let proposal = proposal(&replicator, text, commands);
+            accept(&mut replicator, &mut revision, proposal, &mut ours)?;
+            write_full_document(replicator.state(), &mut trail)?;
+            write_config_only(replicator.state(), &mut plain)?;
         }
         println!("{products} products, 24 engines, each change on average over {CHANGES}:");
         ours.print("head, tail, snapshot");
--- a/examples/config_reach.rs
+++ b/examples/config_reach.rs
@@ -23,7 +23,7 @@
 /// Changes for each case.
 const CHANGES: usize = 40;
 
-async fn in_force(fleet: &Fleet, version: u64) {
+async fn wait_in_force(fleet: &Fleet, version: u64) {
     let each = fleet.daemons.iter().map(|daemon| {
         let url = format!("{}/version", daemon.url());
         async move {
@@ -48,7 +48,7 @@
         let text = format!("{verb} engine e0");
         // The reply waits a little for digests; the version may be in force everywhere before it comes.
         let reached = async {
-            in_force(fleet, version).await;
+            wait_in_force(fleet, version).await;
             begin.elapsed()
         };
         let (_, elapsed) = join(fleet.apply(0, &text), reached).await;
--- a/examples/membership_cost.rs
+++ b/examples/membership_cost.rs
@@ -22,13 +22,13 @@
 use sequoiastream_core::time::Time;
 
 /// What a datagram carries besides the heartbeat: sender's name, incarnation, counter, tag; and UDP and IPv4 headers.
-const FRAME: usize = 16 + 16 + 8 + 3 + 28;
+const FRAME_BYTES: usize = 16 + 16 + 8 + 3 + 28;
 
 /// Seconds simulated before anything is measured, so that the tables have gone round.
-const WARM: u64 = 60;
+const WARM_UP_SECONDS: u64 = 60;
 
 /// Seconds measured.
-const MEASURED: u64 = 60;
+const MEASURED_SECONDS: u64 = 60;
 
 fn address(index: usize, port: u16) -> SocketAddr {
     let [high, low] = (index as u16).to_be_bytes();
@@ -39,7 +39,7 @@
     Ok(Name::new(&text)?)
 }
 
-fn about(index: usize) -> eyre::Result<InstanceInfo> {
+fn instance_info(index: usize) -> eyre::Result<InstanceInfo> {
     Ok(InstanceInfo {
         incarnation: 1_796_000_000_000 + index as u64,
         number: 0,
@@ -53,12 +53,12 @@
 }
 
 fn listing(index: usize) -> eyre::Result<Listing> {
-    let about = about(index)?;
+    let info = instance_info(index)?;
     Ok(Listing {
         name: name(format!("instance-{index}"))?,
-        zone: about.zone,
-        address: about.address,
-        peer_address: about.peer_address,
+        zone: info.zone,
+        address: info.address,
+        peer_address: info.peer_address,
         state: MemberState::Live,
     })
 }
@@ -84,12 +84,12 @@
             largest: 0,
         };
         for index in 0..count {
-            let myself = LocalInstance {
+            let local = LocalInstance {
                 name: fleet.names[index].clone(),
-                info: about(index)?,
+                info: instance_info(index)?,
                 seed: index as u64,
             };
-            let mut members = MemberTable::new(myself, Limits::default());
+            let mut members = MemberTable::new(local, Limits::default());
             members.on(Time::ZERO, Event::Listed(list.clone()));
             members.on(Time::ZERO, Event::InForce(Version(1)));
             fleet.members.push(members);
@@ -104,7 +104,7 @@
             for action in self.members[at].on(now, event) {
                 match action {
                     Action::Send(to, beat) => {
-                        let bytes = postcard::to_allocvec(&beat)?.len() + FRAME;
+                        let bytes = postcard::to_allocvec(&beat)?.len() + FRAME_BYTES;
                         self.sent += bytes;
                         self.largest = self.largest.max(bytes);
                         if let Some(to) = self.index.get(&to) {
@@ -133,17 +133,17 @@
     }
 }
 
-fn bytes(count: usize) -> eyre::Result<()> {
+fn measure_heartbeats(count: usize) -> eyre::Result<()> {
     let mut fleet = Fleet::new(count)?;
-    for second in 1..=WARM {
+    for second in 1..=WARM_UP_SECONDS {
         fleet.second(second)?;
     }
     (fleet.sent, fleet.largest) = (0, 0);
-    for second in WARM + 1..=WARM + MEASURED {
+    for second in WARM_UP_SECONDS + 1..=WARM_UP_SECONDS + MEASURED_SECONDS {
         fleet.second(second)?;
     }
-    let each = fleet.sent as f64 / count as f64 / MEASURED as f64;
-    let now = Time::from_millis((WARM + MEASURED) * 1_000);
+    let each = fleet.sent as f64 / count as f64 / MEASURED_SECONDS as f64;
+    let now = Time::from_millis((WARM_UP_SECONDS + MEASURED_SECONDS) * 1_000);
     let heard = fleet.members[0]
         .roster(now)
         .peers
@@ -168,13 +168,13 @@
 ///
 /// In a year of outages: exponential, ten minutes on average, one each week. Crashes come at the design size's rate of 6 a
 /// day among 350; a crashed instance stays on the list if it fell within the list's lag before the outage, or in it.
-fn availability(count: usize, random: &mut ChaCha8Rng) {
+fn availability(count: usize, rng: &mut ChaCha8Rng) {
     const OUTAGES: usize = 20_000;
     const LAG: f64 = 30.0;
     let rate = 6.0 / 350.0 / 86_400.0 * count as f64;
     let stale = Limits::default().stale_after.as_secs_f64();
-    let mut exponential = |mean: f64| -mean * (1.0 - random.random::<f64>()).ln();
-    let (mut total, mut strict, mut closed) = (0.0, 0.0, 0.0);
+    let mut exponential = |mean: f64| -mean * (1.0 - rng.random::<f64>()).ln();
+    let (mut total, mut strict, mut fail_closed) = (0.0, 0.0, 0.0);
     for _ in 0..OUTAGES {
         let length = exponential(600.0);
         // The first crash that the list still shows, in seconds from the begin of the outage.
@@ -182,24 +182,24 @@
         let stop = crash.max(0.0).max(stale);
         total += length;
         strict += (length - stop).max(0.0);
-        closed += (length - stale).max(0.0);
+        fail_closed += (length - stale).max(0.0);
     }
     let percent = |part: f64| 100.0 * part / total;
     println!(
         "{count:>4} instances: of the time of outages, no new work for {:.2}% (stop if one of the list is silent), 0% \
          (serve), {:.1}% (stop whenever the service is out)",
         percent(strict),
-        percent(closed)
+        percent(fail_closed)
     );
 }
 
 fn main() -> eyre::Result<()> {
     for count in [3, 8, 350] {
-        bytes(count)?;
+        measure_heartbeats(count)?;
     }
-    let mut random = ChaCha8Rng::seed_from_u64(1);
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
     for count in [8, 350] {
-        availability(count, &mut random);
+        availability(count, &mut rng);
     }
     Ok(())
 }
