--- a/crates/standin/src/experiment/cases.rs
+++ b/crates/standin/src/experiment/cases.rs
@@ -1,4 +1,4 @@
-//! The run sets: which policies meet which traffic and faults.
+//! The run sets: combinations of policies with traffic and faults.
 
 use sequoiastream_core::config::Role;
 
@@ -6,50 +6,50 @@
 use crate::load::mix::Phase;
 use crate::load::mix::Traffic;
 
-/// Engines of a run.
+/// Number of engines in a run.
 pub const ENGINE_COUNT: usize = 8;
 
-/// Seconds of a phase.
+/// Duration of a phase, in seconds.
 const PHASE_SECONDS: f64 = 20.0;
 
-/// What goes wrong during a run.
+/// Fault injected during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultCase {
-    /// Nothing.
+    /// No fault.
     None,
     /// An engine is killed.
     EngineLost,
     /// An engine is withdrawn by an operator.
     EngineWithdrawn,
-    /// Load reports are five seconds late.
+    /// Load reports arrive five seconds late.
     LateReports,
-    /// The key-value service is down for most of the run.
+    /// The key-value service is unavailable for half of the run.
     PlatformOut,
-    /// An entry instance is paused for a while.
+    /// An entry instance is paused for three seconds.
     InstancePaused,
 }
 
-/// One run, but for its seed.
+/// Description of a run, without its seed.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// Its name in the table.
+    /// Name of the case in the table.
     pub name: String,
     /// Policy of the daemons.
     pub policy: String,
-    /// Roles of the engines at first.
+    /// Initial roles of the engines.
     pub roles: Vec<Role>,
-    /// Products.
+    /// Products of the run.
     pub products: Vec<ProductSpec>,
-    /// What they ask for.
+    /// Traffic of the products.
     pub traffic: Vec<Traffic>,
-    /// What goes wrong.
+    /// Fault injected during the run.
     pub fault: FaultCase,
 }
 
-/// The names of the run sets.
+/// Names of the run sets.
 pub const SETS: [&str; 5] = ["shift", "splits", "dial", "faults", "greedy"];
 
-/// The cases of the run set `name`.
+/// Returns the cases of the run set `name`; an unknown name gives those of `shift`.
 pub fn cases(name: &str) -> Vec<Case> {
     match name {
         "splits" => splits(),
@@ -60,7 +60,7 @@
     }
 }
 
-/// `prefill` engines for prefill, the others for decode.
+/// Gives role prefill to the first `prefill` engines and role decode to the others.
 fn split(prefill: usize) -> Vec<Role> {
     let role = |index| match index < prefill {
         true => Role::Prefill,
@@ -78,7 +78,7 @@
     vec![product("assistente"), product("sauti")]
 }
 
-/// The shifting mix: chat, then checks, then chat, then both.
+/// Phases of the changing mix: mainly chat, then mainly checks, then mainly chat, then both.
 fn mix() -> Vec<Phase> {
     let phase = |checks, chats| Phase {
         seconds: PHASE_SECONDS,
@@ -166,7 +166,7 @@
         .collect()
 }
 
-/// One product at its share, then another beside it at ten times its own.
+/// A product within its share, first alone, then beside a product that sends ten times its own share.
 fn greedy() -> Vec<Case> {
     let steady = |chats: f64| {
         vec![Phase {
--- a/crates/standin/src/experiment/cli.rs
+++ b/crates/standin/src/experiment/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of `experiment`.
+//! Command line of the `experiment` command.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -21,26 +21,34 @@
 use crate::experiment::table::hindsight;
 use crate::experiment::table::render;
 
-/// Numbers of streams at which an entry instance is measured.
+/// Numbers of concurrent streams at which an entry instance is measured.
 const ENTRY_STREAMS: [usize; 4] = [0, 100, 300, 1_000];
 
-/// Describes the command.
+/// Defines the command and its arguments.
 pub fn cli() -> Command {
     Command::new("experiment")
-        .about("Policies side by side, with daemons and stand-ins as processes of their own")
+        .about("Compares policies, with daemons and stand-ins as separate processes")
         .arg(text(
             "set",
-            "Run sets, with commas between: shift, splits, dial, faults, greedy, or entry",
+            "Run sets, separated by commas: shift, splits, dial, faults, greedy, or entry",
             "shift",
         ))
-        .arg(text("seeds", "Seeds, with commas between", "1,2,3"))
-        .arg(text("only", "Runs only the cases whose name holds this", ""))
-        .arg(text("out", "Folder for results.json and results.svg", "."))
-        .arg(number("parallel", "Runs at once", "1"))
-        .arg(number("daemons", "Entry instances of a run", "2"))
+        .arg(text("seeds", "Seeds, separated by commas", "1,2,3"))
+        .arg(text(
+            "only",
+            "Runs only the cases whose name contains this text",
+            "",
+        ))
+        .arg(text(
+            "out",
+            "Output folder for results.json and results.svg, or for entry.json",
+            ".",
+        ))
+        .arg(number("parallel", "Number of concurrent runs", "1"))
+        .arg(number("daemons", "Number of entry instances in a run", "2"))
         .arg(number(
             "away",
-            "Milliseconds that a role change takes an engine away",
+            "How long a role change makes an engine unavailable, in milliseconds",
             "300",
         ))
 }
@@ -53,17 +61,20 @@
     text(name, help, default).value_parser(value_parser!(u64))
 }
 
-/// Runs the command: prints the table, writes `results.json` and `results.svg`.
+/// Runs the command: prints the table and writes `results.json` and `results.svg`; for `entry`, writes `entry.json`.
 ///
 /// # Errors
 ///
-/// If a run can't be started or a file not written.
+/// If an argument is invalid, a run fails, or a file can't be written.
 pub async fn execute(matches: &ArgMatches) -> eyre::Result<()> {
     let text = |name: &str| matches.get_one::<String>(name).expect("has a default").clone();
     let number = |name: &str| *matches.get_one::<u64>(name).expect("has a default");
     let mut seeds = Vec::new();
     for seed in text("seeds").split(',') {
-        seeds.push(seed.parse::<u64>().wrap_err("--seeds holds no numbers")?);
+        seeds.push(
+            seed.parse::<u64>()
+                .wrap_err("--seeds contains a part that is not a number")?,
+        );
     }
     let plan = Plan {
         binaries: binary_folder()?,
@@ -84,7 +95,7 @@
         let set = SETS
             .iter()
             .find(|s| **s == set)
-            .ok_or_else(|| eyre::eyre!("no run set {set:?}"))?;
+            .ok_or_else(|| eyre::eyre!("unknown run set {set:?}"))?;
         let chosen = cases(set).into_iter().filter(|c| c.name.contains(&only));
         for case in chosen {
             runs.extend(seeds.iter().map(|seed| (*set, case.clone(), *seed)));
@@ -100,7 +111,7 @@
     write(&rows, Path::new(&text("out")))
 }
 
-/// Measures what an entry instance adds, at several numbers of streams.
+/// Measures the latency that an entry instance adds, at several numbers of streams.
 async fn entry(plan: &Plan, out: &Path) -> eyre::Result<()> {
     let mut results = Vec::new();
     println!("{}", entry::TABLE_HEADER);
--- a/crates/standin/src/experiment/entry.rs
+++ b/crates/standin/src/experiment/entry.rs
@@ -1,7 +1,9 @@
-//! What an entry instance adds to a request's time, and how many tokens a second a core of it relays.
+//! Measures the latency that an entry instance adds to a request, and how many tokens it relays per second of processor
+//! time.
 //!
-//! Time is measured with short calls to a plain service, sent directly and through the instance in turn, while
-//! streams run through the instance: an engine's steps, of tens of milliseconds, would hide it.
+//! Latency is measured with short calls to a plain service, sent alternately directly and through the instance, while
+//! streams run through the instance. Calls to an engine would hide the added latency, since an engine's steps take tens
+//! of milliseconds.
 
 use std::fs;
 use std::time::Duration;
@@ -25,40 +27,40 @@
 use crate::load::mix::Job;
 use crate::load::mix::Kind;
 
-/// Short calls of each way.
+/// Number of short calls by each path: direct, and through the instance.
 const CALL_COUNT: usize = 1_000;
 
-/// Pause between them.
+/// Pause after each pair of calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Tokens of a stream.
+/// Number of tokens in a stream.
 const STREAM_TOKENS: u32 = 400;
 
-/// Until the streams run.
+/// Wait before the short calls begin, so that all streams are running.
 const RAMP_UP: Duration = Duration::from_secs(2);
 
-/// Ticks of processor time a second in `/proc`.
+/// Clock ticks per second of the processor times in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The result at one number of streams.
+/// Result of a measurement at a given number of streams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryResult {
-    /// Streams through the instance.
+    /// Number of streams through the instance.
     pub streams: usize,
     /// Median and 99th percentile of a direct call, in microseconds.
     pub direct: [u64; 2],
-    /// The same through the instance.
+    /// Median and 99th percentile of a call through the instance, in microseconds.
     pub through: [u64; 2],
-    /// Tokens relayed.
+    /// Number of tokens relayed by complete streams.
     pub tokens: u64,
-    /// Processor seconds of the instance.
+    /// Processor time used by the instance, in seconds.
     pub processor: f64,
-    /// Streams that were not whole.
+    /// Number of streams that didn't complete.
     pub broken: usize,
 }
 
 impl EntryResult {
-    /// One line of the table.
+    /// Formats the result as a row of the table.
     pub fn table_row(&self) -> String {
         let added = |i: usize| self.through[i] as f64 / 1_000.0 - self.direct[i] as f64 / 1_000.0;
         format!(
@@ -76,14 +78,14 @@
     }
 }
 
-/// Heading of the table.
+/// Header of the table.
 pub const TABLE_HEADER: &str = "| streams | direct p50 / p99, ms | through p50 / p99, ms | added p50 / p99, ms | tokens a processor second | broken |\n| --- | --- | --- | --- | --- | --- |";
 
-/// Measures with `streams` streams.
+/// Measures an instance while `streams` streams run through it.
 ///
 /// # Errors
 ///
-/// If a process doesn't start.
+/// If a process doesn't start, the configuration isn't in force in time, or the processor time can't be read.
 pub async fn measure(streams: usize, plan: &Plan) -> eyre::Result<EntryResult> {
     let plan = Plan {
         policy: "round-robin".to_string(),
@@ -142,7 +144,7 @@
 }
 
 fn histogram() -> eyre::Result<Histogram<u64>> {
-    Histogram::new_with_max(10_000_000, 3).wrap_err("the bounds are good")
+    Histogram::new_with_max(10_000_000, 3).wrap_err("invalid histogram bounds")
 }
 
 fn start(client: &Client, session: &Session, index: usize) -> actix_rt::task::JoinHandle<bool> {
@@ -159,7 +161,7 @@
     actix_rt::spawn(async move { call(&client, &session, &job).await.ending == Ending::Whole })
 }
 
-/// Microseconds of one call.
+/// Sends a call and returns its duration in microseconds.
 async fn time_call(client: &Client, url: &str, key: &str) -> u64 {
     let begun = Instant::now();
     let sent = client.get(url).bearer_auth(key).send().await;
@@ -169,12 +171,12 @@
     begun.elapsed().as_micros() as u64
 }
 
-/// Processor seconds that a process has used.
+/// Returns the processor time that a process has used, in seconds.
 fn processor_seconds(id: u32) -> eyre::Result<f64> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let numbers: Vec<f64> = fields.split_whitespace().filter_map(|f| f.parse().ok()).collect();
-    // Behind the state letter, user and system time are the 11th and 12th numbers.
+    // After the state letter, user and system time are the 11th and 12th numbers.
     let ticks = numbers.get(10).copied().unwrap_or(0.0) + numbers.get(11).copied().unwrap_or(0.0);
     Ok(ticks / TICKS_PER_SECOND)
 }
--- a/crates/standin/src/experiment/fleet.rs
+++ b/crates/standin/src/experiment/fleet.rs
@@ -1,4 +1,4 @@
-//! A deployment of processes for one run.
+//! Starts and configures the processes of one run.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -17,79 +17,79 @@
 
 use crate::process::Process;
 
-/// Token of the operator.
+/// Token for operator requests.
 const OPERATOR_TOKEN: &str = "operator-token-of-the-experiment";
 
-/// Key of the messages between instances.
+/// Key that authenticates messages between instances.
 const CLUSTER_KEY: &str = "cluster-key-of-the-experiment";
 
-/// Model of the engines.
+/// Model that the engines serve.
 pub const MODEL: &str = "ghiaccio-7b";
 
-/// How long the configuration may take to be in force.
+/// Maximum time for the configuration to come into force on a daemon.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between questions for the version in force.
+/// Interval for polling the version in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A product of the run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProductSpec {
-    /// Its name.
+    /// Name of the product.
     pub name: String,
-    /// Its share in percent.
+    /// Share in percent.
     pub share: u32,
-    /// Its weight of role changes.
+    /// Weight of role changes.
     pub weight: u32,
 }
 
 impl ProductSpec {
-    /// Its API key.
+    /// Returns the API key of the product.
     pub fn key(&self) -> String {
         format!("key-of-{}", self.name)
     }
 }
 
-/// What to start.
+/// Processes to start, and their settings.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Where the binaries are.
+    /// Folder that contains the binaries.
     pub binaries: PathBuf,
     /// Policy of the daemons.
     pub policy: String,
-    /// Roles of the engines at first, one each.
+    /// Initial role of each engine.
     pub roles: Vec<Role>,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Products.
+    /// Products to configure.
     pub products: Vec<ProductSpec>,
-    /// Milliseconds that a role change takes an engine away.
+    /// How long a role change makes an engine unavailable, in milliseconds.
     pub change_ms: u64,
-    /// Requests that an engine runs at once in role decode.
+    /// Number of requests that an engine in role decode runs concurrently.
     pub slots: u32,
-    /// Tokens a second of a request that runs alone.
+    /// Tokens per second of a request that runs alone on an engine.
     pub decode: u32,
 }
 
-/// The running processes; they end with it.
+/// The running processes of a deployment. They are stopped when it is dropped.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform.
+    /// The stand-in platform.
     pub platform: Process,
     /// Engines `e0`, `e1`, ...
     pub engines: Vec<Process>,
-    /// A plain upstream.
+    /// The plain upstream.
     pub plain: Process,
     /// Daemons `i0`, `i1`, ...
     pub daemons: Vec<Process>,
 }
 
 impl Fleet {
-    /// Starts the processes and waits until the configuration is in force.
+    /// Starts the processes and waits until the configuration is in force on all daemons.
     ///
     /// # Errors
     ///
-    /// If the configuration isn't accepted or not in force in time.
+    /// If an address can't be bound, or the configuration isn't accepted or isn't in force in time.
     pub async fn start(plan: &Plan) -> eyre::Result<Fleet> {
         let standin = plan.binaries.join("sequoiastream-standin");
         let platform = Process::start(&standin, ["platform"]);
@@ -179,11 +179,11 @@
         Ok(())
     }
 
-    /// Gives statements to the first daemon.
+    /// Submits statements to the first daemon.
     ///
     /// # Errors
     ///
-    /// If they are refused.
+    /// If the daemon can't be reached or refuses the statements.
     pub async fn submit_statement(&self, text: &str) -> eyre::Result<()> {
         let body = json!({"id": Uuid::new_v4(), "who": "experiment", "text": text, "dry": false});
         let url = format!("{}/operator/statement", self.daemons[0].url());
@@ -237,16 +237,16 @@
     Client::builder().disable_redirects().finish()
 }
 
-/// Puts JSON, as to a stand-in's `/control`.
+/// Sends a PUT request with a JSON body, for example to `/control` of a stand-in. Ignores the response's status.
 ///
 /// # Errors
 ///
-/// If it can't be reached.
+/// If the request can't be sent or gets no response.
 pub async fn put<B>(url: &str, body: &B) -> eyre::Result<()>
 where
     B: Serialize,
 {
     let sent = client().put(url).send_json(body).await;
-    sent.map_err(|e| eyre::eyre!("could not put {url}: {e}"))?;
+    sent.map_err(|e| eyre::eyre!("PUT {url} failed: {e}"))?;
     Ok(())
 }
--- a/crates/standin/src/experiment/mod.rs
+++ b/crates/standin/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! Policies side by side: starts daemons and stand-ins as processes, sends the same load to each policy, and
-//! gives a table, JSON and a picture.
+//! Compares policies: starts daemons and stand-ins as processes, sends the same load to each policy, and writes a
+//! table, JSON and a chart.
 
 pub mod cases;
 pub mod cli;
@@ -25,26 +25,27 @@
 use crate::load::report::LatencyTargets;
 use crate::platform::Fault;
 
-/// Wait after the start, so that load reports are there.
+/// Wait after the start, so that the daemons have received load reports before the load begins.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// When a fault begins, as a part of the run.
+/// When a fault begins, as a fraction of the run.
 const FAULT_START: f64 = 0.3;
 
-/// When a fault that ends, ends.
+/// When a temporary fault ends, as a fraction of the run.
 const FAULT_END: f64 = 0.8;
 
 /// How long an instance is paused.
 const PAUSE_DURATION: Duration = Duration::from_secs(3);
 
-/// Lag of late reports, in milliseconds.
+/// Lag of delayed load reports, in milliseconds.
 const REPORT_LAG_MS: u64 = 5_000;
 
 /// Runs one case with one seed.
 ///
 /// # Errors
 ///
-/// If a process doesn't start or the configuration isn't accepted.
+/// If a process doesn't start, the configuration isn't accepted or in force in time, or the load or the fault
+/// injection fails.
 pub async fn run(set: &str, case: &Case, seed: u64, plan: &Plan) -> eyre::Result<Row> {
     let plan = Plan {
         policy: case.policy.clone(),
--- a/crates/standin/src/experiment/plot.rs
+++ b/crates/standin/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! The results as a picture.
+//! Renders the results as a bar chart.
 
 use std::path::Path;
 
@@ -9,16 +9,16 @@
 use crate::experiment::table::Spread;
 use crate::experiment::table::by_case;
 
-/// Width of the picture.
+/// Width of the chart, in pixels.
 const WIDTH: u32 = 960;
 
-/// Height of each case's bar, with the space around it.
+/// Height of the bar of a case including the space around it, in pixels.
 const BAR_HEIGHT: u32 = 44;
 
-/// Height of axes and title.
+/// Height of the title and the axes, in pixels.
 const FRAME_HEIGHT: u32 = 100;
 
-/// Draws the goodput of each case, as a bar to the median and a point for each seed.
+/// Draws the goodput of each case: a bar for the median and a point for each seed.
 ///
 /// # Errors
 ///
@@ -42,7 +42,7 @@
         .disable_y_mesh()
         .y_labels(2 * cases.len() + 1)
         .y_label_formatter(&|y| label(&names, *y))
-        .x_desc("whole answers within their deadline, % of requests offered")
+        .x_desc("complete answers within their deadline, % of requests sent")
         .draw()
         .map_err(|e| draw_error(&e))?;
     for (index, (_, rows)) in cases.iter().enumerate() {
--- a/crates/standin/src/experiment/table.rs
+++ b/crates/standin/src/experiment/table.rs
@@ -1,4 +1,4 @@
-//! The results as a table.
+//! Renders the results as a table.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,30 +9,30 @@
 use crate::load::report::Counts;
 use crate::load::report::Report;
 
-/// The result of one run.
+/// Result of one run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The run set.
+    /// Run set.
     pub set: String,
-    /// The case.
+    /// Name of the case.
     pub case: String,
-    /// What the callers saw.
+    /// Report of the load.
     pub report: Report,
 }
 
-/// Median with least and most.
+/// Median, minimum and maximum of some values.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spread {
-    /// Least.
+    /// Minimum.
     pub least: f64,
     /// Median.
     pub median: f64,
-    /// Most.
+    /// Maximum.
     pub most: f64,
 }
 
 impl Spread {
-    /// Of `values`; all zero if there are none.
+    /// Computes the spread of `values`; all fields are zero if there are none.
     pub fn of(mut values: Vec<f64>) -> Spread {
         values.sort_by(f64::total_cmp);
         let at = |index: usize| values.get(index).copied().unwrap_or(0.0);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Rows of each case, in the order of the first row of each.
+/// Groups the rows by case, ordered by the first row of each case.
 pub fn by_case(rows: &[Row]) -> Vec<(&str, Vec<&Row>)> {
     let mut cases: Vec<(&str, Vec<&Row>)> = Vec::new();
     for row in rows {
@@ -56,12 +56,12 @@
     cases
 }
 
-/// Goodput of a run: good answers a second of its phases.
+/// Goodput of a run: complete answers within the deadline, per second of the run.
 pub fn goodput(row: &Row) -> f64 {
     row.report.total.good as f64 / row.report.seconds.max(1.0)
 }
 
-/// The table, medians with least and most over the seeds.
+/// Renders the table: medians over the seeds, with minimum and maximum.
 pub fn render(rows: &[Row]) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -132,8 +132,8 @@
     names.map(show).collect::<Vec<String>>().join(", ")
 }
 
-/// What the best fixed split, chosen in hindsight for each phase and seed, would have served: percent of what
-/// was offered, by seed. `None` without runs of splits.
+/// Goodput of the best fixed split, chosen in hindsight for each phase and seed, as percent of the requests sent, by
+/// seed. `None` if there are no runs of the set `splits`.
 pub fn hindsight(rows: &[Row]) -> Option<BTreeMap<u64, f64>> {
     let mut best: BTreeMap<u64, Vec<(u64, u64)>> = BTreeMap::new();
     for row in rows.iter().filter(|r| r.set == "splits") {
--- a/crates/standin/src/load/addresses.rs
+++ b/crates/standin/src/load/addresses.rs
@@ -1,4 +1,5 @@
-//! Which instances callers use: those that `/v1/addresses` names, or the given ones where nothing is named.
+//! Selects the instances that callers use: those that `/v1/addresses` returns, or the configured ones as long as it
+//! returns none.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,13 +10,13 @@
 use awc::Client;
 use serde::Deserialize;
 
-/// How long an answer is kept that names no time, and until one is asked for again after a failure.
+/// Time to live of a response that gives none itself, and the delay before the next attempt after a failure.
 const DEFAULT_TTL: Duration = Duration::from_secs(5);
 
-/// Time for the question.
+/// Timeout of an address request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The addresses in use.
+/// The known addresses of instances.
 #[derive(Debug)]
 pub struct Addresses {
     configured: Vec<SocketAddr>,
@@ -32,7 +33,7 @@
 }
 
 impl Addresses {
-    /// Uses the given addresses.
+    /// Starts with the configured addresses.
     pub fn new(configured: &[SocketAddr]) -> Addresses {
         Addresses {
             configured: configured.to_vec(),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Base URL for the request `index`: callers spread over the addresses.
+    /// Returns the base URL for request number `index`. Requests are spread over the addresses in turn.
     pub fn choose(&self, index: usize) -> String {
         let known = match self.discovered.is_empty() {
             true => &self.configured,
@@ -52,7 +53,8 @@
     }
 }
 
-/// Asks for the addresses again if the last answer is too old. The answer is taken when it comes.
+/// Requests the addresses again if the last response has expired. Does not wait: a background task applies the response
+/// when it arrives.
 pub fn refresh(addresses: &Rc<RefCell<Addresses>>, client: &Client, key: &str) {
     let now = Instant::now();
     let mut known = addresses.borrow_mut();
--- a/crates/standin/src/load/caller.rs
+++ b/crates/standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: sends a job and notes what came back, and when.
+//! A single caller: sends a job and records the response and its timing.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,39 +13,39 @@
 use crate::load::mix::Job;
 use crate::load::mix::Kind;
 
-/// How long a caller waits beyond its deadline, to learn what became of its request.
+/// How long a caller waits past its deadline to learn the outcome of its request.
 const OUTCOME_GRACE: Duration = Duration::from_secs(10);
 
-/// Largest answer of a plain service, in bytes.
+/// Maximum size of the body of a plain response or an error response, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// How a request ended, as its caller saw it.
+/// How a request ended, as observed by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ending {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Whole,
-    /// A refusal: no upstream started it.
+    /// Refused: no upstream started the request.
     NotRun,
-    /// It ran and failed.
+    /// The request ran and failed.
     Failed,
-    /// It may have run, or nothing was heard.
+    /// The request may have run, or there was no response.
     Unknown,
-    /// A whole answer that is not the one to this request.
+    /// A complete answer whose text doesn't match the request.
     Wrong,
 }
 
-/// What a caller noted.
+/// The observed result of a call.
 #[derive(Debug, Clone)]
 pub struct CallResult {
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
-    /// Reason of a refusal.
+    /// Reason given by the error response, if any.
     pub reason: Option<String>,
-    /// From sending to the end.
+    /// Time from sending to the end of the response.
     pub elapsed: Duration,
-    /// From sending to the first token.
+    /// Time from sending to the first token.
     pub first_token: Option<Duration>,
-    /// Between each token and the one before.
+    /// Time between each token and the previous one.
     pub token_gaps: Vec<Duration>,
     /// Idempotency key of an order.
     pub key: Option<Uuid>,
@@ -64,18 +64,18 @@
     }
 }
 
-/// Where and as whom a caller asks.
+/// Destination, credentials and deadline of a call.
 #[derive(Debug, Clone)]
 pub struct Session {
     /// Base URL of an instance.
     pub base: String,
     /// API key.
     pub key: String,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Plain service that takes orders.
+    /// Plain service that receives the orders.
     pub service: String,
-    /// Time from sending within which the answer must be whole.
+    /// Time from sending within which the answer must be complete.
     pub deadline: Duration,
 }
 
@@ -99,7 +99,7 @@
     reason: Option<String>,
 }
 
-/// Sends `job` and waits for its end.
+/// Sends `job` and waits until it ends, or until 10 s past its deadline.
 pub async fn call(client: &Client, session: &Session, job: &Job) -> CallResult {
     let sent = Instant::now();
     let limit = session.deadline + OUTCOME_GRACE;
@@ -189,7 +189,7 @@
     reader.finish(job)
 }
 
-/// Reads server-sent events.
+/// Decodes the server-sent events of a streamed answer.
 struct EventReader {
     sent: Instant,
     buffer: Vec<u8>,
--- a/crates/standin/src/load/cli.rs
+++ b/crates/standin/src/load/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of `load`.
+//! Command line of the `load` command.
 
 use std::fs::File;
 use std::io::Write;
@@ -18,42 +18,61 @@
 use crate::load::mix::Traffic;
 use crate::load::report::LatencyTargets;
 
-/// Describes the command.
+/// Defines the command and its arguments.
 pub fn cli() -> Command {
     Command::new("load")
-        .about("Open-loop callers with a mix that shifts; reports goodput as text or JSON")
+        .about("Sends open-loop load with a changing mix of requests; reports goodput as text or JSON")
         .arg(addresses("target", "Address of an instance").required(true))
         .arg(addresses("engine", "Engine whose role changes are counted"))
-        .arg(addresses("plain", "Plain upstream whose runs are counted"))
+        .arg(addresses(
+            "plain",
+            "Plain upstream whose order executions are counted",
+        ))
         .arg(
             Arg::new("key")
                 .long("key")
                 .value_name("PRODUCT=KEY")
                 .action(ArgAction::Append)
                 .required(true)
-                .help("A product and its API key; all products ask for the same"),
+                .help("A product and its API key; all products send the same traffic"),
         )
         .arg(
             Arg::new("phase")
                 .long("phase")
                 .value_name("SECONDS:CHECKS:CHATS:ORDERS")
                 .action(ArgAction::Append)
-                .help("A phase: its length, and arrivals a second of each kind, of all products together"),
+                .help("A phase: its duration, and the arrivals per second of each kind over all products"),
         )
-        .arg(number("factor", "Divides the lengths of phases", "1"))
-        .arg(number("seed", "Seed of the requests", "1"))
-        .arg(number("check-ms", "Deadline of a check", "2000"))
-        .arg(number("chat-ms", "Deadline of a chat turn", "3000"))
-        .arg(number("order-ms", "Deadline of an order", "2000"))
-        .arg(number("first-ms", "Target for the first token", "560"))
-        .arg(number("between-ms", "Target between tokens", "48"))
-        .arg(text("model", "Model asked for", "ghiaccio-7b"))
-        .arg(text("orders", "Plain service that takes orders", "ordini"))
+        .arg(number("factor", "Divides the durations of the phases", "1"))
+        .arg(number("seed", "Seed for generating the requests", "1"))
+        .arg(number("check-ms", "Deadline of a check, in milliseconds", "2000"))
+        .arg(number(
+            "chat-ms",
+            "Deadline of a chat turn, in milliseconds",
+            "3000",
+        ))
+        .arg(number(
+            "order-ms",
+            "Deadline of an order, in milliseconds",
+            "2000",
+        ))
+        .arg(number(
+            "first-ms",
+            "Target for the time to the first token, in milliseconds",
+            "560",
+        ))
+        .arg(number(
+            "between-ms",
+            "Target for the time between tokens, in milliseconds",
+            "48",
+        ))
+        .arg(text("model", "Requested model", "ghiaccio-7b"))
+        .arg(text("orders", "Plain service that receives the orders", "ordini"))
         .arg(
             Arg::new("json")
                 .long("json")
                 .value_name("FILE")
-                .help("Writes the report as JSON too"),
+                .help("Also writes the report to this file as JSON"),
         )
 }
 
@@ -78,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// If an argument is no phase or key, or the run fails.
+/// If a phase or a key is malformed, the run fails, or the JSON file can't be written.
 pub async fn run(matches: &ArgMatches) -> eyre::Result<()> {
     let settings = settings(matches)?;
     let report = crate::load::run(settings).await?;
@@ -125,11 +144,11 @@
         phases.push(phase(&text, keys.len(), factor)?);
     }
     if phases.is_empty() {
-        bail!("at least one --phase is needed");
+        bail!("at least one --phase is required");
     }
     let of = |text: &String| -> eyre::Result<Traffic> {
         let Some((product, key)) = text.split_once('=') else {
-            bail!("--key {text:?} is not PRODUCT=KEY");
+            bail!("--key {text:?} does not have the form PRODUCT=KEY");
         };
         Ok(Traffic {
             product: product.to_string(),
@@ -142,9 +161,9 @@
 
 fn phase(text: &str, products: usize, factor: u64) -> eyre::Result<Phase> {
     let parts: Result<Vec<f64>, _> = text.split(':').map(str::parse).collect();
-    let parts = parts.wrap_err_with(|| format!("--phase {text:?} holds no numbers"))?;
+    let parts = parts.wrap_err_with(|| format!("--phase {text:?} contains a part that is not a number"))?;
     let [seconds, checks, chats, orders] = parts[..] else {
-        bail!("--phase {text:?} is not SECONDS:CHECKS:CHATS:ORDERS");
+        bail!("--phase {text:?} does not have the form SECONDS:CHECKS:CHATS:ORDERS");
     };
     let each = products.max(1) as f64;
     Ok(Phase {
--- a/crates/standin/src/load/mix.rs
+++ b/crates/standin/src/load/mix.rs
@@ -1,4 +1,5 @@
-//! What is asked for, and when: a seeded list of jobs in phases with different prompt-to-output mixes.
+//! Generates the requests and their arrival times: a seeded list of jobs in phases with different ratios of prompt to
+//! output tokens.
 
 use std::time::Duration;
 
@@ -8,68 +9,68 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Standards texts that checks share.
+/// Number of standards texts that checks share.
 const STANDARD_COUNT: u64 = 4;
 
-/// Words of a standards text.
+/// Number of words in a standards text.
 const STANDARD_WORDS: usize = 1_600;
 
-/// Words of a spec that follows a standards text: least and most.
+/// Number of words in the spec that follows a standards text: minimum and maximum.
 const SPEC_WORDS: (usize, usize) = (400, 1_200);
 
-/// Tokens of a verdict.
+/// Number of output tokens of a check.
 const VERDICT_TOKENS: u32 = 4;
 
-/// Words of a chat turn: least and most.
+/// Number of words in a chat turn: minimum and maximum.
 const CHAT_WORDS: (usize, usize) = (30, 150);
 
-/// Tokens of a chat answer: least and most.
+/// Number of output tokens of a chat turn: minimum and maximum.
 const CHAT_TOKENS: (u32, u32) = (50, 130);
 
-/// What a job asks for.
+/// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A long spec with shared standards text, a short verdict.
+    /// A long prompt (a standards text shared with other checks, then a spec) and a short verdict.
     Check,
-    /// A short chat turn, a longer answer.
+    /// A short prompt and a longer answer.
     Chat,
     /// A non-idempotent order to a plain service.
     Order,
 }
 
-/// Arrivals a second in a part of the run.
+/// Arrival rates of one product during a part of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Phase {
-    /// Its length.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Checks a second.
+    /// Checks per second.
     pub checks: f64,
-    /// Chat turns a second.
+    /// Chat turns per second.
     pub chats: f64,
-    /// Orders a second.
+    /// Orders per second.
     pub orders: f64,
 }
 
-/// What one product asks for.
+/// Traffic of one product.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// The product.
+    /// Name of the product.
     pub product: String,
-    /// Its API key.
+    /// API key of the product.
     pub key: String,
-    /// The phases, one after the other.
+    /// Consecutive phases of the run.
     pub phases: Vec<Phase>,
 }
 
-/// Deadlines by kind, in milliseconds.
+/// Deadlines by kind of request, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Deadlines {
-    /// Of a check.
+    /// Deadline of a check.
     pub check: u64,
-    /// Of a chat turn.
+    /// Deadline of a chat turn.
     pub chat: u64,
-    /// Of an order.
+    /// Deadline of an order.
     pub order: u64,
 }
 
@@ -84,7 +85,7 @@
 }
 
 impl Deadlines {
-    /// The deadline of a job of `kind`.
+    /// Returns the deadline of a request of `kind`.
     pub fn of(&self, kind: Kind) -> Duration {
         Duration::from_millis(match kind {
             Kind::Check => self.check,
@@ -94,26 +95,26 @@
     }
 }
 
-/// A request to be sent.
+/// A request to be sent, with its arrival time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// When, after the start of the run.
+    /// Arrival time, from the start of the run.
     pub at: Duration,
     /// Index of the phase.
     pub phase: usize,
     /// Index of the product.
     pub product: usize,
-    /// What it asks for.
+    /// Kind of request.
     pub kind: Kind,
-    /// Its prompt.
+    /// Prompt; empty for an order.
     pub prompt: String,
-    /// Tokens to generate.
+    /// Number of tokens to generate; 0 for an order.
     pub max_tokens: u32,
-    /// Seed of the sampling.
+    /// Seed for sampling.
     pub seed: u64,
 }
 
-/// The jobs of all products, by time. The same seed gives the same jobs.
+/// Generates the jobs of all products, ordered by arrival time. The same seed gives the same jobs.
 pub fn jobs(traffic: &[Traffic], seed: u64) -> Vec<Job> {
     let mut jobs = Vec::new();
     for (product, asked) in traffic.iter().enumerate() {
@@ -138,7 +139,7 @@
     jobs
 }
 
-/// Times of a Poisson process.
+/// Generates the arrival times of a Poisson process, in seconds from its start.
 fn arrivals(rng: &mut ChaCha8Rng, rate: f64, seconds: f64) -> Vec<f64> {
     let mut times = Vec::new();
     if rate <= 0.0 {
@@ -175,7 +176,7 @@
     }
 }
 
-/// A standards text that many checks share, then a spec of its own.
+/// Generates a prompt: a standards text that many checks share, followed by a spec unique to this one.
 fn check_prompt(rng: &mut ChaCha8Rng) -> String {
     let standard = words_of(rng.random_range(0..STANDARD_COUNT), STANDARD_WORDS);
     let words = rng.random_range(SPEC_WORDS.0..=SPEC_WORDS.1);
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: sends requests at their times whatever became of those before, and reports what callers saw.
+//! Open-loop load generator: sends each request at its scheduled time, regardless of whether earlier requests have
+//! completed, and reports the results that callers observed.
 
 pub mod addresses;
 pub mod caller;
@@ -29,29 +30,29 @@
 use crate::load::report::Recorder;
 use crate::load::report::Report;
 
-/// Time for connecting to an instance.
+/// Timeout for connecting to an instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What to send where.
+/// Settings of a load run.
 #[derive(Debug, Clone)]
 pub struct LoadSettings {
-    /// Addresses of instances, used in turn until `/v1/addresses` says others.
+    /// Addresses of instances, used in turn until `/v1/addresses` returns others.
     pub targets: Vec<SocketAddr>,
-    /// What each product asks for.
+    /// Traffic of each product.
     pub traffic: Vec<Traffic>,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Plain service that takes orders.
+    /// Plain service that receives the orders.
     pub service: String,
-    /// Deadlines by kind.
+    /// Deadlines by kind of request.
     pub deadlines: Deadlines,
-    /// Targets to count.
+    /// Latency targets; the report counts the streamed answers that meet both.
     pub latency_targets: LatencyTargets,
-    /// Seed of the jobs.
+    /// Seed for generating the jobs.
     pub seed: u64,
     /// Engines whose role changes are counted.
     pub engines: Vec<SocketAddr>,
-    /// Plain upstreams whose runs are counted.
+    /// Plain upstreams whose order executions are counted.
     pub plain: Vec<SocketAddr>,
 }
 
@@ -60,11 +61,11 @@
     ending: Ending,
 }
 
-/// Sends the jobs and waits until all have ended.
+/// Sends all jobs at their scheduled times and waits until every one has ended.
 ///
 /// # Errors
 ///
-/// If a stand-in's record can't be read.
+/// If a task panics, or if a stand-in replies with records that can't be decoded.
 pub async fn run(settings: LoadSettings) -> eyre::Result<Report> {
     let client = Client::builder()
         .connector(Connector::new().timeout(CONNECT_TIMEOUT).limit(0))
@@ -136,7 +137,7 @@
     recorder.add(result, product, &kind, job.phase, deadline);
 }
 
-/// Orders that took effect at the engines and changed a role. Engines that don't answer count none.
+/// Counts the orders that took effect at the engines and changed a role. An engine that doesn't answer counts as zero.
 async fn count_changes(client: &Client, engines: &[SocketAddr]) -> eyre::Result<u64> {
     let mut changes = 0;
     for engine in engines {
@@ -147,7 +148,7 @@
         let orders: Vec<OrderRecord> = answer.json().await?;
         let mut last = None;
         for order in orders.into_iter().filter(|o| o.applied) {
-            // The same order repeated changes nothing.
+            // A repeated order (same sequence number) changes nothing.
             if last.replace(order.order.sequence) != Some(order.order.sequence) {
                 changes += 1;
             }
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What the callers saw, summed up.
+//! Aggregated results of a load run, as the callers observed them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,15 +11,15 @@
 use crate::load::caller::CallResult;
 use crate::load::caller::Ending;
 
-/// Largest time recorded, in microseconds.
+/// Largest time that the histograms record, in microseconds; longer times are clamped to it.
 const MAX_MICROS: u64 = 120_000_000;
 
-/// Targets of the design size (`docs/DEVELOPERS.md`).
+/// Latency targets of the design size (`docs/DEVELOPERS.md`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LatencyTargets {
-    /// Milliseconds until the first token.
+    /// Time to the first token, in milliseconds.
     pub first: u64,
-    /// Milliseconds between tokens, at the 95th percentile of an answer.
+    /// Time between tokens, in milliseconds, at the 95th percentile of an answer.
     pub between: u64,
 }
 
@@ -32,38 +32,38 @@
     }
 }
 
-/// Percentiles in milliseconds.
+/// Percentiles of a time, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Percentiles {
     /// Median.
     pub p50: f64,
-    /// 95th.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99th.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// Counts of a product, or of a phase.
+/// Request counts of a whole run, or of a single product, phase or kind of request.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Requests sent.
     pub offered: u64,
-    /// Whole answers within their deadline.
+    /// Complete answers within the deadline.
     pub good: u64,
-    /// Whole answers after it.
+    /// Complete answers after the deadline.
     pub late: u64,
-    /// Refusals as not run.
+    /// Requests refused as not run.
     pub refused: u64,
-    /// Ran and failed.
+    /// Requests that ran and failed.
     pub failed: u64,
-    /// Unknown, or nothing heard.
+    /// Requests with an unknown outcome, or without any response.
     pub unknown: u64,
-    /// Answers that are not those to their requests.
+    /// Complete answers whose text doesn't match the request.
     pub wrong: u64,
 }
 
 impl Counts {
-    /// Part of the requests that got their whole answer within the deadline, in percent.
+    /// Share of the requests that got a complete answer within the deadline, in percent.
     pub fn percent(&self) -> f64 {
         100.0 * self.good as f64 / self.offered.max(1) as f64
     }
@@ -81,40 +81,40 @@
     }
 }
 
-/// The report of a run.
+/// The report of a load run.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Seed of the jobs.
+    /// Seed from which the jobs were generated.
     pub seed: u64,
-    /// Length of the run in seconds.
+    /// Duration of the run in seconds.
     pub seconds: f64,
-    /// All requests.
+    /// Counts over all requests.
     pub total: Counts,
-    /// By product.
+    /// Counts by product.
     pub products: BTreeMap<String, Counts>,
-    /// By phase of arrival.
+    /// Counts by the phase in which the request was sent.
     pub phases: Vec<Counts>,
-    /// By kind of request.
+    /// Counts by kind of request.
     pub kinds: BTreeMap<String, Counts>,
-    /// Refusals by reason.
+    /// Number of refused or failed requests by the reason that the response gives.
     pub reasons: BTreeMap<String, u64>,
     /// Time to the first token.
     pub first: Percentiles,
     /// Time between tokens.
     pub between: Percentiles,
-    /// Streamed answers that met both targets.
+    /// Number of streamed answers that met both latency targets.
     pub targets: u64,
     /// Orders that ran more than once.
     pub doubled: u64,
-    /// Orders answered as whole that never ran.
+    /// Orders reported as complete that never ran.
     pub lost: u64,
-    /// Orders refused as not run that did run.
+    /// Orders reported as not run that did run.
     pub untrue: u64,
     /// Role changes that took effect at the engines.
     pub changes: u64,
 }
 
-/// Gathers notes.
+/// Aggregates call results into a [`Report`].
 #[derive(Debug)]
 pub struct Recorder {
     report: Report,
@@ -124,9 +124,9 @@
 }
 
 impl Recorder {
-    /// A recorder of nothing yet.
+    /// Creates an empty recorder.
     pub fn new(seed: u64, targets: LatencyTargets) -> Recorder {
-        let histogram = || Histogram::new_with_max(MAX_MICROS, 3).expect("the bounds are good");
+        let histogram = || Histogram::new_with_max(MAX_MICROS, 3).expect("valid histogram bounds");
         Recorder {
             report: Report {
                 seed,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Adds what a caller noted.
+    /// Adds the result of a call.
     pub fn add(&mut self, result: &CallResult, product: &str, kind: &str, phase: usize, deadline: Duration) {
         let report = &mut self.report;
         report.total.add(result, deadline);
@@ -167,7 +167,7 @@
         self.report.targets += u64::from(meets_targets(result, first, self.targets));
     }
 
-    /// The report.
+    /// Computes the percentiles and returns the report. `seconds` is the duration of the run.
     pub fn finish(mut self, seconds: f64) -> Report {
         self.report.seconds = seconds;
         self.report.first = percentiles(&self.first);
--- a/examples/claim_writes.rs
+++ b/examples/claim_writes.rs
@@ -1,12 +1,12 @@
-//! Measures what claims cost the key-value service and the caller, with and without group commit.
+//! Measures the cost of claims for the key-value service and for the caller, with and without group commit.
 //!
 //! ```text
 //! cargo build --release --workspace --bins && cargo run --release --example claim_writes [take-over]
 //! ```
 //!
-//! Eight daemons, one plain service and the stand-in platform run as processes on this machine. Orders arrive
-//! by a Poisson process spread over the daemons, each with a key of its own. For each rate the example prints
-//! the platform's own counts, per order, and the latency that callers see.
+//! Eight daemons, one plain service and the stand-in platform run as processes on this machine. Orders arrive as a
+//! Poisson process spread over the daemons, each order with its own key. For each rate the example prints the counts of
+//! the platform per order, and the latency that callers observe.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -28,13 +28,13 @@
 use sequoiastream_testsupport::http;
 use uuid::Uuid;
 
-/// Seed of the arrivals.
+/// Seed for the arrival times and the choice of daemons.
 const SEED: u64 = 20_261_202;
 
-/// Entry instances, as many as run today.
+/// Number of entry instances; as many as run today.
 const DAEMONS: usize = 8;
 
-/// How late the platform answers, in milliseconds.
+/// Response delay of the platform, in milliseconds.
 const PLATFORM_DELAY_MS: u64 = 3;
 
 /// How long orders arrive at each rate.
@@ -43,19 +43,19 @@
 /// How long orders arrive in each phase of a take-over.
 const PHASE_DURATION: Duration = Duration::from_secs(8);
 
-/// After the last order: time for what became of the orders to be written.
+/// Wait after the last order, so that the outcomes of the orders are written; also the wait after the start.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Longest latency that is told apart, in microseconds.
+/// Maximum latency that the histogram records, in microseconds.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
-/// Orders a second.
+/// Arrival rates to measure, in orders per second.
 const RATES: [f64; 3] = [1.0, 20.0, 200.0];
 
-/// Paces to compare, in milliseconds; 0 writes each claim by itself.
+/// Claim paces to compare, in milliseconds; 0 writes each claim separately.
 const CLAIM_PACES_MS: [u64; 3] = [0, 80, 250];
 
-/// What one run counted.
+/// Counts of one run.
 struct Row {
     orders: u64,
     whole: u64,
@@ -87,7 +87,7 @@
         ..Fault::default()
     };
     fleet.platform_fault(&delay).await;
-    // The instances learn of each other from the platform's list and by heartbeats.
+    // Wait until the instances have discovered each other through the list of the platform and heartbeats.
     tokio::time::sleep(SETTLE_TIME).await;
     Ok(fleet)
 }
@@ -116,7 +116,7 @@
     }
 }
 
-/// Lets orders arrive at the first `entries` daemons for `length`, and waits until all are answered.
+/// Sends orders to the first `entries` daemons for `length`, and waits until all have been answered.
 async fn send_orders(fleet: &Fleet, rate: f64, entries: usize, length: Duration) -> eyre::Result<Row> {
     let row = Rc::new(RefCell::new(Row {
         orders: 0,
@@ -145,7 +145,7 @@
     for order in running {
         order.await?;
     }
-    let row = Rc::into_inner(row).ok_or_else(|| eyre::eyre!("an order still runs"))?;
+    let row = Rc::into_inner(row).ok_or_else(|| eyre::eyre!("an order is still running"))?;
     Ok(row.into_inner())
 }
 
@@ -160,7 +160,7 @@
     Ok(row)
 }
 
-/// Orders through six daemons while the other two, owners of shards, are paused or killed.
+/// Sends orders through six daemons while the other two, which own shards, are paused or killed.
 async fn take_over() -> eyre::Result<()> {
     println!("| owners | orders | whole | p50 | p99 | longest |");
     println!("| --- | --- | --- | --- | --- | --- |");
--- a/examples/config_cost.rs
+++ b/examples/config_cost.rs
@@ -1,5 +1,5 @@
-//! What a change of the configuration costs in the key-value service: head, tail and snapshots against one whole
-//! document that is rewritten at each change.
+//! Measures the cost of a configuration change in the key-value service: head, tail and snapshots, compared with a
+//! single document that is rewritten on each change.
 //!
 //! `cargo run --example config_cost`
 
@@ -22,13 +22,13 @@
 use sequoiastream_operator::parse;
 use uuid::Uuid;
 
-/// Changes measured: some days' worth at 210 a day.
+/// Number of changes measured: several days at 210 changes a day.
 const CHANGES: u64 = 1_000;
 
-/// Instances that read each head; 8 today.
+/// Number of instances that read each head; 8 today.
 const READERS: u64 = 8;
 
-/// Calls that removing a snapshot takes: read, grant, write, release.
+/// Number of calls for removing a snapshot: read, grant, write, release.
 const REMOVAL_CALLS: u64 = 4;
 
 #[derive(Debug, Default)]
@@ -60,7 +60,7 @@
 fn command(text: &str) -> eyre::Result<Command> {
     match parse(text).map_err(|e| eyre!("{e}"))? {
         Statement::Change(command) => Ok(command),
-        _ => Err(eyre!("{text} is no change")),
+        _ => Err(eyre!("{text} is not a configuration change")),
     }
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Accepts a change and counts what it costs.
+/// Applies a change and adds its cost to `cost`.
 fn accept(
     replicator: &mut Replicator,
     revision: &mut u64,
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-/// One whole document with the same trail, so that it answers the same questions.
+/// Counts a write of the full state in one document, with the audit trail, so that it answers the same queries.
 fn write_full_document(state: &State, cost: &mut Cost) -> eyre::Result<()> {
     let bytes = serde_json::to_vec(state)?.len();
     cost.write(bytes);
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-/// One whole document without any trail: it can't tell a repeated command, nor a racing one.
+/// Counts a write of the configuration alone. Without the audit trail it can't detect a repeated or concurrent command.
 fn write_config_only(state: &State, cost: &mut Cost) -> eyre::Result<()> {
     let bytes = serde_json::to_vec(&state.config)?.len();
     cost.write(bytes);
@@ -160,8 +160,8 @@
         }
         println!("{products} products, 24 engines, each change on average over {CHANGES}:");
         ours.print("head, tail, snapshot");
-        trail.print("whole, with trail");
-        plain.print("whole, without trail");
+        trail.print("full, with audit trail");
+        plain.print("full, no audit trail");
     }
     Ok(())
 }
--- a/examples/config_reach.rs
+++ b/examples/config_reach.rs
@@ -1,10 +1,10 @@
-//! How long an accepted change takes to be in force on all of eight instances.
+//! Measures how long an accepted configuration change takes to come into force on all of eight instances.
 //!
 //! `cargo build --workspace --bins && cargo run --example config_reach`
 //!
 //! Eight daemons with their default limits, a stand-in platform and an engine run as processes on this machine. Each
-//! change drains or resumes the engine; the time runs from before the statement is sent until every daemon says that
-//! the version is in force.
+//! change drains or resumes the engine. The time is measured from just before the statement is sent until every daemon
+//! reports that the version is in force.
 
 use std::path::PathBuf;
 use std::time::Instant;
@@ -17,10 +17,10 @@
 use sequoiastream_testsupport::fleet::FleetBuilder;
 use sequoiastream_testsupport::http;
 
-/// Entry instances, as many as run today.
+/// Number of entry instances; as many as run today.
 const DAEMONS: usize = 8;
 
-/// Changes for each case.
+/// Number of changes in each case.
 const CHANGES: usize = 40;
 
 async fn wait_in_force(fleet: &Fleet, version: u64) {
@@ -46,7 +46,7 @@
         let begin = Instant::now();
         version += 1;
         let text = format!("{verb} engine e0");
-        // The reply waits a little for digests; the version may be in force everywhere before it comes.
+        // The reply waits briefly for digests, so the version may be in force everywhere before the reply arrives.
         let reached = async {
             wait_in_force(fleet, version).await;
             begin.elapsed()
@@ -57,7 +57,7 @@
     times.sort();
     let at = |part: usize| times[(times.len() - 1) * part / 100];
     println!(
-        "{case}: median {:?}, 95 in 100 {:?}, longest {:?}",
+        "{case}: median {:?}, 95th percentile {:?}, maximum {:?}",
         at(50),
         at(95),
         at(100)
@@ -84,9 +84,14 @@
         delay: 500,
         ..Fault::default()
     };
-    measure(&fleet, "all well", &Fault::default()).await;
-    measure(&fleet, "one instance cut from the service", &cut(&["i5"])).await;
+    measure(&fleet, "no fault", &Fault::default()).await;
+    measure(&fleet, "one instance partitioned from the service", &cut(&["i5"])).await;
     let all_but_one = ["i1", "i2", "i3", "i4", "i5", "i6", "i7"];
-    measure(&fleet, "all but the accepting one cut", &cut(&all_but_one)).await;
+    measure(
+        &fleet,
+        "all but the accepting instance partitioned",
+        &cut(&all_but_one),
+    )
+    .await;
     measure(&fleet, "each call to the service takes 500 ms", &slow).await;
 }
--- a/examples/membership_cost.rs
+++ b/examples/membership_cost.rs
@@ -1,5 +1,6 @@
-//! Bytes of heartbeats at several sizes of the fleet, what a change takes to reach all by heartbeats alone, and what
-//! the rules for a cut-off group cost in availability. Core machines only: no sockets, no processes.
+//! Measures the bytes of heartbeats at several fleet sizes, the cost of propagating a change to all instances by
+//! heartbeats alone, and the loss of availability from the rules for a partitioned group. Uses only the state machines
+//! of the core crate, without sockets or processes.
 //!
 //! `cargo run --example membership_cost`
 
@@ -21,13 +22,13 @@
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
 
-/// What a datagram carries besides the heartbeat: sender's name, incarnation, counter, tag; and UDP and IPv4 headers.
+/// Bytes of a datagram besides the heartbeat: sender's name, incarnation, counter and tag; UDP and IPv4 headers.
 const FRAME_BYTES: usize = 16 + 16 + 8 + 3 + 28;
 
-/// Seconds simulated before anything is measured, so that the tables have gone round.
+/// Seconds simulated before the measurement, so that every instance has received the tables of the others.
 const WARM_UP_SECONDS: u64 = 60;
 
-/// Seconds measured.
+/// Duration of the measurement, in simulated seconds.
 const MEASURED_SECONDS: u64 = 60;
 
 fn address(index: usize, port: u16) -> SocketAddr {
@@ -97,7 +98,7 @@
         Ok(fleet)
     }
 
-    /// Lets instance `from` see `event`, and delivers what it sends at once.
+    /// Passes `event` to instance `from`, and delivers the messages that result without delay.
     fn on(&mut self, now: Time, from: usize, event: Event) -> eyre::Result<()> {
         let mut queue = vec![(from, event)];
         while let Some((at, event)) = queue.pop() {
@@ -122,7 +123,7 @@
         Ok(())
     }
 
-    /// One second: each instance hears the service and sends its heartbeat.
+    /// Simulates one second: each instance has contact with the key-value service and sends its heartbeat.
     fn second(&mut self, second: u64) -> eyre::Result<()> {
         let now = Time::from_millis(second * 1_000);
         for index in 0..self.members.len() {
@@ -156,18 +157,20 @@
     fleet.on(now, 0, Event::InForce(Version(2)))?;
     let at_once = fleet.versions.iter().filter(|v| **v == 2).count();
     println!(
-        "{count:>4} instances: {each:>6.0} B/s sent, as many received; largest datagram {largest} B; {heard} of {} \
-         peers heard; a change reaches {at_once} at once by digests and fetches, with {} B of heartbeats in all",
+        "{count:>4} instances: {each:>6.0} B/s sent and as many received; largest datagram {largest} B; {heard} of {} \
+         peers heard; a change reaches {at_once} immediately by digests and fetches, with {} B of heartbeats in all",
         count - 1,
         fleet.sent
     );
     Ok(())
 }
 
-/// Share of instance time in outages of the service during which a rule takes no new work.
+/// Estimates, for each rule, the share of time during outages of the key-value service in which an instance accepts no
+/// new work.
 ///
-/// In a year of outages: exponential, ten minutes on average, one each week. Crashes come at the design size's rate of 6 a
-/// day among 350; a crashed instance stays on the list if it fell within the list's lag before the outage, or in it.
+/// Outages come once a week; their duration is exponentially distributed with a mean of ten minutes. Crashes come at
+/// the rate of the design size, 6 a day among 350 instances. A crashed instance stays on the list if it crashed
+/// during the outage, or before it within the lag of the list.
 fn availability(count: usize, rng: &mut ChaCha8Rng) {
     const OUTAGES: usize = 20_000;
     const LAG: f64 = 30.0;
@@ -177,7 +180,7 @@
     let (mut total, mut strict, mut fail_closed) = (0.0, 0.0, 0.0);
     for _ in 0..OUTAGES {
         let length = exponential(600.0);
-        // The first crash that the list still shows, in seconds from the begin of the outage.
+        // Time of the first crash that the list does not reflect yet, in seconds from the start of the outage.
         let crash = exponential(1.0 / rate) - LAG;
         let stop = crash.max(0.0).max(stale);
         total += length;
@@ -186,8 +189,8 @@
     }
     let percent = |part: f64| 100.0 * part / total;
     println!(
-        "{count:>4} instances: of the time of outages, no new work for {:.2}% (stop if one of the list is silent), 0% \
-         (serve), {:.1}% (stop whenever the service is out)",
+        "{count:>4} instances: during outages, no new work for {:.2}% of the time (stop if a listed instance is silent), 0% \
+         (keep serving), {:.1}% (stop whenever the service is unavailable)",
         percent(strict),
         percent(fail_closed)
     );
