--- a/crates/standin/src/experiment/cases.rs
+++ b/crates/standin/src/experiment/cases.rs
@@ -1,55 +1,55 @@
-//! The run sets: which policies meet which traffic and faults.
+//! The run sets: combinations of policies with traffic and faults.
 
 use sequoiastream_core::config::Role;
 
-use crate::experiment::fleet::Owed;
+use crate::experiment::fleet::ProductSpec;
 use crate::load::mix::Phase;
 use crate::load::mix::Traffic;
 
-/// Engines of a run.
-pub const ENGINES: usize = 8;
+/// Number of engines in a run.
+pub const ENGINE_COUNT: usize = 8;
 
-/// Seconds of a phase.
-const PHASE: f64 = 20.0;
+/// Duration of a phase, in seconds.
+const PHASE_SECONDS: f64 = 20.0;
 
-/// What goes wrong during a run.
+/// Fault injected during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultCase {
-    /// Nothing.
+    /// No fault.
     None,
     /// An engine is killed.
     EngineLost,
     /// An engine is withdrawn by an operator.
     EngineWithdrawn,
-    /// Load reports are five seconds late.
+    /// Load reports arrive five seconds late.
     LateReports,
-    /// The key-value service is down for most of the run.
+    /// The key-value service is unavailable for half of the run.
     PlatformOut,
-    /// An entry instance is paused for a while.
+    /// An entry instance is paused for three seconds.
     InstancePaused,
 }
 
-/// One run, but for its seed.
+/// Description of a run, without its seed.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// Its name in the table.
+    /// Name of the case in the table.
     pub name: String,
     /// Policy of the daemons.
     pub policy: String,
-    /// Roles of the engines at first.
+    /// Initial roles of the engines.
     pub roles: Vec<Role>,
-    /// Products.
-    pub products: Vec<Owed>,
-    /// What they ask for.
+    /// Products of the run.
+    pub products: Vec<ProductSpec>,
+    /// Traffic of the products.
     pub traffic: Vec<Traffic>,
-    /// What goes wrong.
+    /// Fault injected during the run.
     pub fault: FaultCase,
 }
 
-/// The names of the run sets.
+/// Names of the run sets.
 pub const SETS: [&str; 5] = ["shift", "splits", "dial", "faults", "greedy"];
 
-/// The cases of the run set `name`.
+/// Returns the cases of the run set `name`; an unknown name gives those of `shift`.
 pub fn cases(name: &str) -> Vec<Case> {
     match name {
         "splits" => splits(),
@@ -60,17 +60,17 @@
     }
 }
 
-/// `prefill` engines for prefill, the others for decode.
+/// Gives role prefill to the first `prefill` engines and role decode to the others.
 fn split(prefill: usize) -> Vec<Role> {
     let role = |index| match index < prefill {
         true => Role::Prefill,
         false => Role::Decode,
     };
-    (0..ENGINES).map(role).collect()
+    (0..ENGINE_COUNT).map(role).collect()
 }
 
-fn owed(weight: u32) -> Vec<Owed> {
-    let product = |name: &str| Owed {
+fn products(weight: u32) -> Vec<ProductSpec> {
+    let product = |name: &str| ProductSpec {
         name: name.to_string(),
         share: 45,
         weight,
@@ -78,10 +78,10 @@
     vec![product("assistente"), product("sauti")]
 }
 
-/// The shifting mix: chat, then checks, then chat, then both.
+/// Phases of the changing mix: mainly chat, then mainly checks, then mainly chat, then both.
 fn mix() -> Vec<Phase> {
     let phase = |checks, chats| Phase {
-        seconds: PHASE,
+        seconds: PHASE_SECONDS,
         checks,
         chats,
         orders: 1.0,
@@ -94,17 +94,17 @@
     ]
 }
 
-fn traffic(products: &[Owed], phases: &[Phase]) -> Vec<Traffic> {
-    let of = |owed: &Owed| Traffic {
-        product: owed.name.clone(),
-        key: owed.key(),
+fn traffic(products: &[ProductSpec], phases: &[Phase]) -> Vec<Traffic> {
+    let of = |product: &ProductSpec| Traffic {
+        product: product.name.clone(),
+        key: product.key(),
         phases: phases.to_vec(),
     };
     products.iter().map(of).collect()
 }
 
 fn case(name: &str, policy: &str, roles: Vec<Role>, weight: u32) -> Case {
-    let products = owed(weight);
+    let products = products(weight);
     Case {
         name: name.to_string(),
         policy: policy.to_string(),
@@ -116,7 +116,7 @@
 }
 
 fn shift() -> Vec<Case> {
-    let half = || split(ENGINES / 2);
+    let half = || split(ENGINE_COUNT / 2);
     vec![
         case("a: fixed split, round-robin", "round-robin", half(), 0),
         case("b: least load by reports", "least-load", half(), 0),
@@ -131,12 +131,17 @@
         .into_iter()
         .map(|prefill| case(&format!("split {prefill} prefill"), "fixed", split(prefill), 0))
         .collect();
-    cases.push(case("split all mixed", "fixed", vec![Role::Mixed; ENGINES], 0));
+    cases.push(case(
+        "split all mixed",
+        "fixed",
+        vec![Role::Mixed; ENGINE_COUNT],
+        0,
+    ));
     cases
 }
 
 fn dial() -> Vec<Case> {
-    let half = || split(ENGINES / 2);
+    let half = || split(ENGINE_COUNT / 2);
     [0, 50, 100]
         .into_iter()
         .map(|weight| case(&format!("weight {weight:3}"), "adaptive", half(), weight))
@@ -156,16 +161,16 @@
         .into_iter()
         .map(|(name, fault)| Case {
             fault,
-            ..case(name, "adaptive", split(ENGINES / 2), 20)
+            ..case(name, "adaptive", split(ENGINE_COUNT / 2), 20)
         })
         .collect()
 }
 
-/// One product at its share, then another beside it at ten times its own.
+/// A product within its share, first alone, then beside a product that sends ten times its own share.
 fn greedy() -> Vec<Case> {
     let steady = |chats: f64| {
         vec![Phase {
-            seconds: PHASE,
+            seconds: PHASE_SECONDS,
             checks: chats / 8.0,
             chats,
             orders: 0.0,
@@ -173,12 +178,12 @@
     };
     let build = |name: &str, policy: &str, greedy: f64| {
         let products = vec![
-            Owed {
+            ProductSpec {
                 name: "modest".to_string(),
                 share: 40,
                 weight: 0,
             },
-            Owed {
+            ProductSpec {
                 name: "greedy".to_string(),
                 share: 10,
                 weight: 0,
@@ -189,7 +194,7 @@
         Case {
             name: name.to_string(),
             policy: policy.to_string(),
-            roles: vec![Role::Mixed; ENGINES],
+            roles: vec![Role::Mixed; ENGINE_COUNT],
             products,
             traffic: asked,
             fault: FaultCase::None,
--- a/crates/standin/src/experiment/entry.rs
+++ b/crates/standin/src/experiment/entry.rs
@@ -1,7 +1,9 @@
-//! What an entry instance adds to a request's time, and how many tokens a second a core of it relays.
+//! Measures the latency that an entry instance adds to a request, and how many tokens it relays per second of processor
+//! time.
 //!
-//! Time is measured with short calls to a plain service, sent directly and through the instance in turn, while
-//! streams run through the instance: an engine's steps, of tens of milliseconds, would hide it.
+//! Latency is measured with short calls to a plain service, sent alternately directly and through the instance, while
+//! streams run through the instance. Calls to an engine would hide the added latency, since an engine's steps take tens
+//! of milliseconds.
 
 use std::fs;
 use std::time::Duration;
@@ -17,49 +19,49 @@
 
 use crate::experiment::fleet::Fleet;
 use crate::experiment::fleet::MODEL;
-use crate::experiment::fleet::Owed;
 use crate::experiment::fleet::Plan;
+use crate::experiment::fleet::ProductSpec;
 use crate::load::caller::Ending;
 use crate::load::caller::Session;
 use crate::load::caller::call;
 use crate::load::mix::Job;
 use crate::load::mix::Kind;
 
-/// Short calls of each way.
-const CALLS: usize = 1_000;
+/// Number of short calls by each path: direct, and through the instance.
+const CALL_COUNT: usize = 1_000;
 
-/// Pause between them.
-const PAUSE: Duration = Duration::from_millis(4);
+/// Pause after each pair of calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Tokens of a stream.
-const TOKENS: u32 = 400;
+/// Number of tokens in a stream.
+const STREAM_TOKENS: u32 = 400;
 
-/// Until the streams run.
-const RAMP: Duration = Duration::from_secs(2);
+/// Wait before the short calls begin, so that all streams are running.
+const RAMP_UP: Duration = Duration::from_secs(2);
 
-/// Ticks of processor time a second in `/proc`.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second of the processor times in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The result at one number of streams.
+/// Result of a measurement at a given number of streams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
-    /// Streams through the instance.
+pub struct EntryResult {
+    /// Number of streams through the instance.
     pub streams: usize,
     /// Median and 99th percentile of a direct call, in microseconds.
     pub direct: [u64; 2],
-    /// The same through the instance.
+    /// Median and 99th percentile of a call through the instance, in microseconds.
     pub through: [u64; 2],
-    /// Tokens relayed.
+    /// Number of tokens relayed by complete streams.
     pub tokens: u64,
-    /// Processor seconds of the instance.
+    /// Processor time used by the instance, in seconds.
     pub processor: f64,
-    /// Streams that were not whole.
+    /// Number of streams that didn't complete.
     pub broken: usize,
 }
 
-impl Entry {
-    /// One line of the table.
-    pub fn line(&self) -> String {
+impl EntryResult {
+    /// Formats the result as a row of the table.
+    pub fn table_row(&self) -> String {
         let added = |i: usize| self.through[i] as f64 / 1_000.0 - self.direct[i] as f64 / 1_000.0;
         format!(
             "| {} | {:.2} / {:.2} | {:.2} / {:.2} | {:.2} / {:.2} | {:.0} | {} |",
@@ -76,22 +78,22 @@
     }
 }
 
-/// Heading of the table.
-pub const HEAD: &str = "| streams | direct p50 / p99, ms | through p50 / p99, ms | added p50 / p99, ms | tokens a processor second | broken |\n| --- | --- | --- | --- | --- | --- |";
+/// Header of the table.
+pub const TABLE_HEADER: &str = "| streams | direct p50 / p99, ms | through p50 / p99, ms | added p50 / p99, ms | tokens a processor second | broken |\n| --- | --- | --- | --- | --- | --- |";
 
-/// Measures with `streams` streams.
+/// Measures an instance while `streams` streams run through it.
 ///
 /// # Errors
 ///
-/// If a process doesn't start.
-pub async fn measure(streams: usize, plan: &Plan) -> eyre::Result<Entry> {
+/// If a process doesn't start, the configuration isn't in force in time, or the processor time can't be read.
+pub async fn measure(streams: usize, plan: &Plan) -> eyre::Result<EntryResult> {
     let plan = Plan {
         policy: "round-robin".to_string(),
         roles: vec![Role::Decode; 4],
         daemons: 1,
         slots: 1_024,
         decode: 150,
-        products: vec![Owed {
+        products: vec![ProductSpec {
             name: "assistente".to_string(),
             share: 100,
             weight: 0,
@@ -115,34 +117,34 @@
     let running: Vec<_> = (0..streams)
         .map(|index| start(&client, &session, index))
         .collect();
-    tokio::time::sleep(RAMP).await;
+    tokio::time::sleep(RAMP_UP).await;
     let path = "/lookup";
     let direct = format!("{}{path}", fleet.plain.url());
     let through = format!("{}/services/ordini{path}", session.base);
     let mut times = [histogram()?, histogram()?];
-    for _ in 0..CALLS {
-        times[0].saturating_record(timed(&client, &direct, &session.key).await);
-        times[1].saturating_record(timed(&client, &through, &session.key).await);
-        tokio::time::sleep(PAUSE).await;
+    for _ in 0..CALL_COUNT {
+        times[0].saturating_record(time_call(&client, &direct, &session.key).await);
+        times[1].saturating_record(time_call(&client, &through, &session.key).await);
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
     let mut whole = 0;
     for stream in running {
         whole += usize::from(stream.await?);
     }
     let processor = processor_seconds(fleet.daemons[0].id())? - before;
-    let both = |h: &Histogram<u64>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99)];
-    Ok(Entry {
+    let median_and_p99 = |h: &Histogram<u64>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99)];
+    Ok(EntryResult {
         streams,
-        direct: both(&times[0]),
-        through: both(&times[1]),
-        tokens: whole as u64 * u64::from(TOKENS),
+        direct: median_and_p99(&times[0]),
+        through: median_and_p99(&times[1]),
+        tokens: whole as u64 * u64::from(STREAM_TOKENS),
         processor,
         broken: streams - whole,
     })
 }
 
 fn histogram() -> eyre::Result<Histogram<u64>> {
-    Histogram::new_with_max(10_000_000, 3).wrap_err("the bounds are good")
+    Histogram::new_with_max(10_000_000, 3).wrap_err("invalid histogram bounds")
 }
 
 fn start(client: &Client, session: &Session, index: usize) -> actix_rt::task::JoinHandle<bool> {
@@ -153,14 +155,14 @@
         product: 0,
         kind: Kind::Chat,
         prompt: format!("stream {index}"),
-        limit: TOKENS,
+        max_tokens: STREAM_TOKENS,
         seed: index as u64,
     };
     actix_rt::spawn(async move { call(&client, &session, &job).await.ending == Ending::Whole })
 }
 
-/// Microseconds of one call.
-async fn timed(client: &Client, url: &str, key: &str) -> u64 {
+/// Sends a call and returns its duration in microseconds.
+async fn time_call(client: &Client, url: &str, key: &str) -> u64 {
     let begun = Instant::now();
     let sent = client.get(url).bearer_auth(key).send().await;
     if let Ok(mut answer) = sent {
@@ -169,12 +171,12 @@
     begun.elapsed().as_micros() as u64
 }
 
-/// Processor seconds that a process has used.
+/// Returns the processor time that a process has used, in seconds.
 fn processor_seconds(id: u32) -> eyre::Result<f64> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let numbers: Vec<f64> = fields.split_whitespace().filter_map(|f| f.parse().ok()).collect();
-    // Behind the state letter, user and system time are the 11th and 12th numbers.
+    // After the state letter, user and system time are the 11th and 12th numbers.
     let ticks = numbers.get(10).copied().unwrap_or(0.0) + numbers.get(11).copied().unwrap_or(0.0);
-    Ok(ticks / TICKS)
+    Ok(ticks / TICKS_PER_SECOND)
 }
--- a/crates/standin/src/experiment/plot.rs
+++ b/crates/standin/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! The results as a picture.
+//! Renders the results as a bar chart.
 
 use std::path::Path;
 
@@ -9,26 +9,26 @@
 use crate::experiment::table::Spread;
 use crate::experiment::table::by_case;
 
-/// Width of the picture.
+/// Width of the chart, in pixels.
 const WIDTH: u32 = 960;
 
-/// Height of each case's bar, with the space around it.
-const BAR: u32 = 44;
+/// Height of the bar of a case including the space around it, in pixels.
+const BAR_HEIGHT: u32 = 44;
 
-/// Height of axes and title.
-const FRAME: u32 = 100;
+/// Height of the title and the axes, in pixels.
+const FRAME_HEIGHT: u32 = 100;
 
-/// Draws the goodput of each case, as a bar to the median and a point for each seed.
+/// Draws the goodput of each case: a bar for the median and a point for each seed.
 ///
 /// # Errors
 ///
 /// If the file can't be written.
 pub fn draw(rows: &[Row], title: &str, path: &Path) -> eyre::Result<()> {
     let cases = by_case(rows);
-    let height = FRAME + BAR * cases.len() as u32;
+    let height = FRAME_HEIGHT + BAR_HEIGHT * cases.len() as u32;
     let area = SVGBackend::new(path, (WIDTH, height)).into_drawing_area();
-    let failed = |e: &dyn std::fmt::Display| eyre!("could not draw {}: {e}", path.display());
-    area.fill(&WHITE).map_err(|e| failed(&e))?;
+    let draw_error = |e: &dyn std::fmt::Display| eyre!("could not draw {}: {e}", path.display());
+    area.fill(&WHITE).map_err(|e| draw_error(&e))?;
     let names: Vec<String> = cases.iter().map(|(name, _)| name.to_string()).collect();
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
@@ -36,27 +36,30 @@
         .x_label_area_size(36)
         .y_label_area_size(240)
         .build_cartesian_2d(0.0..100.0, 0.0..cases.len() as f64)
-        .map_err(|e| failed(&e))?;
+        .map_err(|e| draw_error(&e))?;
     chart
         .configure_mesh()
         .disable_y_mesh()
         .y_labels(2 * cases.len() + 1)
         .y_label_formatter(&|y| label(&names, *y))
-        .x_desc("whole answers within their deadline, % of requests offered")
+        .x_desc("complete answers within their deadline, % of requests sent")
         .draw()
-        .map_err(|e| failed(&e))?;
+        .map_err(|e| draw_error(&e))?;
     for (index, (_, rows)) in cases.iter().enumerate() {
-        let low = index as f64;
+        let bottom = index as f64;
         let percents: Vec<f64> = rows.iter().map(|r| r.report.total.percent()).collect();
         let median = Spread::of(percents.clone()).median;
-        let bar = Rectangle::new([(0.0, low + 0.2), (median, low + 0.8)], BLUE.mix(0.4).filled());
-        chart.draw_series([bar]).map_err(|e| failed(&e))?;
+        let bar = Rectangle::new(
+            [(0.0, bottom + 0.2), (median, bottom + 0.8)],
+            BLUE.mix(0.4).filled(),
+        );
+        chart.draw_series([bar]).map_err(|e| draw_error(&e))?;
         let points = percents
             .iter()
-            .map(|p| Circle::new((*p, low + 0.5), 3, BLACK.filled()));
-        chart.draw_series(points).map_err(|e| failed(&e))?;
+            .map(|p| Circle::new((*p, bottom + 0.5), 3, BLACK.filled()));
+        chart.draw_series(points).map_err(|e| draw_error(&e))?;
     }
-    area.present().map_err(|e| failed(&e))
+    area.present().map_err(|e| draw_error(&e))
 }
 
 fn label(names: &[String], y: f64) -> String {
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: sends requests at their times whatever became of those before, and reports what callers saw.
+//! Open-loop load generator: sends each request at its scheduled time, regardless of whether earlier requests have
+//! completed, and reports the results that callers observed.
 
 pub mod addresses;
 pub mod caller;
@@ -18,61 +19,64 @@
 
 use crate::engine::OrderRecord;
 use crate::load::addresses::Addresses;
+use crate::load::caller::CallResult;
 use crate::load::caller::Ending;
-use crate::load::caller::Note;
 use crate::load::caller::Session;
 use crate::load::mix::Deadlines;
 use crate::load::mix::Job;
 use crate::load::mix::Traffic;
 use crate::load::mix::jobs;
+use crate::load::report::LatencyTargets;
 use crate::load::report::Recorder;
 use crate::load::report::Report;
-use crate::load::report::Targets;
 
-/// Time for connecting to an instance.
-const CONNECT: Duration = Duration::from_secs(2);
+/// Timeout for connecting to an instance.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What to send where.
+/// Settings of a load run.
 #[derive(Debug, Clone)]
 pub struct LoadSettings {
-    /// Addresses of instances, used in turn until `/v1/addresses` says others.
+    /// Addresses of instances, used in turn until `/v1/addresses` returns others.
     pub targets: Vec<SocketAddr>,
-    /// What each product asks for.
+    /// Traffic of each product.
     pub traffic: Vec<Traffic>,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Plain service that takes orders.
+    /// Plain service that receives the orders.
     pub service: String,
-    /// Deadlines by kind.
+    /// Deadlines by kind of request.
     pub deadlines: Deadlines,
-    /// Targets to count.
-    pub goals: Targets,
-    /// Seed of the jobs.
+    /// Latency targets; the report counts the streamed answers that meet both.
+    pub latency_targets: LatencyTargets,
+    /// Seed for generating the jobs.
     pub seed: u64,
     /// Engines whose role changes are counted.
     pub engines: Vec<SocketAddr>,
-    /// Plain upstreams whose runs are counted.
+    /// Plain upstreams whose order executions are counted.
     pub plain: Vec<SocketAddr>,
 }
 
-struct Placed {
+struct PlacedOrder {
     key: Uuid,
     ending: Ending,
 }
 
-/// Sends the jobs and waits until all have ended.
+/// Sends all jobs at their scheduled times and waits until every one has ended.
 ///
 /// # Errors
 ///
-/// If a stand-in's record can't be read.
+/// If a task panics, or if a stand-in replies with records that can't be decoded.
 pub async fn run(settings: LoadSettings) -> eyre::Result<Report> {
     let client = Client::builder()
-        .connector(Connector::new().timeout(CONNECT).limit(0))
+        .connector(Connector::new().timeout(CONNECT_TIMEOUT).limit(0))
         .disable_redirects()
         .disable_timeout()
         .finish();
     let jobs = jobs(&settings.traffic, settings.seed);
-    let recorder = Rc::new(RefCell::new(Recorder::new(settings.seed, settings.goals)));
+    let recorder = Rc::new(RefCell::new(Recorder::new(
+        settings.seed,
+        settings.latency_targets,
+    )));
     let placed = Rc::new(RefCell::new(Vec::new()));
     let settings = Rc::new(settings);
     let addresses = Rc::new(RefCell::new(Addresses::new(&settings.targets)));
@@ -84,12 +88,12 @@
         let (client, recorder, placed) = (client.clone(), recorder.clone(), placed.clone());
         let settings = settings.clone();
         calls.push(actix_rt::spawn(async move {
-            let note = caller::call(&client, &session, &job).await;
-            record(&mut recorder.borrow_mut(), &settings, &job, &note);
-            if let Some(key) = note.key {
-                placed.borrow_mut().push(Placed {
+            let result = caller::call(&client, &session, &job).await;
+            record(&mut recorder.borrow_mut(), &settings, &job, &result);
+            if let Some(key) = result.key {
+                placed.borrow_mut().push(PlacedOrder {
                     key,
-                    ending: note.ending,
+                    ending: result.ending,
                 });
             }
         }));
@@ -126,25 +130,25 @@
     }
 }
 
-fn record(recorder: &mut Recorder, settings: &LoadSettings, job: &Job, note: &Note) {
+fn record(recorder: &mut Recorder, settings: &LoadSettings, job: &Job, result: &CallResult) {
     let product = &settings.traffic[job.product].product;
     let kind = format!("{:?}", job.kind).to_lowercase();
     let deadline = settings.deadlines.of(job.kind);
-    recorder.add(note, product, &kind, job.phase, deadline);
+    recorder.add(result, product, &kind, job.phase, deadline);
 }
 
-/// Orders that took effect at the engines and changed a role. Engines that don't answer count none.
+/// Counts the orders that took effect at the engines and changed a role. An engine that doesn't answer counts as zero.
 async fn count_changes(client: &Client, engines: &[SocketAddr]) -> eyre::Result<u64> {
     let mut changes = 0;
     for engine in engines {
-        let asked = client.get(format!("http://{engine}/control/orders"));
-        let Ok(mut answer) = asked.send().await else {
+        let request = client.get(format!("http://{engine}/control/orders"));
+        let Ok(mut answer) = request.send().await else {
             continue;
         };
         let orders: Vec<OrderRecord> = answer.json().await?;
         let mut last = None;
         for order in orders.into_iter().filter(|o| o.applied) {
-            // The same order repeated changes nothing.
+            // A repeated order (same sequence number) changes nothing.
             if last.replace(order.order.sequence) != Some(order.order.sequence) {
                 changes += 1;
             }
@@ -156,7 +160,7 @@
 async fn count_orders(
     client: &Client,
     plain: &[SocketAddr],
-    placed: &[Placed],
+    placed: &[PlacedOrder],
     report: &mut Report,
 ) -> eyre::Result<()> {
     if plain.is_empty() {
@@ -164,8 +168,8 @@
     }
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for upstream in plain {
-        let asked = client.get(format!("http://{upstream}/control/runs"));
-        let Ok(mut answer) = asked.send().await else {
+        let request = client.get(format!("http://{upstream}/control/runs"));
+        let Ok(mut answer) = request.send().await else {
             continue;
         };
         let counted: BTreeMap<String, u32> = answer.json().limit(16 * 1024 * 1024).await?;
