--- a/crates/upstream/src/channel.rs
+++ b/crates/upstream/src/channel.rs
@@ -35,14 +35,14 @@
 const CLOSE_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// How long a connection is kept whose upstream doesn't name its idle timeout.
-const KEEP_UNNAMED: Duration = Duration::from_millis(3_000);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(3_000);
 
 /// Longest time for which a connection is kept, whatever its upstream promises.
-const KEEP_MOST: Duration = Duration::from_secs(20);
+const MAX_KEEP_ALIVE: Duration = Duration::from_secs(20);
 
 /// How long a connection rests between two requests. An upstream that sends a second answer sends it right behind
 /// the first; until it shows, the next request would take it for its own.
-const REST: Duration = Duration::from_millis(30);
+const REUSE_DELAY: Duration = Duration::from_millis(30);
 
 /// Idle connections kept to one upstream.
 const MAX_IDLE: usize = 24;
@@ -61,7 +61,7 @@
     Broken(String),
     /// No answer in the time given.
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     /// The answer is longer than what is accepted.
     #[error("the answer is longer than {0} bytes")]
     TooLong(usize),
@@ -73,7 +73,7 @@
     sender: http1::SendRequest<Full<Bytes>>,
     /// Held for its drop.
     _task: Closer,
-    rested: Instant,
+    idle_since: Instant,
     keep: Duration,
 }
 
@@ -114,17 +114,17 @@
         Ok(Channel {
             sender,
             _task: Closer(handle),
-            rested: Instant::now(),
-            keep: KEEP_UNNAMED,
+            idle_since: Instant::now(),
+            keep: DEFAULT_KEEP_ALIVE,
         })
     }
 
     fn is_usable(&self) -> bool {
-        self.sender.is_ready() && self.rested.elapsed() < self.keep
+        self.sender.is_ready() && self.idle_since.elapsed() < self.keep
     }
 
-    fn has_rested(&self) -> bool {
-        self.rested.elapsed() >= REST
+    fn can_reuse(&self) -> bool {
+        self.idle_since.elapsed() >= REUSE_DELAY
     }
 
     /// Sends `request` and waits for the head of the answer.
@@ -138,7 +138,7 @@
         limit: Duration,
     ) -> Result<Answer, ChannelError> {
         let sent = timeout(limit, self.sender.try_send_request(request)).await;
-        let answered = sent.map_err(|_| ChannelError::Silent)?;
+        let answered = sent.map_err(|_| ChannelError::Timeout)?;
         let answer = answered.map_err(|mut error| match error.take_message() {
             Some(_) => ChannelError::Unsent(error.into_error().to_string()),
             None => ChannelError::Broken(error.into_error().to_string()),
@@ -161,7 +161,7 @@
         return Duration::ZERO;
     }
     let Some(promise) = named(header::HeaderName::from_static("keep-alive")) else {
-        return KEEP_UNNAMED;
+        return DEFAULT_KEEP_ALIVE;
     };
     let seconds = promise
         .split(',')
@@ -170,8 +170,8 @@
     match seconds {
         Some(seconds) => Duration::from_secs(seconds)
             .saturating_sub(CLOSE_MARGIN)
-            .min(KEEP_MOST),
-        None => KEEP_UNNAMED,
+            .min(MAX_KEEP_ALIVE),
+        None => DEFAULT_KEEP_ALIVE,
     }
 }
 
@@ -211,7 +211,7 @@
     pub async fn read(&mut self, most: usize, limit: Duration) -> Result<Bytes, ChannelError> {
         timeout(limit, self.collect(most))
             .await
-            .map_err(|_| ChannelError::Silent)?
+            .map_err(|_| ChannelError::Timeout)?
     }
 
     async fn collect(&mut self, most: usize) -> Result<Bytes, ChannelError> {
@@ -230,7 +230,7 @@
     pub fn finish(self) -> Option<Channel> {
         let mut channel = self.channel;
         let reusable = (self.ended || self.body.is_end_stream()) && !channel.keep.is_zero();
-        channel.rested = Instant::now();
+        channel.idle_since = Instant::now();
         reusable.then_some(channel)
     }
 }
@@ -265,7 +265,7 @@
         let mut idle = self.idle.borrow_mut();
         let channels = idle.get_mut(&address)?;
         channels.retain(Channel::is_usable);
-        let rested = channels.iter().rposition(Channel::has_rested)?;
+        let rested = channels.iter().rposition(Channel::can_reuse)?;
         Some(channels.remove(rested))
     }
 
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -28,19 +28,19 @@
 use crate::wire::LoadBody;
 use crate::wire::MODEL_VERSION;
 use crate::wire::NOT_STARTED;
-use crate::wire::OTHER_VERSION;
 use crate::wire::OrderBody;
 use crate::wire::PieceBody;
 use crate::wire::StaleBody;
+use crate::wire::VERSION_MISMATCH;
 
 /// Time for connecting to an upstream.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for short calls: cancel, load, orders.
-const SHORT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for finding out whether an engine runs.
-const PROBE: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Client of engines; stays on one thread, cheap to clone.
 #[derive(Clone)]
@@ -54,13 +54,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
     /// It runs, as this incarnation if it says so.
-    Runs(Option<Uuid>),
+    Running(Option<Uuid>),
     /// Its host is there, and nobody listens.
-    Refuses,
+    Refused,
     /// A connection was made or tried, and broke.
-    Breaks,
+    Broken,
     /// No answer: it may be paused, or cut off.
-    Silent,
+    Timeout,
 }
 
 /// The pieces of one attempt's answer, in the order in which the engine sent them.
@@ -92,11 +92,11 @@
     /// [`UpstreamError`]; [`UpstreamError::is_not_started`] tells whether another attempt is safe.
     pub async fn generate(&self, to: SocketAddr, call: &GenerateBody) -> Result<EngineStream, UpstreamError> {
         let url = format!("http://{to}/v1/generate");
-        let answer = self.http.post(url).send_json(call).await.map_err(from_send)?;
+        let answer = self.http.post(url).send_json(call).await.map_err(send_error)?;
         let status = answer.status().as_u16();
         if !answer.status().is_success() {
             return Err(match answer.headers().contains_key(NOT_STARTED) {
-                true if status == OTHER_VERSION => UpstreamError::OtherVersion,
+                true if status == VERSION_MISMATCH => UpstreamError::VersionMismatch,
                 true => UpstreamError::NotStarted(status),
                 false => UpstreamError::Status(status),
             });
@@ -133,17 +133,17 @@
     /// Asks whether the engine runs, and as which incarnation.
     pub async fn probe(&self, to: SocketAddr) -> Probe {
         let url = format!("http://{to}/v1/load");
-        match self.http.get(url).timeout(PROBE).send().await {
-            Ok(answer) => Probe::Runs(header(answer.headers(), INCARNATION)),
+        match self.http.get(url).timeout(PROBE_TIMEOUT).send().await {
+            Ok(answer) => Probe::Running(header(answer.headers(), INCARNATION)),
             Err(SendRequestError::Connect(ConnectError::Io(error)))
                 if error.kind() == ErrorKind::ConnectionRefused =>
             {
-                Probe::Refuses
+                Probe::Refused
             }
             Err(SendRequestError::Timeout | SendRequestError::Connect(ConnectError::Timeout)) => {
-                Probe::Silent
+                Probe::Timeout
             }
-            Err(_) => Probe::Breaks,
+            Err(_) => Probe::Broken,
         }
     }
 
@@ -174,10 +174,10 @@
         let mut answer = self
             .http
             .get(url)
-            .timeout(SHORT)
+            .timeout(CALL_TIMEOUT)
             .send()
             .await
-            .map_err(from_send)?;
+            .map_err(send_error)?;
         if !answer.status().is_success() {
             return Err(UpstreamError::Status(answer.status().as_u16()));
         }
@@ -193,8 +193,8 @@
         B: Serialize,
         T: DeserializeOwned,
     {
-        let sent = self.http.post(url).timeout(SHORT).send_json(body).await;
-        let mut answer = sent.map_err(from_send)?;
+        let sent = self.http.post(url).timeout(CALL_TIMEOUT).send_json(body).await;
+        let mut answer = sent.map_err(send_error)?;
         match answer.status().as_u16() {
             409 => {
                 let stale: StaleBody = answer
@@ -243,7 +243,7 @@
 /// An HTTP client that follows no redirect: a redirect that is followed would send a request twice.
 pub(crate) fn http_client() -> Client {
     Client::builder()
-        .connector(Connector::new().timeout(CONNECT).limit(0))
+        .connector(Connector::new().timeout(CONNECT_TIMEOUT).limit(0))
         .disable_redirects()
         .disable_timeout()
         .finish()
@@ -254,7 +254,7 @@
 /// Failure guarded against: a false `not-run`. awc reports a connection that closed after the request was
 /// sent as `Connect(Disconnected)`, as if it had never been made; taken at its word, a caller would repeat an
 /// order that ran. The guard holds because every other connect error comes from before the connection exists.
-pub(crate) fn from_send(error: SendRequestError) -> UpstreamError {
+pub(crate) fn send_error(error: SendRequestError) -> UpstreamError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
             UpstreamError::Broken("closed without an answer".to_string())
--- a/crates/upstream/src/error.rs
+++ b/crates/upstream/src/error.rs
@@ -14,7 +14,7 @@
     NotStarted(u16),
     /// The engine has another version of the model than the attempt asks for, and did not start it.
     #[error("the engine has another version of the model")]
-    OtherVersion,
+    VersionMismatch,
     /// The upstream answered with an error; it may have run the request.
     #[error("the upstream answered with status {0}")]
     Status(u16),
@@ -37,7 +37,7 @@
     pub fn end(&self) -> End {
         match self {
             UpstreamError::Connect(_) => End::Unsent,
-            UpstreamError::NotStarted(_) | UpstreamError::OtherVersion => End::Declined,
+            UpstreamError::NotStarted(_) | UpstreamError::VersionMismatch => End::Declined,
             UpstreamError::Status(_) | UpstreamError::Stale(_) => End::Failed,
             UpstreamError::Broken(_) | UpstreamError::Malformed(_) => End::Broken,
             UpstreamError::Timeout => End::Silent,
--- a/crates/upstream/src/plain.rs
+++ b/crates/upstream/src/plain.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use tokio::time::timeout;
 
-use crate::engine::from_send;
 use crate::engine::http_client;
+use crate::engine::send_error;
 use crate::error::UpstreamError;
 use crate::wire::NOT_STARTED;
 
@@ -46,7 +46,7 @@
 #[derive(Clone)]
 pub struct PlainClient {
     http: Client,
-    once: Client,
+    unpooled: Client,
 }
 
 impl Default for PlainClient {
@@ -60,7 +60,7 @@
     pub fn new() -> PlainClient {
         PlainClient {
             http: http_client(),
-            once: http_client(),
+            unpooled: http_client(),
         }
     }
 
@@ -96,7 +96,7 @@
         call: &PlainCall,
         limit: Duration,
     ) -> Result<PlainReply, UpstreamError> {
-        let request = request(&self.once, to, call).force_close();
+        let request = request(&self.unpooled, to, call).force_close();
         timeout(limit, answer(request, call))
             .await
             .unwrap_or(Err(UpstreamError::Timeout))
@@ -114,7 +114,7 @@
 
 async fn answer(request: ClientRequest, call: &PlainCall) -> Result<PlainReply, UpstreamError> {
     let sent = request.send_body(call.body.clone()).await;
-    let mut answer = sent.map_err(from_send)?;
+    let mut answer = sent.map_err(send_error)?;
     let status = answer.status().as_u16();
     if answer.headers().contains_key(NOT_STARTED) {
         return Err(UpstreamError::NotStarted(status));
--- a/crates/upstream/src/wire.rs
+++ b/crates/upstream/src/wire.rs
@@ -18,7 +18,7 @@
 pub const INCARNATION: &str = "x-engine-incarnation";
 
 /// Status by which an engine refuses an attempt that asks for another version of the model than it has.
-pub const OTHER_VERSION: u16 = 412;
+pub const VERSION_MISMATCH: u16 = 412;
 
 /// Asks an engine to generate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/ops/dispatch/generate.rs
+++ b/src/ops/dispatch/generate.rs
@@ -292,7 +292,7 @@
         };
         log_event!(warn, log_event::ATTEMPT_FAILED, engine = %open.target.name, %error);
         let failure = match &error {
-            UpstreamError::OtherVersion => Failure::VersionMismatch,
+            UpstreamError::VersionMismatch => Failure::VersionMismatch,
             error if error.is_not_started() => Failure::NotStarted,
             _ => Failure::MayHaveRun,
         };
--- a/src/ops/dispatch/suspects.rs
+++ b/src/ops/dispatch/suspects.rs
@@ -303,7 +303,7 @@
         let before = self.shared.crash_records().incarnation(attempt);
         let mut probe = self.engine_client.probe(target.address).await;
         for _ in 0..MAX_PROBES {
-            if probe != Probe::Breaks {
+            if probe != Probe::Broken {
                 break;
             }
             // A process that is ending still accepts connections for a short time, and breaks them.
@@ -311,9 +311,9 @@
             probe = self.engine_client.probe(target.address).await;
         }
         match probe {
-            Probe::Refuses => Some(Evidence::Crashed),
-            Probe::Breaks | Probe::Silent => Some(Evidence::Silent),
-            Probe::Runs(now) => match (before, now) {
+            Probe::Refused => Some(Evidence::Crashed),
+            Probe::Broken | Probe::Timeout => Some(Evidence::Silent),
+            Probe::Running(now) => match (before, now) {
                 (Some(before), Some(now)) if before != now => Some(Evidence::Crashed),
                 _ => None,
             },
--- a/src/ops/relay/send.rs
+++ b/src/ops/relay/send.rs
@@ -112,7 +112,7 @@
         let end = match &error {
             ChannelError::Unsent(_) => End::Unsent,
             ChannelError::Broken(_) | ChannelError::TooLong(_) => End::Broken,
-            ChannelError::Silent => End::Silent,
+            ChannelError::Timeout => End::Silent,
         };
         AttemptFailure::new(end, error)
     }
