--- a/crates/upstream/src/channel.rs
+++ b/crates/upstream/src/channel.rs
@@ -74,7 +74,7 @@
     /// Held for its drop.
     _task: Closer,
     idle_since: Instant,
-    keep: Duration,
+    keep_alive: Duration,
 }
 
 /// Closes the connection when dropped.
@@ -115,12 +115,12 @@
             sender,
             _task: Closer(handle),
             idle_since: Instant::now(),
-            keep: DEFAULT_KEEP_ALIVE,
+            keep_alive: DEFAULT_KEEP_ALIVE,
         })
     }
 
     fn is_usable(&self) -> bool {
-        self.sender.is_ready() && self.idle_since.elapsed() < self.keep
+        self.sender.is_ready() && self.idle_since.elapsed() < self.keep_alive
     }
 
     fn can_reuse(&self) -> bool {
@@ -144,7 +144,7 @@
             None => ChannelError::Broken(error.into_error().to_string()),
         })?;
         let (head, body) = answer.into_parts();
-        self.keep = kept(&head.headers);
+        self.keep_alive = reuse_period(&head.headers);
         Ok(Answer {
             head,
             body,
@@ -155,7 +155,7 @@
 }
 
 /// How long the connection may be used again, by the answer's headers; zero if it may not.
-fn kept(headers: &HeaderMap) -> Duration {
+fn reuse_period(headers: &HeaderMap) -> Duration {
     let named = |name: header::HeaderName| headers.get(name).and_then(|v| v.to_str().ok());
     if named(header::CONNECTION).is_some_and(|v| v.to_ascii_lowercase().contains("close")) {
         return Duration::ZERO;
@@ -229,7 +229,7 @@
     /// chunks shows only in reading it.
     pub fn finish(self) -> Option<Channel> {
         let mut channel = self.channel;
-        let reusable = (self.ended || self.body.is_end_stream()) && !channel.keep.is_zero();
+        let reusable = (self.ended || self.body.is_end_stream()) && !channel.keep_alive.is_zero();
         channel.idle_since = Instant::now();
         reusable.then_some(channel)
     }
@@ -240,7 +240,7 @@
 pub struct Pool {
     idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<Channel>>>>,
     /// Most idle connections to an upstream, where it is less than [`MAX_IDLE`].
-    most: Rc<RefCell<BTreeMap<SocketAddr, usize>>>,
+    max_idle: Rc<RefCell<BTreeMap<SocketAddr, usize>>>,
 }
 
 impl Pool {
@@ -276,7 +276,7 @@
         };
         let mut idle = self.idle.borrow_mut();
         let channels = idle.entry(address).or_default();
-        if channels.len() < self.most(&address) {
+        if channels.len() < self.max_idle(&address) {
             channels.push(channel);
         }
     }
@@ -292,11 +292,11 @@
             channels.truncate(most.get(address).copied().unwrap_or_default());
         }
         idle.retain(|_, channels| !channels.is_empty());
-        *self.most.borrow_mut() = most;
+        *self.max_idle.borrow_mut() = most;
     }
 
-    fn most(&self, address: &SocketAddr) -> usize {
-        let most = self.most.borrow().get(address).copied();
+    fn max_idle(&self, address: &SocketAddr) -> usize {
+        let most = self.max_idle.borrow().get(address).copied();
         most.map_or(MAX_IDLE, |most| most.min(MAX_IDLE))
     }
 }
