--- a/crates/upstream/src/channel.rs
+++ b/crates/upstream/src/channel.rs
@@ -1,9 +1,9 @@
-//! Connections on which a request is forwarded unchanged and its answer proved whole.
+//! Connections that forward a request unchanged and verify that its answer is complete.
 //!
-//! `awc` hides what decides here whether an order may be sent again: whether a connection was fresh, and whether
-//! the first byte of a request was written before it broke. So this part stands one level lower, on a connection of
-//! `hyper`, which hands a request back that was never written. One request at a time is on a connection; dropping a
-//! [`Channel`] or the body of its answer closes the connection at once, and with it the work at the engine.
+//! `awc` hides what determines whether an order may be retried: whether a connection was new, and whether the first
+//! byte of a request was written before the connection broke. This module therefore uses the lower-level connections
+//! of `hyper`, which return a request that was never written. A connection carries one request at a time; dropping a
+//! [`Channel`] or the [`Answer`] closes the connection immediately, which also stops the work at the engine.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -30,39 +30,39 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Time before an upstream's idle timeout from which on its connection isn't used again: a request must reach it
-/// before it closes.
+/// A connection isn't reused within this time before the upstream's idle timeout: a request must reach the upstream
+/// before it closes the connection.
 const CLOSE_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// How long a connection is kept whose upstream doesn't name its idle timeout.
+/// How long an idle connection is kept if the upstream doesn't report its idle timeout.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(3_000);
 
-/// Longest time for which a connection is kept, whatever its upstream promises.
+/// Maximum time for which an idle connection is kept, whatever idle timeout the upstream reports.
 const MAX_KEEP_ALIVE: Duration = Duration::from_secs(20);
 
-/// How long a connection rests between two requests. An upstream that sends a second answer sends it right behind
-/// the first; until it shows, the next request would take it for its own.
+/// Minimum idle time of a connection between two requests. An upstream that wrongly sends a second answer sends it
+/// right after the first; a request sent before it arrives would take it for its own answer.
 const REUSE_DELAY: Duration = Duration::from_millis(30);
 
-/// Idle connections kept to one upstream.
+/// Maximum number of idle connections to one upstream.
 const MAX_IDLE: usize = 24;
 
-/// Bytes read ahead of what a connection's user takes.
+/// Maximum size of a connection's read buffer: bytes read ahead of what the caller consumes.
 const READ_BUFFER: usize = 16 * 1024;
 
-/// Why no answer came.
+/// Why no complete answer was received.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ChannelError {
     /// Nothing was sent.
     #[error("could not send the request: {0}")]
     Unsent(String),
-    /// It was sent, at least in part, and may have run.
+    /// The request was sent, at least in part, and may have run.
     #[error("could not read the answer: {0}")]
     Broken(String),
-    /// No answer in the time given.
+    /// No answer arrived before the timeout.
     #[error("no answer in time")]
     Timeout,
-    /// The answer is longer than what is accepted.
+    /// The answer is longer than this limit, in bytes.
     #[error("the answer is longer than {0} bytes")]
     TooLong(usize),
 }
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Channel {
     sender: http1::SendRequest<Full<Bytes>>,
-    /// Held for its drop.
+    /// Closes the connection on drop.
     _task: Closer,
     idle_since: Instant,
     keep_alive: Duration,
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// [`ChannelError::Unsent`] if no connection can be had.
+    /// [`ChannelError::Unsent`] if no connection can be established.
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Channel, ChannelError> {
         let unsent = |e: &dyn std::fmt::Display| ChannelError::Unsent(e.to_string());
         let connected = timeout(limit, TcpStream::connect(address)).await;
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// [`ChannelError`] says whether anything was sent. The connection is closed then.
+    /// [`ChannelError`] says whether anything was sent. The connection is closed on an error.
     pub async fn send(
         mut self,
         request: Request<Full<Bytes>>,
@@ -154,16 +154,16 @@
     }
 }
 
-/// How long the connection may be used again, by the answer's headers; zero if it may not.
+/// How long the connection may be reused according to the answer's headers; zero if it may not be.
 fn reuse_period(headers: &HeaderMap) -> Duration {
     let named = |name: header::HeaderName| headers.get(name).and_then(|v| v.to_str().ok());
     if named(header::CONNECTION).is_some_and(|v| v.to_ascii_lowercase().contains("close")) {
         return Duration::ZERO;
     }
-    let Some(promise) = named(header::HeaderName::from_static("keep-alive")) else {
+    let Some(parameters) = named(header::HeaderName::from_static("keep-alive")) else {
         return DEFAULT_KEEP_ALIVE;
     };
-    let seconds = promise
+    let seconds = parameters
         .split(',')
         .filter_map(|part| part.trim().strip_prefix("timeout="))
         .find_map(|seconds| seconds.parse().ok());
@@ -175,23 +175,23 @@
     }
 }
 
-/// The head of an answer, and the way to its body.
+/// The head of an answer, with a reader for its body.
 #[derive(Debug)]
 pub struct Answer {
     /// Status and headers.
     pub head: http::response::Parts,
     body: Incoming,
-    /// Whether it was read to its proper end.
+    /// Whether the body was read to its regular end.
     ended: bool,
     channel: Channel,
 }
 
 impl Answer {
-    /// The next bytes of the body; `None` at its proper end.
+    /// The next bytes of the body; `None` at its regular end.
     ///
     /// # Errors
     ///
-    /// [`ChannelError::Broken`] if it was broken off.
+    /// [`ChannelError::Broken`] if the connection broke before the end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ChannelError> {
         while let Some(frame) = self.body.frame().await {
             let frame = frame.map_err(|e| ChannelError::Broken(e.to_string()))?;
@@ -203,30 +203,30 @@
         Ok(None)
     }
 
-    /// The whole body, of at most `most` bytes, within `limit`.
+    /// Reads the complete body, of at most `max_len` bytes, within `limit`.
     ///
     /// # Errors
     ///
-    /// [`ChannelError`] if it is broken off, too long, or late.
-    pub async fn read(&mut self, most: usize, limit: Duration) -> Result<Bytes, ChannelError> {
-        timeout(limit, self.collect(most))
+    /// [`ChannelError`] if the body is incomplete, too long, or not read in time.
+    pub async fn read(&mut self, max_len: usize, limit: Duration) -> Result<Bytes, ChannelError> {
+        timeout(limit, self.collect(max_len))
             .await
             .map_err(|_| ChannelError::Timeout)?
     }
 
-    async fn collect(&mut self, most: usize) -> Result<Bytes, ChannelError> {
+    async fn collect(&mut self, max_len: usize) -> Result<Bytes, ChannelError> {
         let mut whole = Vec::new();
         while let Some(data) = self.next().await? {
-            if whole.len() + data.len() > most {
-                return Err(ChannelError::TooLong(most));
+            if whole.len() + data.len() > max_len {
+                return Err(ChannelError::TooLong(max_len));
             }
             whole.extend_from_slice(&data);
         }
         Ok(Bytes::from(whole))
     }
 
-    /// The connection, if the whole answer was read and another request may follow; else it is closed. The end of a body in
-    /// chunks shows only in reading it.
+    /// The connection, if the complete answer was read and the connection may be reused; otherwise it is closed. The
+    /// end of a chunked body is known only after reading it.
     pub fn finish(self) -> Option<Channel> {
         let mut channel = self.channel;
         let reusable = (self.ended || self.body.is_end_stream()) && !channel.keep_alive.is_zero();
@@ -235,25 +235,25 @@
     }
 }
 
-/// Idle connections by upstream; stays on one thread, cheap to clone.
+/// Idle connections by upstream; confined to one thread (not `Send`), cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Pool {
     idle: Rc<RefCell<BTreeMap<SocketAddr, Vec<Channel>>>>,
-    /// Most idle connections to an upstream, where it is less than [`MAX_IDLE`].
+    /// Maximum number of idle connections by upstream, capped at [`MAX_IDLE`].
     max_idle: Rc<RefCell<BTreeMap<SocketAddr, usize>>>,
 }
 
 impl Pool {
-    /// No connections.
+    /// Creates an empty pool.
     pub fn new() -> Pool {
         Pool::default()
     }
 
-    /// An idle connection that has rested, or a new one.
+    /// An idle connection that may be reused, or a new one.
     ///
     /// # Errors
     ///
-    /// [`ChannelError::Unsent`] if no connection can be had.
+    /// [`ChannelError::Unsent`] if no connection can be established.
     pub async fn take(&self, address: SocketAddr, limit: Duration) -> Result<Channel, ChannelError> {
         if let Some(channel) = self.idle(address) {
             return Ok(channel);
@@ -265,11 +265,11 @@
         let mut idle = self.idle.borrow_mut();
         let channels = idle.get_mut(&address)?;
         channels.retain(Channel::is_usable);
-        let rested = channels.iter().rposition(Channel::can_reuse)?;
-        Some(channels.remove(rested))
+        let position = channels.iter().rposition(Channel::can_reuse)?;
+        Some(channels.remove(position))
     }
 
-    /// Keeps the connection of an answer that was read to its end.
+    /// Returns the connection of a completely read answer to the pool.
     pub fn keep(&self, address: SocketAddr, answer: Answer) {
         let Some(channel) = answer.finish() else {
             return;
@@ -281,27 +281,28 @@
         }
     }
 
-    /// Takes the upstreams that are still there, with the most idle connections to each, and closes all others.
+    /// Sets the current upstreams, with the maximum number of idle connections to each, and closes all other idle
+    /// connections.
     ///
-    /// Failure guarded against: connections to upstreams that are gone pile up for as long as the process lives; and many
-    /// instances keep so many idle ones that the upstream accepts no more.
-    pub fn sweep(&self, most: BTreeMap<SocketAddr, usize>) {
+    /// Failures guarded against: connections to removed upstreams accumulate for the lifetime of the process; and many
+    /// instances together keep so many idle connections that the upstream accepts no more.
+    pub fn sweep(&self, max_idle: BTreeMap<SocketAddr, usize>) {
         let mut idle = self.idle.borrow_mut();
         for (address, channels) in idle.iter_mut() {
             channels.retain(Channel::is_usable);
-            channels.truncate(most.get(address).copied().unwrap_or_default());
+            channels.truncate(max_idle.get(address).copied().unwrap_or_default());
         }
         idle.retain(|_, channels| !channels.is_empty());
-        *self.max_idle.borrow_mut() = most;
+        *self.max_idle.borrow_mut() = max_idle;
     }
 
     fn max_idle(&self, address: &SocketAddr) -> usize {
-        let most = self.max_idle.borrow().get(address).copied();
-        most.map_or(MAX_IDLE, |most| most.min(MAX_IDLE))
+        let max_idle = self.max_idle.borrow().get(address).copied();
+        max_idle.map_or(MAX_IDLE, |max_idle| max_idle.min(MAX_IDLE))
     }
 }
 
-/// A call with a small whole answer: connect, send, read.
+/// Sends a request on a pooled or new connection and reads the complete answer, of at most `max_len` bytes.
 ///
 /// # Errors
 ///
@@ -310,14 +311,14 @@
     pool: &Pool,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    most: usize,
+    max_len: usize,
     limit: Duration,
 ) -> Result<Response<Bytes>, ChannelError> {
     let begun = Instant::now();
     let left = || limit.saturating_sub(begun.elapsed());
     let channel = pool.take(address, limit).await?;
     let mut answer = channel.send(request, left()).await?;
-    let body = answer.read(most, left()).await?;
+    let body = answer.read(max_len, left()).await?;
     let response = Response::from_parts(answer.head.clone(), body);
     pool.keep(address, answer);
     Ok(response)
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -33,16 +33,16 @@
 use crate::wire::StaleBody;
 use crate::wire::VERSION_MISMATCH;
 
-/// Time for connecting to an upstream.
+/// Timeout for connecting to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for short calls: cancel, load, orders.
+/// Timeout for short calls: cancel, load, orders.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for finding out whether an engine runs.
+/// Timeout for probing whether an engine is running.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Client of engines; stays on one thread, cheap to clone.
+/// Client of engines; confined to one thread (not `Send`), cheap to clone.
 #[derive(Clone)]
 pub struct EngineClient {
     http: Client,
@@ -50,24 +50,24 @@
 
 type Body = Pin<Box<dyn Stream<Item = Result<Bytes, awc::error::PayloadError>>>>;
 
-/// What an engine's host says when asked whether the engine runs.
+/// Result of probing whether an engine is running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
-    /// It runs, as this incarnation if it says so.
+    /// It is running, with this incarnation if it reports one.
     Running(Option<Uuid>),
-    /// Its host is there, and nobody listens.
+    /// Its host is reachable, but refuses the connection: no process listens on the port.
     Refused,
-    /// A connection was made or tried, and broke.
+    /// Connecting failed or the connection broke.
     Broken,
-    /// No answer: it may be paused, or cut off.
+    /// No answer: the engine may be paused or unreachable.
     Timeout,
 }
 
 /// The pieces of one attempt's answer, in the order in which the engine sent them.
 pub struct EngineStream {
-    /// Version of the model that answers; 0 if the engine doesn't say.
+    /// Version of the model that answers; 0 if the engine doesn't report it.
     pub version: u32,
-    /// The engine's incarnation, if it says.
+    /// The engine's incarnation, if it reports one.
     pub incarnation: Option<Uuid>,
     body: Body,
     lines: LineReader,
@@ -80,12 +80,12 @@
 }
 
 impl EngineClient {
-    /// A client with a connection pool of its own.
+    /// Creates a client with its own connection pool.
     pub fn new() -> EngineClient {
         EngineClient { http: http_client() }
     }
 
-    /// Starts an attempt. The stream's pieces are checked by the core, not here.
+    /// Starts an attempt. The core validates the stream's pieces; this client doesn't.
     ///
     /// # Errors
     ///
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// [`UpstreamError`] if the engine did not confirm; it then goes on until it ends by itself.
+    /// [`UpstreamError`] if the engine did not confirm; the attempt may then run until it ends by itself.
     pub async fn cancel(&self, to: SocketAddr, attempt: Uuid) -> Result<(), UpstreamError> {
         let url = format!("http://{to}/v1/cancel");
         self.post::<_, serde_json::Value>(url, &CancelBody { attempt })
@@ -125,12 +125,12 @@
     ///
     /// # Errors
     ///
-    /// [`UpstreamError`] if no report came in time.
+    /// [`UpstreamError`] if no valid report arrived in time.
     pub async fn load(&self, to: SocketAddr) -> Result<LoadBody, UpstreamError> {
         self.read(format!("http://{to}/v1/load")).await
     }
 
-    /// Asks whether the engine runs, and as which incarnation.
+    /// Probes whether the engine is running, and with which incarnation.
     pub async fn probe(&self, to: SocketAddr) -> Probe {
         let url = format!("http://{to}/v1/load");
         match self.http.get(url).timeout(PROBE_TIMEOUT).send().await {
@@ -151,12 +151,12 @@
     ///
     /// # Errors
     ///
-    /// [`UpstreamError`] if no answer came in time.
+    /// [`UpstreamError`] if no valid answer arrived in time.
     pub async fn cache_events(&self, to: SocketAddr, after: u64) -> Result<Vec<CacheEvent>, UpstreamError> {
         self.read(format!("http://{to}/v1/cache?after={after}")).await
     }
 
-    /// Gives an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
@@ -217,8 +217,8 @@
     ///
     /// # Errors
     ///
-    /// [`UpstreamError::Broken`] if the connection broke, [`UpstreamError::Malformed`] for a line that is no
-    /// piece.
+    /// [`UpstreamError::Broken`] if the connection broke, [`UpstreamError::Malformed`] for a line that is not a
+    /// valid piece.
     pub async fn next(&mut self) -> Result<Option<PieceBody>, UpstreamError> {
         loop {
             if let Some(piece) = self.lines.pop() {
@@ -240,7 +240,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// An HTTP client that follows no redirect: a redirect that is followed would send a request twice.
+/// Creates an HTTP client that follows no redirects: following one would send a request twice.
 pub(crate) fn http_client() -> Client {
     Client::builder()
         .connector(Connector::new().timeout(CONNECT_TIMEOUT).limit(0))
@@ -249,11 +249,12 @@
         .finish()
 }
 
-/// Turns a failure to send into an error that tells whether a byte may have left.
+/// Converts a send error into an error that tells whether any byte may have been sent.
 ///
 /// Failure guarded against: a false `not-run`. awc reports a connection that closed after the request was
-/// sent as `Connect(Disconnected)`, as if it had never been made; taken at its word, a caller would repeat an
-/// order that ran. The guard holds because every other connect error comes from before the connection exists.
+/// sent as `Connect(Disconnected)`, as if it had never been established; a caller that relied on this would
+/// retry an order that ran. Every other connect error occurs before the connection exists, so only this one is mapped
+/// to [`UpstreamError::Broken`].
 pub(crate) fn send_error(error: SendRequestError) -> UpstreamError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
--- a/crates/upstream/src/error.rs
+++ b/crates/upstream/src/error.rs
@@ -3,16 +3,16 @@
 use sequoiastream_core::attempt::End;
 use thiserror::Error;
 
-/// Why an attempt at an upstream gave no whole answer.
+/// Why an attempt at an upstream returned no complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum UpstreamError {
-    /// No connection was made: no byte of the request left.
+    /// The connection could not be established: no byte of the request was sent.
     #[error("could not connect to the upstream: {0}")]
     Connect(String),
-    /// The upstream refused and vouches that the request did not start.
+    /// The upstream refused the request and guarantees that it did not start.
     #[error("the upstream refused the request before it started (status {0})")]
     NotStarted(u16),
-    /// The engine has another version of the model than the attempt asks for, and did not start it.
+    /// The engine has loaded a different model version than the attempt requires, and did not start the attempt.
     #[error("the engine has another version of the model")]
     VersionMismatch,
     /// The upstream answered with an error; it may have run the request.
@@ -21,10 +21,10 @@
     /// The connection broke after the request was sent.
     #[error("the connection to the upstream broke: {0}")]
     Broken(String),
-    /// No answer came in time.
+    /// No answer arrived before the timeout.
     #[error("the upstream gave no answer in time")]
     Timeout,
-    /// The answer could not be read.
+    /// The answer could not be parsed.
     #[error("could not read the upstream's answer: {0}")]
     Malformed(String),
     /// The engine has seen a higher fencing token.
@@ -33,7 +33,7 @@
 }
 
 impl UpstreamError {
-    /// What it proves of the request.
+    /// How the attempt ended, which determines whether the request may have run.
     pub fn end(&self) -> End {
         match self {
             UpstreamError::Connect(_) => End::Unsent,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether it is sure that the upstream did not start the request.
+    /// Whether the upstream certainly did not start the request.
     pub fn is_not_started(&self) -> bool {
         self.end().proves_not_run()
     }
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -1,25 +1,25 @@
-//! Server-sent events, whole ones only.
+//! Parser for server-sent events that returns complete events only.
 //!
-//! Failure guarded against: an engine breaks off in the middle of an event, and its first half reaches the caller
-//! in front of the same event from the engine that goes on. Bytes are held until the empty line that ends their
-//! event.
+//! Failure guarded against: an engine fails in the middle of an event, and the caller receives the first half of it
+//! followed by the same event from the engine that continues. Bytes are therefore buffered until the empty line that
+//! ends their event.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Longest event accepted, in bytes.
+/// Maximum length of an event, in bytes.
 pub const MAX_EVENT: usize = 1 << 20;
 
-/// One whole event, as it was sent.
+/// One complete event, as it was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, with the empty line that ends it.
+    /// Its bytes, including the empty line that ends it.
     pub bytes: Bytes,
     /// Its id, if it has a numeric one.
     pub id: Option<u64>,
 }
 
-/// Cuts bytes into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: BytesMut,
@@ -27,17 +27,17 @@
 }
 
 impl EventReader {
-    /// Nothing read yet.
+    /// Creates a reader with an empty buffer.
     pub fn new() -> EventReader {
         EventReader::default()
     }
 
-    /// Adds what came.
+    /// Appends received bytes.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// The next whole event.
+    /// The next event, if a complete one is buffered.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.find_end()?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -46,12 +46,12 @@
         Some(Event { bytes, id })
     }
 
-    /// Whether bytes are left that are no whole event.
+    /// Whether the buffer holds an incomplete event.
     pub fn has_rest(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whether the event that is being read is longer than any that is accepted.
+    /// Whether the buffer exceeds [`MAX_EVENT`].
     pub fn is_too_long(&self) -> bool {
         self.buffer.len() > MAX_EVENT
     }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,8 +1,7 @@
-//! Client of sequoiastream towards engines and plain services.
+//! HTTP clients for engines and plain services.
 //!
-//! Engines and plain services are met over HTTP; `docs/design/engine-protocol.md` describes what is asked of
-//! an engine. The client never repeats a request by itself and follows no redirect: whether an attempt may be
-//! repeated is decided in the core.
+//! `docs/design/engine-protocol.md` specifies the protocol that an engine must implement. The clients never retry a
+//! request by themselves and follow no redirects: the core decides whether an attempt may be retried.
 
 pub mod channel;
 mod engine;
--- a/crates/upstream/src/lines.rs
+++ b/crates/upstream/src/lines.rs
@@ -1,4 +1,4 @@
-//! Reading the lines of an engine's streamed answer, however the network cuts them.
+//! Parser for the lines of an engine's streamed answer, independent of how the network splits them.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 use crate::error::UpstreamError;
 use crate::wire::PieceBody;
 
-/// Longest line, in bytes.
+/// Maximum length of a line, in bytes.
 pub const MAX_LINE: usize = 64 * 1024;
 
-/// Puts lines together from what arrives, and reads each as a piece.
+/// Assembles lines from received bytes and parses each as a piece.
 #[derive(Debug, Default)]
 pub struct LineReader {
     buffer: BytesMut,
@@ -18,11 +18,11 @@
 }
 
 impl LineReader {
-    /// Takes bytes that arrived.
+    /// Appends received bytes and parses the lines that they complete.
     ///
     /// # Errors
     ///
-    /// [`UpstreamError::Malformed`] if a line is no piece, or has more than [`MAX_LINE`] bytes.
+    /// [`UpstreamError::Malformed`] if a line is not a valid piece, or is longer than [`MAX_LINE`] bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), UpstreamError> {
         self.buffer.extend_from_slice(bytes);
         while let Some(end) = self.buffer.iter().position(|&b| b == b'\n') {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The next piece, if a whole one has arrived.
+    /// The next piece, if a complete one has arrived.
     pub fn pop(&mut self) -> Option<PieceBody> {
         self.ready.pop_front()
     }
--- a/crates/upstream/src/plain.rs
+++ b/crates/upstream/src/plain.rs
@@ -15,17 +15,17 @@
 use crate::error::UpstreamError;
 use crate::wire::NOT_STARTED;
 
-/// Largest answer of a plain service that is passed through, in bytes.
+/// Maximum size of a plain service's answer, in bytes.
 const MAX_ANSWER: usize = 4 * 1024 * 1024;
 
-/// A call to pass through to a plain service.
+/// A call to forward to a plain service.
 #[derive(Debug, Clone)]
 pub struct PlainCall {
     /// HTTP method.
     pub method: Method,
     /// Path and query, beginning with `/`.
     pub path: String,
-    /// Headers to pass through, names and values.
+    /// Headers to forward, as names and values.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Bytes,
@@ -36,13 +36,13 @@
 pub struct PlainReply {
     /// HTTP status.
     pub status: u16,
-    /// Content type, if it said one.
+    /// Content type, if the service set one.
     pub content: Option<String>,
     /// Body.
     pub body: Bytes,
 }
 
-/// Client of plain services; stays on one thread, cheap to clone.
+/// Client of plain services; confined to one thread (not `Send`), cheap to clone.
 #[derive(Clone)]
 pub struct PlainClient {
     http: Client,
@@ -56,7 +56,7 @@
 }
 
 impl PlainClient {
-    /// A client with a connection pool of its own.
+    /// Creates a client with its own connection pool.
     pub fn new() -> PlainClient {
         PlainClient {
             http: http_client(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sends `call` once and reads the whole answer within `limit`.
+    /// Sends `call` once and reads the complete answer within `limit`.
     ///
     /// # Errors
     ///
@@ -81,15 +81,15 @@
             .unwrap_or(Err(UpstreamError::Timeout))
     }
 
-    /// Like [`send`](PlainClient::send), on a connection of its own that is closed afterwards.
+    /// Like [`send`](PlainClient::send), on a new connection that is closed afterwards.
     ///
-    /// Failure guarded against: the upstream closes a pooled connection as the request goes out on it, and the
-    /// HTTP client, or a proxy behind it, sends the request again; an order would run twice. This client's
-    /// pool stays empty, since no connection is kept, so there is no connection that can have gone stale.
+    /// Failure guarded against: the upstream closes a pooled connection while the request is being sent on it, and the
+    /// HTTP client, or a proxy behind it, retries the request; an order would run twice. No connection is kept in
+    /// this client's pool, so no stale connection can be used.
     ///
     /// # Errors
     ///
-    /// [`UpstreamError`]; after one that is not [`UpstreamError::is_not_started`] the call may have run.
+    /// [`UpstreamError`]; unless [`UpstreamError::is_not_started`] returns true, the call may have run.
     pub async fn send_once(
         &self,
         to: SocketAddr,
--- a/crates/upstream/src/wire.rs
+++ b/crates/upstream/src/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of the engine protocol. The stand-in engine uses the same types.
+//! Headers and message bodies of the engine protocol, shared with the stand-in engine.
 
 use std::net::SocketAddr;
 
@@ -8,37 +8,37 @@
 use serde::Serialize;
 use uuid::Uuid;
 
-/// Header by which an upstream vouches that a request it refused did not start.
+/// Response header by which an upstream guarantees that a request it refused did not start.
 pub const NOT_STARTED: &str = "x-not-started";
 
-/// Header by which an engine says which version of the model answers.
+/// Response header with the version of the model that answers.
 pub const MODEL_VERSION: &str = "x-model-version";
 
-/// Header by which an engine names its incarnation: a new one with each start of its process.
+/// Response header with the engine's incarnation, which is new with each start of its process.
 pub const INCARNATION: &str = "x-engine-incarnation";
 
-/// Status by which an engine refuses an attempt that asks for another version of the model than it has.
+/// Status by which an engine refuses an attempt that requires a different model version than it has loaded.
 pub const VERSION_MISMATCH: u16 = 412;
 
-/// Asks an engine to generate.
+/// Request to generate tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerateBody {
-    /// Names this attempt; each piece of the answer repeats it.
+    /// Id of this attempt; each piece of the answer repeats it.
     pub attempt: Uuid,
     /// Model to run.
     pub model: String,
-    /// The whole prompt.
+    /// The complete prompt.
     pub prompt: String,
-    /// Most tokens to generate, counted from offset 0.
+    /// Maximum number of tokens to generate, counted from offset 0.
     pub limit: u32,
     /// Seed: the same seed, prompt and model version give the same tokens.
     pub seed: u64,
-    /// Offset of the first token wanted; tokens before it are known to the caller already.
+    /// Offset of the first token to send; the caller already has the tokens before it.
     pub offset: u32,
-    /// The version of the model that must answer, if it matters; an engine that has another one refuses.
+    /// The model version that must answer, if required; an engine with a different version refuses.
     #[serde(default)]
     pub version: Option<u32>,
-    /// Text of the tokens before the offset, if it is to be continued as it stands, whatever version made it.
+    /// Text of the tokens before the offset, if the engine must continue it unchanged, whichever version generated it.
     #[serde(default)]
     pub prefix: Option<String>,
     /// 0 is the most urgent.
@@ -50,7 +50,7 @@
 /// One line of an engine's streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceBody {
-    /// The attempt that it answers.
+    /// Id of the attempt that it answers.
     pub attempt: Uuid,
     /// Offset of the token in the whole output.
     pub offset: u32,
@@ -65,20 +65,20 @@
 pub struct FinishBody {
     /// `stop` or `length`.
     pub reason: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u32,
-    /// Of these, tokens found in the prefix cache.
+    /// Number of these that were found in the prefix cache.
     pub cached: u32,
 }
 
-/// Asks an engine to stop an attempt.
+/// Request to stop an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelBody {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: Uuid,
 }
 
-/// What an engine reports of itself. The report is as old as `age`.
+/// An engine's load report, taken `age` milliseconds ago.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadBody {
     /// The role it has.
@@ -89,27 +89,27 @@
     pub adapter: Option<String>,
     /// Version of the model that it has loaded.
     pub version: u32,
-    /// Whether it is away for an order that is in progress.
+    /// Whether it is unavailable while an order is in progress.
     pub away: bool,
-    /// Highest fencing number it has seen.
+    /// Highest fencing token it has seen.
     pub fence: u64,
     /// Sequence number of the last order that took effect, 0 if none.
     pub sequence: u64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Prompt tokens waiting to be processed.
+    /// Number of prompt tokens waiting to be processed.
     pub prefill: u64,
-    /// Tokens held in KV cache.
+    /// Number of tokens in the KV cache.
     pub used: u64,
-    /// Tokens that fit into KV cache.
+    /// Capacity of the KV cache, in tokens.
     pub capacity: u64,
     /// Prompt tokens that it processes per second when alone.
     pub prefill_rate: u32,
     /// Tokens that it generates per second for one request when alone.
     pub decode_rate: u32,
-    /// Most requests that it runs at once in role decode.
+    /// Maximum number of requests that it runs concurrently in the decode role.
     pub slots: u32,
     /// Age of this report in milliseconds.
     pub age: u64,
@@ -118,30 +118,30 @@
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderBody {
-    /// Fencing number of the authority that gives it.
+    /// Fencing token of the authority that sends it.
     pub fence: u64,
     /// Sequence number within the engine, raised with each new order.
     pub sequence: u64,
-    /// Names the order.
+    /// Id of the order.
     pub id: Uuid,
-    /// What the engine shall be.
+    /// The state that the engine must reach.
     pub target: Target,
 }
 
-/// A refusal of an order with an old fencing number.
+/// A refusal of an order with an old fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StaleBody {
-    /// Highest fencing number that the engine has seen.
+    /// Highest fencing token that the engine has seen.
     pub fence: u64,
 }
 
-/// A change of an engine's prefix cache. Events come late, and numbers may be missing.
+/// A change of an engine's prefix cache. Events are delayed, and numbers may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the engine's events.
+    /// Sequence number of the event at this engine.
     pub number: u64,
     /// Digest of the prompt's prefix up to and including the block.
     pub block: u64,
-    /// Whether the block came in (`true`) or was evicted.
+    /// Whether the block was stored (`true`) or evicted.
     pub stored: bool,
 }
