--- a/crates/kv/src/budget.rs
+++ b/crates/kv/src/budget.rs
@@ -14,10 +14,10 @@
 pub const DEFAULT_RATE: u32 = 100;
 
 /// First bound of the pause before a call while calls fail; doubled with each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(25);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 
 /// Highest bound of that pause.
-const MAX_PAUSE: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Kinds of calls, as the platform counts them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 struct MeterState {
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
     failures: u32,
     counts: [CallCount; CallKind::ALL.len()],
 }
@@ -103,7 +103,7 @@
         let burst = f64::from(rate) * 2.0;
         let state = MeterState {
             tokens: burst,
-            filled: Instant::now(),
+            refilled: Instant::now(),
             failures: 0,
             counts: Default::default(),
         };
@@ -127,9 +127,9 @@
     pub fn take(&self, kind: CallKind, limit: Duration) -> Result<Duration, KvError> {
         let mut state = self.lock();
         let now = Instant::now();
-        let fresh = now.duration_since(state.filled).as_secs_f64() * self.rate;
+        let fresh = now.duration_since(state.refilled).as_secs_f64() * self.rate;
         state.tokens = (state.tokens + fresh).min(self.burst);
-        state.filled = now;
+        state.refilled = now;
         let missing = (1.0 - state.tokens).max(0.0);
         let wait = Duration::from_secs_f64(missing / self.rate);
         if wait > limit {
@@ -138,7 +138,7 @@
         }
         state.tokens -= 1.0;
         state.counts[kind as usize].calls += 1;
-        Ok(wait + pause(state.failures))
+        Ok(wait + backoff(state.failures))
     }
 
     /// Notes how a call ended.
@@ -161,10 +161,12 @@
 }
 
 /// A random pause after so many failures in a row.
-pub(crate) fn pause(failures: u32) -> Duration {
+pub(crate) fn backoff(failures: u32) -> Duration {
     if failures == 0 {
         return Duration::ZERO;
     }
-    let bound = FIRST_PAUSE.saturating_mul(1 << failures.min(6)).min(MAX_PAUSE);
+    let bound = INITIAL_BACKOFF
+        .saturating_mul(1 << failures.min(6))
+        .min(MAX_BACKOFF);
     bound.mul_f64(rand::rng().random_range(0.0..1.0))
 }
--- a/crates/kv/src/client.rs
+++ b/crates/kv/src/client.rs
@@ -23,26 +23,26 @@
 
 use crate::budget::CallKind;
 use crate::budget::CallMeter;
-use crate::budget::pause;
+use crate::budget::backoff;
 use crate::envelope;
 use crate::envelope::Operation;
 use crate::error::KvError;
-use crate::lists::Listed;
+use crate::lists::ListEntry;
 use crate::wire::EntryBody;
 use crate::wire::LeaseBody;
 use crate::wire::VersionBody;
 
 /// Header that tells the platform which instance calls.
-const CALLER: &str = "x-caller";
+const CALLER_HEADER: &str = "x-caller";
 
 /// How often an ambiguous write is tried and read back before it is given up as unresolved.
-const RESOLVE_TRIES: u32 = 4;
+const MAX_WRITE_ATTEMPTS: u32 = 4;
 
 /// Longest time of a write with all its tries, in deadlines of one call.
 const TOTAL_DEADLINES: u32 = 4;
 
 /// Largest answer read, in bytes: a value of a megabyte in base64, and its frame.
-const MAX_ANSWER: usize = 2 * 1024 * 1024;
+const MAX_BODY_LEN: usize = 2 * 1024 * 1024;
 
 /// The key-value service's own version of a key; 0 stands for an absent key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
@@ -107,7 +107,7 @@
         let http = Client::builder()
             .timeout(deadline)
             .disable_redirects()
-            .add_default_header((CALLER, caller.as_str()))
+            .add_default_header((CALLER_HEADER, caller.as_str()))
             .finish();
         KvClient {
             http,
@@ -174,16 +174,16 @@
         lease: Option<LeaseId>,
     ) -> Result<Swap, KvError> {
         let mut ambiguous = false;
-        for tried in 0..RESOLVE_TRIES {
-            sleep(pause(tried)).await;
+        for tried in 0..MAX_WRITE_ATTEMPTS {
+            sleep(backoff(tried)).await;
             match self.try_swap(key, expect, body.clone(), lease).await {
-                Ok(TrySwap::Done(version)) => return Ok(Swap::Done(version)),
-                Ok(TrySwap::Conflict(entry, Some(by))) if by == operation => {
+                Ok(SwapAttempt::Done(version)) => return Ok(Swap::Done(version)),
+                Ok(SwapAttempt::Conflict(entry, Some(by))) if by == operation => {
                     return Ok(Swap::Done(entry.version));
                 }
                 // Another write came on top: ours may lie below it.
-                Ok(TrySwap::Conflict(..)) if ambiguous => return Err(KvError::Unresolved),
-                Ok(TrySwap::Conflict(entry, _)) => return Ok(Swap::Conflict(entry)),
+                Ok(SwapAttempt::Conflict(..)) if ambiguous => return Err(KvError::Unresolved),
+                Ok(SwapAttempt::Conflict(entry, _)) => return Ok(Swap::Conflict(entry)),
                 Err(error) if error.is_ambiguous() => ambiguous = true,
                 Err(error) if ambiguous => {
                     tracing::debug!(%error, key, "write still ambiguous");
@@ -268,7 +268,7 @@
     /// # Errors
     ///
     /// [`KvError`] if no usable answer came in time.
-    pub async fn instances(&self) -> Result<Vec<Listed>, KvError> {
+    pub async fn instances(&self) -> Result<Vec<ListEntry>, KvError> {
         self.list("instances").await
     }
 
@@ -277,7 +277,7 @@
     /// # Errors
     ///
     /// [`KvError`] if no usable answer came in time.
-    pub async fn upstreams(&self) -> Result<Vec<Listed>, KvError> {
+    pub async fn upstreams(&self) -> Result<Vec<ListEntry>, KvError> {
         self.list("upstreams").await
     }
 
@@ -296,7 +296,7 @@
         self.metered(CallKind::Weights, read).await
     }
 
-    async fn list(&self, kind: &str) -> Result<Vec<Listed>, KvError> {
+    async fn list(&self, kind: &str) -> Result<Vec<ListEntry>, KvError> {
         let url = format!("{}/v1/list/{kind}", self.base);
         let read = async {
             let answer = self.call(self.http.get(url).send(), self.deadline).await?;
@@ -311,7 +311,7 @@
         expect: Expect,
         body: Bytes,
         lease: Option<LeaseId>,
-    ) -> Result<TrySwap, KvError> {
+    ) -> Result<SwapAttempt, KvError> {
         let expect = match expect {
             Expect::Absent => 0,
             Expect::Version(version) => version.0,
@@ -323,13 +323,13 @@
             let answer = self.call(sent, self.deadline).await?;
             match answer.status().as_u16() {
                 409 => {
-                    let (entry, by) = self.entry_of(answer).await?;
-                    Ok(TrySwap::Conflict(entry, by))
+                    let (entry, by) = self.read_entry(answer).await?;
+                    Ok(SwapAttempt::Conflict(entry, by))
                 }
                 410 => Err(KvError::LeaseLapsed),
                 _ => {
                     let body: VersionBody = self.json(answer).await?;
-                    Ok(TrySwap::Done(KvVersion(body.version)))
+                    Ok(SwapAttempt::Done(KvVersion(body.version)))
                 }
             }
         };
@@ -361,20 +361,20 @@
 
     async fn entry<S>(&self, answer: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
     where
-        S: AnswerStream,
+        S: BodyStream,
     {
         match answer.status().as_u16() {
             404 => Ok((absent(), None)),
             _ => {
                 expect_success(&answer)?;
-                self.entry_of(answer).await
+                self.read_entry(answer).await
             }
         }
     }
 
-    async fn entry_of<S>(&self, answer: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
+    async fn read_entry<S>(&self, answer: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
     where
-        S: AnswerStream,
+        S: BodyStream,
     {
         let body: EntryBody = self.body(answer).await?;
         let Some(text) = body.value else {
@@ -400,7 +400,7 @@
 
     async fn json<S, T>(&self, answer: ClientResponse<S>) -> Result<T, KvError>
     where
-        S: AnswerStream,
+        S: BodyStream,
         T: DeserializeOwned,
     {
         expect_success(&answer)?;
@@ -409,10 +409,10 @@
 
     async fn body<S, T>(&self, mut answer: ClientResponse<S>) -> Result<T, KvError>
     where
-        S: AnswerStream,
+        S: BodyStream,
         T: DeserializeOwned,
     {
-        let read = answer.body().limit(MAX_ANSWER);
+        let read = answer.body().limit(MAX_BODY_LEN);
         let bytes = match timeout(self.deadline, read).await {
             Ok(Ok(bytes)) => bytes,
             Ok(Err(error)) => return Err(KvError::Connection(error.to_string())),
@@ -434,14 +434,11 @@
 }
 
 /// The body stream of an answer.
-trait AnswerStream: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin {}
+trait BodyStream: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin {}
 
-impl<S> AnswerStream for S where
-    S: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin
-{
-}
+impl<S> BodyStream for S where S: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin {}
 
-enum TrySwap {
+enum SwapAttempt {
     Done(KvVersion),
     Conflict(Entry, Option<Operation>),
 }
--- a/crates/kv/src/envelope.rs
+++ b/crates/kv/src/envelope.rs
@@ -17,11 +17,11 @@
     pub number: u64,
 }
 
-const HEADER: usize = 24;
+const HEADER_LEN: usize = 24;
 
 /// Puts `value` behind the operation that writes it.
 pub fn wrap(operation: Operation, value: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEADER + value.len());
+    let mut bytes = Vec::with_capacity(HEADER_LEN + value.len());
     bytes.extend_from_slice(operation.incarnation.as_bytes());
     bytes.extend_from_slice(&operation.number.to_be_bytes());
     bytes.extend_from_slice(value);
--- a/crates/kv/src/lib.rs
+++ b/crates/kv/src/lib.rs
@@ -26,7 +26,7 @@
 pub use client::LeaseId;
 pub use client::Swap;
 pub use error::KvError;
-pub use lists::Listed;
+pub use lists::ListEntry;
 pub use lists::ListedState;
 pub use wire::EntryBody;
 pub use wire::LeaseBody;
--- a/crates/kv/src/lists.rs
+++ b/crates/kv/src/lists.rs
@@ -18,7 +18,7 @@
 
 /// An entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListEntry {
     /// Name of the instance or upstream.
     pub name: Name,
     /// Availability zone.
--- a/crates/kv/src/store.rs
+++ b/crates/kv/src/store.rs
@@ -11,7 +11,7 @@
 
 /// Time for an answer besides what a watch waits. The users' sheets say 4 ms; a store that takes longer than this is
 /// slow or away.
-pub const ANSWER: Duration = Duration::from_millis(700);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// A key with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/peer/src/call.rs
+++ b/crates/peer/src/call.rs
@@ -44,7 +44,7 @@
 /// Encoding byte at the start of a frame's body: the uncompressed length follows, then the compressed message.
 const COMPRESSED: u8 = 1;
 
-const NONCE: usize = 16;
+const NONCE_LEN: usize = 16;
 
 /// Answers the questions of peers; the daemon's side of this package.
 pub trait Responder: Clone + 'static {
@@ -168,8 +168,8 @@
 impl Channel {
     async fn open(mut stream: TcpStream, key: &ClusterKey, side: Side) -> Result<Channel, PeerError> {
         let broken = |e: std::io::Error| PeerError::Broken(e.to_string());
-        let ours: [u8; NONCE] = rand::rng().random();
-        let mut theirs = [0; NONCE];
+        let ours: [u8; NONCE_LEN] = rand::rng().random();
+        let mut theirs = [0; NONCE_LEN];
         stream.write_all(&ours).await.map_err(broken)?;
         stream.read_exact(&mut theirs).await.map_err(broken)?;
         let nonces = match side {
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -93,7 +93,7 @@
     /// The peer has reached its limit of full transfers; retry later or ask another peer.
     Busy,
     /// Answer to [`Request::Since`].
-    News(StoreNews),
+    News(StoreChanges),
     /// The request is not served here.
     Unserved,
 }
@@ -146,7 +146,7 @@
 
 /// What happened in the store after a revision, as an instance knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreNews {
+pub struct StoreChanges {
     /// Up to which revision.
     pub revision: u64,
     /// Milliseconds since the store had nothing beyond that.
--- a/crates/peer/src/seal.rs
+++ b/crates/peer/src/seal.rs
@@ -13,10 +13,10 @@
 use crate::error::PeerError;
 
 /// Bytes of a tag.
-pub const TAG: usize = 16;
+pub const TAG_LEN: usize = 16;
 
 /// Counters behind the highest one that are still accepted, if they were not seen.
-const WINDOW: u64 = 64;
+const WINDOW_SIZE: u64 = 64;
 
 /// Key of the messages between instances.
 #[derive(Clone)]
@@ -43,11 +43,11 @@
     }
 
     /// The tag of `message`.
-    pub fn tag(&self, message: &[u8]) -> [u8; TAG] {
+    pub fn tag(&self, message: &[u8]) -> [u8; TAG_LEN] {
         let hash = blake3::keyed_hash(&self.0, message);
         let (tag, _) = hash
             .as_bytes()
-            .split_first_chunk::<TAG>()
+            .split_first_chunk::<TAG_LEN>()
             .expect("a hash has 32 bytes");
         *tag
     }
@@ -65,7 +65,7 @@
     ///
     /// [`PeerError::Forged`] if the tag doesn't fit.
     pub fn open<'a>(&self, sealed: &'a [u8]) -> Result<&'a [u8], PeerError> {
-        let (message, tag) = sealed.split_last_chunk::<TAG>().ok_or(PeerError::Forged)?;
+        let (message, tag) = sealed.split_last_chunk::<TAG_LEN>().ok_or(PeerError::Forged)?;
         // Compared as hashes, in constant time.
         let expected = blake3::keyed_hash(&self.0, &self.tag(message));
         match blake3::keyed_hash(&self.0, tag) == expected {
@@ -78,11 +78,11 @@
 /// Refuses counters that were seen, for each sender.
 #[derive(Debug, Default)]
 pub struct ReplayWindow {
-    senders: BTreeMap<Name, Seen>,
+    senders: BTreeMap<Name, SenderWindow>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct SenderWindow {
     incarnation: Uuid,
     highest: u64,
     mask: u64,
@@ -101,7 +101,7 @@
     ///
     /// [`PeerError::Replayed`] if it was seen, is too old to tell, or is of an earlier incarnation.
     pub fn accept(&mut self, sender: &Name, incarnation: Uuid, counter: u64) -> Result<(), PeerError> {
-        let fresh = Seen {
+        let fresh = SenderWindow {
             incarnation,
             highest: counter,
             mask: 1,
@@ -121,17 +121,21 @@
     }
 }
 
-impl Seen {
+impl SenderWindow {
     fn accept(&mut self, counter: u64) -> Result<(), PeerError> {
         if counter > self.highest {
             let ahead = counter - self.highest;
-            self.mask = if ahead < WINDOW { self.mask << ahead } else { 0 };
+            self.mask = if ahead < WINDOW_SIZE {
+                self.mask << ahead
+            } else {
+                0
+            };
             self.mask |= 1;
             self.highest = counter;
             return Ok(());
         }
         let behind = self.highest - counter;
-        if behind >= WINDOW || self.mask & (1 << behind) != 0 {
+        if behind >= WINDOW_SIZE || self.mask & (1 << behind) != 0 {
             return Err(PeerError::Replayed);
         }
         self.mask |= 1 << behind;
--- a/crates/standin/src/experiment/fleet.rs
+++ b/crates/standin/src/experiment/fleet.rs
@@ -9,7 +9,7 @@
 use eyre::bail;
 use sequoiastream_core::config::Role;
 use sequoiastream_core::name::Name;
-use sequoiastream_kv::Listed;
+use sequoiastream_kv::ListEntry;
 use sequoiastream_kv::ListedState;
 use serde::Serialize;
 use serde_json::json;
@@ -136,7 +136,7 @@
             format!("--away-ms={}", plan.away),
         ];
         let daemon = Process::start(&plan.binaries.join("sequoiastreamd"), args);
-        let listed = Listed {
+        let listed = ListEntry {
             name: Name::new(&format!("i{index}"))?,
             zone: Name::new("lodi-a")?,
             address: daemon.address(),
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -21,7 +21,7 @@
 use sequoiastream_core::name::Name;
 use sequoiastream_kv::EntryBody;
 use sequoiastream_kv::LeaseBody;
-use sequoiastream_kv::Listed;
+use sequoiastream_kv::ListEntry;
 use sequoiastream_kv::VersionBody;
 use serde::Deserialize;
 use serde::Serialize;
@@ -73,7 +73,7 @@
     store: Store,
     fault: Fault,
     stats: Stats,
-    history: Vec<(Instant, String, Vec<Listed>)>,
+    history: Vec<(Instant, String, Vec<ListEntry>)>,
 }
 
 /// Shared state of the server.
@@ -316,7 +316,7 @@
     state.history.push((Instant::now(), kind.to_string(), list));
 }
 
-async fn set_listed(platform: Data<Platform>, kind: Path<String>, listed: Json<Listed>) -> HttpResponse {
+async fn set_listed(platform: Data<Platform>, kind: Path<String>, listed: Json<ListEntry>) -> HttpResponse {
     let mut state = platform.lock();
     state.store.set_listed(&kind, listed.into_inner());
     remember(&mut state, &kind);
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use sequoiastream_core::name::Name;
-use sequoiastream_kv::Listed;
+use sequoiastream_kv::ListEntry;
 
 /// A stored value.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     revision: u64,
     keys: BTreeMap<String, Stored>,
     leases: BTreeMap<u64, Lease>,
-    lists: BTreeMap<String, BTreeMap<Name, Listed>>,
+    lists: BTreeMap<String, BTreeMap<Name, ListEntry>>,
 }
 
 impl Store {
@@ -119,7 +119,7 @@
     }
 
     /// Sets an entry of the list `kind`.
-    pub fn set_listed(&mut self, kind: &str, listed: Listed) {
+    pub fn set_listed(&mut self, kind: &str, listed: ListEntry) {
         let list = self.lists.entry(kind.to_string()).or_default();
         list.insert(listed.name.clone(), listed);
     }
@@ -132,7 +132,7 @@
     }
 
     /// The list `kind` in the order of names.
-    pub fn list(&self, kind: &str) -> Vec<Listed> {
+    pub fn list(&self, kind: &str) -> Vec<ListEntry> {
         self.lists
             .get(kind)
             .map(|list| list.values().cloned().collect())
--- a/crates/testsupport/src/fleet.rs
+++ b/crates/testsupport/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 
 use sequoiastream_core::name::Name;
-use sequoiastream_kv::Listed;
+use sequoiastream_kv::ListEntry;
 use sequoiastream_kv::ListedState;
 use sequoiastream_operator::wire::ReplyBody;
 use sequoiastream_operator::wire::StatementBody;
@@ -187,7 +187,7 @@
 
     /// Lets the platform's list show daemon `index` in this state.
     pub async fn list_instance(&self, index: usize, state: ListedState) {
-        let listed: Vec<Listed> = http::read(&format!("{}/v1/list/instances", self.platform.url())).await;
+        let listed: Vec<ListEntry> = http::read(&format!("{}/v1/list/instances", self.platform.url())).await;
         let name = format!("i{index}");
         let peer = listed
             .iter()
@@ -197,7 +197,7 @@
     }
 
     async fn list(&self, name: &str, address: SocketAddr, peer: Option<SocketAddr>, state: ListedState) {
-        let listed = Listed {
+        let listed = ListEntry {
             name: Name::new(name).expect("a name"),
             zone: Name::new("lodi-a").expect("a name"),
             address,
--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -25,7 +25,7 @@
 use sequoiastream_core::name::Name;
 use sequoiastream_kv::KvClient;
 use sequoiastream_kv::KvError;
-use sequoiastream_kv::Listed;
+use sequoiastream_kv::ListEntry;
 use sequoiastream_kv::ListedState;
 use sequoiastream_peer::PeerError;
 use sequoiastream_peer::datagram::DatagramSocket;
@@ -164,7 +164,11 @@
     }
 
     /// Passes the lists that could be read to the table, and logs the errors of the others.
-    fn on_lists(&mut self, instances: Result<Vec<Listed>, KvError>, upstreams: Result<Vec<Listed>, KvError>) {
+    fn on_lists(
+        &mut self,
+        instances: Result<Vec<ListEntry>, KvError>,
+        upstreams: Result<Vec<ListEntry>, KvError>,
+    ) {
         match instances {
             Ok(list) => self.handle_event(Event::Listed(list.iter().filter_map(listing).collect())),
             Err(error) => log_event!(warn, log_event::KV_FAILED, %error, call = "list instances"),
@@ -181,7 +185,7 @@
 }
 
 /// Converts a list entry; `None` if it has no peer address.
-fn listing(listed: &Listed) -> Option<Listing> {
+fn listing(listed: &ListEntry) -> Option<Listing> {
     Some(Listing {
         name: listed.name.clone(),
         zone: listed.zone.clone(),
--- a/src/ops/relay/follow/listen.rs
+++ b/src/ops/relay/follow/listen.rs
@@ -8,7 +8,7 @@
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Change;
 use sequoiastream_kv::store::Item;
-use sequoiastream_peer::message::StoreNews;
+use sequoiastream_peer::message::StoreChanges;
 use sequoiastream_peer::message::StorePage;
 
 use crate::log_event;
@@ -80,7 +80,7 @@
     }
 
     /// Applies the changes since the known revision as sent by a peer. Returns whether all of them could be fetched.
-    async fn on_peer_changes(&mut self, peer: SocketAddr, news: StoreNews) -> bool {
+    async fn on_peer_changes(&mut self, peer: SocketAddr, news: StoreChanges) -> bool {
         let mut items: Vec<Item> = news.items.into_iter().map(known::from_message).collect();
         for (revision, key) in &news.large {
             match self.fetch_large(*revision, key).await {
--- a/src/ops/relay/known.rs
+++ b/src/ops/relay/known.rs
@@ -22,8 +22,8 @@
 use sequoiastream_core::time::Time;
 use sequoiastream_kv::store::Change;
 use sequoiastream_kv::store::Item;
+use sequoiastream_peer::message::StoreChanges;
 use sequoiastream_peer::message::StoreItem;
-use sequoiastream_peer::message::StoreNews;
 use sequoiastream_peer::message::StorePage;
 
 use crate::ops::relay::edge::StoreKeys;
@@ -211,7 +211,7 @@
 
     /// Returns the changes after `revision`, for a peer that has read the store up to there; `None` if older removals
     /// than those kept are needed.
-    pub fn changes_since(&self, now: Time, revision: u64) -> Option<StoreNews> {
+    pub fn changes_since(&self, now: Time, revision: u64) -> Option<StoreChanges> {
         let state = self.0.borrow();
         if revision < state.compact_revision {
             return None;
@@ -228,7 +228,7 @@
             changed.partition(|item| item.value.len() > MAX_INLINE_BYTES);
         let removed = state.removed.range((revision + 1, String::new())..);
         let removed = removed.take_while(|(at, _)| *at <= last);
-        Some(StoreNews {
+        Some(StoreChanges {
             revision: last,
             age,
             items: small.into_iter().map(to_message).collect(),
--- a/src/ops/relay/peers/ask.rs
+++ b/src/ops/relay/peers/ask.rs
@@ -10,7 +10,7 @@
 use sequoiastream_core::time::Time;
 use sequoiastream_peer::message::Request;
 use sequoiastream_peer::message::Response;
-use sequoiastream_peer::message::StoreNews;
+use sequoiastream_peer::message::StoreChanges;
 use sequoiastream_peer::message::StorePage;
 
 use crate::log_event;
@@ -29,7 +29,7 @@
     /// The first page of the whole store.
     FirstPage(SocketAddr, StorePage),
     /// The changes since the known revision.
-    Changes(SocketAddr, StoreNews),
+    Changes(SocketAddr, StoreChanges),
 }
 
 impl Fleet {
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -25,7 +25,7 @@
 use sequoiastream_core::membership::rank;
 use sequoiastream_core::name::Name;
 use sequoiastream_core::time::Time;
-use sequoiastream_kv::Listed;
+use sequoiastream_kv::ListEntry;
 use sequoiastream_kv::ListedState;
 use sequoiastream_peer::datagram::MAX_DATAGRAM;
 use sequoiastream_standin::platform::Fault;
@@ -303,7 +303,7 @@
 }
 
 async fn list_leaving(fleet: &Fleet, index: usize) {
-    let listed = Listed {
+    let listed = ListEntry {
         name: name(&format!("machine-{index}")),
         zone: name("lodi-a"),
         address: fleet.engines[index].address(),
--- a/tests/testsuite/relay/watchers.rs
+++ b/tests/testsuite/relay/watchers.rs
@@ -19,7 +19,7 @@
 use sequoiastream_core::relay::watchers::rank_candidates;
 use sequoiastream_core::relay::watchers::watcher_count;
 use sequoiastream_core::time::Time;
-use sequoiastream_kv::store::ANSWER;
+use sequoiastream_kv::store::RESPONSE_TIMEOUT;
 
 use crate::claims::client::PrintSeedOnPanic;
 use crate::claims::client::seeds_or;
@@ -455,7 +455,7 @@
                         true => Call::Batching(now + BATCH_DELAY),
                         false => Call::None,
                     };
-                } else if now.since(sent) >= wait + ANSWER {
+                } else if now.since(sent) >= wait + RESPONSE_TIMEOUT {
                     instance.call = Call::Backoff(now + Duration::from_millis(100));
                 }
             }
