--- a/crates/kv/src/budget.rs
+++ b/crates/kv/src/budget.rs
@@ -1,5 +1,5 @@
-//! The call budget of an instance, and counting, since the platform counts each call and its rates grow more
-//! slowly than the fleet.
+//! Call budget and call counts of an instance. Both are needed because the platform counts every call, and its rate
+//! limits grow more slowly than the fleet.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -10,13 +10,13 @@
 
 use crate::error::KvError;
 
-/// Calls a second that an instance may make if nothing else is set.
+/// Default number of calls per second that an instance may make.
 pub const DEFAULT_RATE: u32 = 100;
 
-/// First bound of the pause before a call while calls fail; doubled with each failure in a row.
+/// Initial upper bound of the random delay before a call while calls fail; doubled with each consecutive failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 
-/// Highest bound of that pause.
+/// Maximum upper bound of that delay.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Kinds of calls, as the platform counts them.
@@ -26,11 +26,11 @@
     Read,
     /// Writing a key.
     Write,
-    /// Waiting for a key to change; one call for as long as it waits.
+    /// Waiting for a key to change; counts as one call however long it waits.
     Watch,
     /// Granting, renewing or releasing a lease.
     Lease,
-    /// Reading the list of machines.
+    /// Listing machines.
     List,
     /// Reading from the weight store.
     Weights,
@@ -47,7 +47,7 @@
         CallKind::Weights,
     ];
 
-    /// The kind as a label of metrics.
+    /// Value of the metrics label for this kind.
     pub fn label(self) -> &'static str {
         match self {
             CallKind::Read => "read",
@@ -60,22 +60,23 @@
     }
 }
 
-/// Calls of one kind since the start of the process.
+/// Number of calls of one kind since the process started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CallCount {
-    /// Made.
+    /// Calls made.
     pub calls: u64,
-    /// Of these, without a usable answer.
+    /// Calls made that got no usable response.
     pub failed: u64,
-    /// Not made, since the budget was spent.
+    /// Calls not made because the budget was exhausted.
     pub refused: u64,
 }
 
-/// The call budget that all clients of one instance share: a token bucket, and what was spent.
+/// Call budget shared by all clients of one instance: a token bucket and call counters.
 ///
-/// Failure guarded against: after an outage all instances call at once what they put off, and the service goes
-/// down again. While calls fail each further call waits a random time that grows with the failures, so the
-/// calls of the fleet stay spread when the service returns, and no instance ever exceeds its rate.
+/// Guards against all instances sending their deferred calls at once after an outage, which would overload the
+/// service again. While calls fail, each further call is delayed by a random time that grows with the number of
+/// consecutive failures. The calls of the fleet therefore stay spread out when the service recovers, and no instance
+/// ever exceeds its rate.
 #[derive(Debug)]
 pub struct CallMeter {
     rate: f64,
@@ -98,7 +99,7 @@
 }
 
 impl CallMeter {
-    /// A budget of `rate` calls a second, and twice as many at once.
+    /// Creates a budget of `rate` calls per second with bursts of up to twice that number.
     pub fn new(rate: u32) -> CallMeter {
         let burst = f64::from(rate) * 2.0;
         let state = MeterState {
@@ -114,16 +115,16 @@
         }
     }
 
-    /// What was spent on `kind`.
+    /// Returns the call counts of `kind`.
     pub fn count(&self, kind: CallKind) -> CallCount {
         self.lock().counts[kind as usize]
     }
 
-    /// Takes a call from the budget; returns how long to wait before it is made.
+    /// Takes one call from the budget and returns how long to wait before making it.
     ///
     /// # Errors
     ///
-    /// [`KvError::Budget`] if the wait would be longer than `limit`; the call may not be made.
+    /// [`KvError::Budget`] if the wait for the budget would exceed `limit`; the call must not be made.
     pub fn take(&self, kind: CallKind, limit: Duration) -> Result<Duration, KvError> {
         let mut state = self.lock();
         let now = Instant::now();
@@ -141,7 +142,7 @@
         Ok(wait + backoff(state.failures))
     }
 
-    /// Notes how a call ended.
+    /// Records the result of a call.
     pub fn end(&self, kind: CallKind, error: Option<&KvError>) {
         let mut state = self.lock();
         match error {
@@ -156,11 +157,11 @@
     fn lock(&self) -> MutexGuard<'_, MeterState> {
         self.state
             .lock()
-            .expect("no thread panics while it holds the meter")
+            .expect("no thread panics while it holds the meter's lock")
     }
 }
 
-/// A random pause after so many failures in a row.
+/// Returns a random delay for the given number of consecutive failures.
 pub(crate) fn backoff(failures: u32) -> Duration {
     if failures == 0 {
         return Duration::ZERO;
--- a/crates/kv/src/client.rs
+++ b/crates/kv/src/client.rs
@@ -32,19 +32,19 @@
 use crate::wire::LeaseBody;
 use crate::wire::VersionBody;
 
-/// Header that tells the platform which instance calls.
+/// Request header that identifies the calling instance to the platform.
 const CALLER_HEADER: &str = "x-caller";
 
-/// How often an ambiguous write is tried and read back before it is given up as unresolved.
+/// Maximum number of attempts to write and read back an ambiguous write before it is reported as unresolved.
 const MAX_WRITE_ATTEMPTS: u32 = 4;
 
-/// Longest time of a write with all its tries, in deadlines of one call.
+/// Maximum duration of a write including all attempts, as a multiple of the deadline of one call.
 const TOTAL_DEADLINES: u32 = 4;
 
-/// Largest answer read, in bytes: a value of a megabyte in base64, and its frame.
+/// Maximum response body, in bytes: a value of 1 MB in base64 and the JSON around it.
 const MAX_BODY_LEN: usize = 2 * 1024 * 1024;
 
-/// The key-value service's own version of a key; 0 stands for an absent key.
+/// Version that the key-value service assigns to a key; 0 means that the key is absent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct KvVersion(pub u64);
 
@@ -55,13 +55,13 @@
 /// A key's value and version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Version to compare with at the next swap.
+    /// Version to expect in the next swap.
     pub version: KvVersion,
     /// The value; `None` if the key is absent.
     pub value: Option<Bytes>,
 }
 
-/// What a swap compares with.
+/// Precondition of a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
     /// The key is absent.
@@ -79,16 +79,16 @@
     }
 }
 
-/// How a swap ended.
+/// Result of a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Swap {
-    /// It took effect and made this version.
+    /// The write took effect and created this version.
     Done(KvVersion),
-    /// It did not take effect: the key stands so.
+    /// The write did not take effect; holds the current entry.
     Conflict(Entry),
 }
 
-/// Client of the key-value service, the lists and the weight store. Cheap to clone; stays on one thread.
+/// Client of the key-value service, the machine lists and the weight store. Cheap to clone; not `Send`.
 #[derive(Clone)]
 pub struct KvClient {
     http: Client,
@@ -100,9 +100,9 @@
 }
 
 impl KvClient {
-    /// A client of the platform at `base` (such as `http://127.0.0.1:7000`), whose calls end after
-    /// `deadline`. `caller` tells the platform who calls. `incarnation` must be drawn anew at each start of
-    /// the process.
+    /// Creates a client of the platform at the base URL `base` (such as `http://127.0.0.1:7000`) whose calls time out
+    /// after `deadline`. `caller` identifies the calling instance to the platform. A new `incarnation` must be
+    /// generated at each start of the process.
     pub fn new(base: &str, caller: &Name, deadline: Duration, incarnation: Uuid) -> KvClient {
         let http = Client::builder()
             .timeout(deadline)
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Shares the call budget of `meter` with the other clients of the instance.
+    /// Uses `meter`, the call budget shared with the other clients of the instance.
     pub fn meter(mut self, meter: Arc<CallMeter>) -> KvClient {
         self.meter = meter;
         self
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time.
+    /// [`KvError`] if no usable response arrived in time.
     pub async fn get(&self, key: &str) -> Result<Entry, KvError> {
         let url = format!("{}/v1/kv/{key}", self.base);
         let get = async {
@@ -139,16 +139,15 @@
         self.metered(CallKind::Read, get).await
     }
 
-    /// Writes `value` to `key` if the key still stands as `expect` says.
+    /// Writes `value` to `key` if the key satisfies `expect`.
     ///
-    /// An answer lost on the way is resolved: the same write is offered again and, on a conflict, the stored
-    /// operation is compared with ours. Since each try compares with the same version, at most one takes
-    /// effect.
+    /// If the response is lost, the same write is retried and, on a conflict, the stored operation is compared with
+    /// that of this write. Since every attempt expects the same version, at most one takes effect.
     ///
     /// # Errors
     ///
-    /// [`KvError::Unresolved`] if it could not be found out in time whether the write took effect, another
-    /// [`KvError`] if it surely did not.
+    /// [`KvError::Unresolved`] if it could not be determined in time whether the write took effect; another
+    /// [`KvError`] if it definitely did not.
     pub async fn swap(
         &self,
         key: &str,
@@ -181,12 +180,12 @@
                 Ok(SwapAttempt::Conflict(entry, Some(by))) if by == operation => {
                     return Ok(Swap::Done(entry.version));
                 }
-                // Another write came on top: ours may lie below it.
+                // Another write replaced the value; this write may have taken effect before it.
                 Ok(SwapAttempt::Conflict(..)) if ambiguous => return Err(KvError::Unresolved),
                 Ok(SwapAttempt::Conflict(entry, _)) => return Ok(Swap::Conflict(entry)),
                 Err(error) if error.is_ambiguous() => ambiguous = true,
                 Err(error) if ambiguous => {
-                    tracing::debug!(%error, key, "write still ambiguous");
+                    tracing::debug!(%error, key, "write outcome still ambiguous");
                 }
                 Err(error) => return Err(error),
             }
@@ -194,11 +193,11 @@
         Err(KvError::Unresolved)
     }
 
-    /// Waits until `key` has another version than `after`, for at most `wait`; `None` if it has not changed.
+    /// Waits up to `wait` until the version of `key` differs from `after`; returns `None` if it did not change.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came within `wait` and the call's deadline.
+    /// [`KvError`] if no usable response arrived within `wait` plus the deadline of the call.
     pub async fn watch(&self, key: &str, after: KvVersion, wait: Duration) -> Result<Option<Entry>, KvError> {
         let url = format!(
             "{}/v1/watch/{key}?after={}&wait_ms={}",
@@ -217,11 +216,11 @@
         self.metered(CallKind::Watch, watch).await
     }
 
-    /// Asks for a lease that lapses `ttl` after its last renewal.
+    /// Requests a lease that expires `ttl` after its last renewal.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time; a lease that was granted all the same lapses by itself.
+    /// [`KvError`] if no usable response arrived in time; a lease that was granted nevertheless expires by itself.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseId, KvError> {
         let url = format!("{}/v1/lease?ttl_ms={}", self.base, ttl.as_millis());
         let grant = async {
@@ -232,11 +231,11 @@
         self.metered(CallKind::Lease, grant).await
     }
 
-    /// Renews a lease. The holder counts its time from before this call was sent.
+    /// Renews a lease. The holder must measure the lease's time from before this call was sent.
     ///
     /// # Errors
     ///
-    /// [`KvError::LeaseLapsed`] if it has lapsed; another [`KvError`] if no usable answer came in time.
+    /// [`KvError::LeaseLapsed`] if it has expired; another [`KvError`] if no usable response arrived in time.
     pub async fn renew(&self, lease: LeaseId) -> Result<(), KvError> {
         let url = format!("{}/v1/lease/{}", self.base, lease.0);
         let renew = async {
@@ -253,7 +252,7 @@
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time; the lease then lapses by itself.
+    /// [`KvError`] if no usable response arrived in time; the lease then expires by itself.
     pub async fn release(&self, lease: LeaseId) -> Result<(), KvError> {
         let url = format!("{}/v1/lease/{}", self.base, lease.0);
         let release = async {
@@ -263,30 +262,30 @@
         self.metered(CallKind::Lease, release).await
     }
 
-    /// The platform's list of entry instances, as old as its lag.
+    /// Returns the platform's list of entry instances, which may lag behind.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time.
+    /// [`KvError`] if no usable response arrived in time.
     pub async fn instances(&self) -> Result<Vec<ListEntry>, KvError> {
         self.list("instances").await
     }
 
-    /// The platform's list of upstreams, as old as its lag.
+    /// Returns the platform's list of upstreams, which may lag behind.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time.
+    /// [`KvError`] if no usable response arrived in time.
     pub async fn upstreams(&self) -> Result<Vec<ListEntry>, KvError> {
         self.list("upstreams").await
     }
 
-    /// Asks the weight store whether `model` can be read now. The store is rate-limited: a load that starts
-    /// while it refuses would stall an engine.
+    /// Checks whether `model` can be read from the weight store now. The store is rate-limited: loading a model while
+    /// it refuses reads would stall an engine.
     ///
     /// # Errors
     ///
-    /// [`KvError::Refused`] with status 429 if the store's rate is used up.
+    /// [`KvError::Refused`] with status 429 if the store's rate limit is reached.
     pub async fn weights(&self, model: &Name) -> Result<(), KvError> {
         let url = format!("{}/v1/weights/{model}", self.base);
         let read = async {
@@ -336,7 +335,7 @@
         self.metered(CallKind::Write, put).await
     }
 
-    /// Makes a call within the budget and counts it.
+    /// Makes a call within the call budget and counts it.
     async fn metered<F, T>(&self, kind: CallKind, call: F) -> Result<T, KvError>
     where
         F: Future<Output = Result<T, KvError>>,
@@ -390,7 +389,7 @@
             .decode(text)
             .map_err(|e| KvError::Malformed(e.to_string()))?;
         let (operation, value) = envelope::unwrap(&bytes)
-            .ok_or_else(|| KvError::Malformed("value without its writer".to_string()))?;
+            .ok_or_else(|| KvError::Malformed("the value has no envelope".to_string()))?;
         let entry = Entry {
             version: KvVersion(body.version),
             value: Some(Bytes::copy_from_slice(value)),
@@ -433,7 +432,7 @@
     }
 }
 
-/// The body stream of an answer.
+/// Body stream of a response.
 trait BodyStream: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin {}
 
 impl<S> BodyStream for S where S: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin {}
@@ -450,19 +449,19 @@
     }
 }
 
-/// Turns a failure to send into an error that tells whether the call may have left.
+/// Converts a send error to an error that tells whether the request may have been sent.
 ///
-/// Failure guarded against: a write that took effect is taken for one that did not. awc reports a connection
-/// that closed after the call was sent as `Connect(Disconnected)`; taken at its word, the writer would act as
-/// if its value were not stored. The guard holds because every other connect error comes from before the
-/// connection exists, when no byte of the call can have left.
+/// Guards against treating a write that took effect as one that did not. awc reports a connection that was closed
+/// after the request was sent as `Connect(Disconnected)`; if this were treated as a connect error, the writer would
+/// assume that its value was not stored. Every other connect error occurs before the connection is established, when
+/// no byte of the request can have been sent.
 fn from_send(error: SendRequestError, limit: Duration) -> KvError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
-            KvError::Connection("closed without an answer".to_string())
+            KvError::Connection("the connection was closed without a response".to_string())
         }
         SendRequestError::Connect(ConnectError::Timeout) => {
-            KvError::Connect("no connection in time".to_string())
+            KvError::Connect("timed out while connecting".to_string())
         }
         SendRequestError::Connect(error) => KvError::Connect(error.to_string()),
         SendRequestError::Timeout => KvError::Timeout(limit),
--- a/crates/kv/src/envelope.rs
+++ b/crates/kv/src/envelope.rs
@@ -1,25 +1,26 @@
-//! What is wrapped around each stored value so that its writer can recognize it.
+//! Envelope around each stored value that lets a writer recognize its own writes.
 //!
-//! Failure guarded against: the answer to a write is lost after the write took effect. The writer then sees a
-//! conflict on its own write when it tries again. The envelope names the writer's incarnation and its
-//! operation number; reading it back tells whether the stored value is the one that was written.
+//! Guards against a lost response to a write that took effect: on retry, the writer gets a conflict with its own write.
+//! The envelope contains the writer's incarnation and the operation number; reading it back tells whether the stored
+//! value is the one that was written.
 
 use serde::Deserialize;
 use serde::Serialize;
 use uuid::Uuid;
 
-/// One write of one process.
+/// Identifies one write of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operation {
-    /// Drawn anew at each start of a process.
+    /// Generated at each start of a process.
     pub incarnation: Uuid,
-    /// Counts the writes of that incarnation.
+    /// Sequence number of the write within the incarnation.
     pub number: u64,
 }
 
+/// Length of the envelope in bytes: incarnation (16) and number (8).
 const HEADER_LEN: usize = 24;
 
-/// Puts `value` behind the operation that writes it.
+/// Prepends `operation` to `value`.
 pub fn wrap(operation: Operation, value: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_LEN + value.len());
     bytes.extend_from_slice(operation.incarnation.as_bytes());
--- a/crates/kv/src/error.rs
+++ b/crates/kv/src/error.rs
@@ -1,40 +1,40 @@
-//! Errors of calls to the platform.
+//! Errors of platform calls.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// Why a call to the platform gave no answer that can be used.
+/// Reason why a call to the platform returned no usable response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum KvError {
-    /// No answer within the call's deadline. A write may or may not have taken effect.
-    #[error("the platform gave no answer within {0:?}")]
+    /// No response within the deadline of the call. A write may or may not have taken effect.
+    #[error("the platform did not respond within {0:?}")]
     Timeout(Duration),
-    /// No connection was made: the call did not leave.
+    /// No connection was established; the request was not sent.
     #[error("could not connect to the platform: {0}")]
     Connect(String),
     /// The connection failed. A write may or may not have taken effect.
-    #[error("the connection to the platform broke: {0}")]
+    #[error("the connection to the platform failed: {0}")]
     Connection(String),
-    /// The platform answered that it can't serve the call; it did not take effect.
+    /// The platform refused the call; it did not take effect.
     #[error("the platform refused the call with status {0}")]
     Refused(u16),
-    /// The answer could not be read.
-    #[error("could not read the platform's answer: {0}")]
+    /// The response could not be decoded.
+    #[error("could not decode the platform's response: {0}")]
     Malformed(String),
-    /// The call budget of this instance is spent; the call was not made.
-    #[error("the call budget of this instance is spent")]
+    /// The call budget of this instance is exhausted; the call was not made.
+    #[error("the call budget of this instance is exhausted")]
     Budget,
-    /// The lease is not known to the platform: it has lapsed or was released.
-    #[error("the lease has lapsed")]
+    /// The platform does not know the lease: it has expired or was released.
+    #[error("the lease has expired")]
     LeaseLapsed,
-    /// It could not be found out whether the write took effect.
-    #[error("could not find out whether the write took effect")]
+    /// It could not be determined whether the write took effect.
+    #[error("could not determine whether the write took effect")]
     Unresolved,
 }
 
 impl KvError {
-    /// Whether the platform gave no usable answer, as in an outage.
+    /// Whether the error indicates an outage of the platform.
     pub fn is_outage(&self) -> bool {
         match self {
             KvError::Timeout(_) | KvError::Connect(_) | KvError::Connection(_) => true,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether a write that ended so may have taken effect.
+    /// Whether a write that failed with this error may have taken effect.
     pub fn is_ambiguous(&self) -> bool {
         match self {
             KvError::Timeout(_) | KvError::Connection(_) | KvError::Malformed(_) | KvError::Unresolved => {
--- a/crates/kv/src/lib.rs
+++ b/crates/kv/src/lib.rs
@@ -1,11 +1,11 @@
-//! Client of sequoiastream towards the platform.
+//! Client of the platform.
 //!
-//! The platform gives a small key-value service with compare-and-swap, leases and watches; a lagging list of
-//! live and leaving machines; and a rate-limited weight store. This package speaks its published HTTP
+//! The platform provides a small key-value service with compare-and-swap, leases and watches; a list of live and
+//! leaving machines that may lag behind; and a rate-limited weight store. This package implements its published HTTP
 //! protocol, described in `docs/design/platform-protocol.md`.
 //!
-//! Every call has a deadline and is counted by the instance's [`CallMeter`], which also keeps the call budget. A write whose answer was lost is resolved by
-//! reading back, see [`KvClient::swap`].
+//! Every call has a deadline and is counted by the instance's [`CallMeter`], which also enforces the call budget. A
+//! write whose response was lost is resolved by reading the key back, see [`KvClient::swap`].
 
 mod budget;
 mod client;
--- a/crates/kv/src/lists.rs
+++ b/crates/kv/src/lists.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of machines.
+//! The platform's list of machines, which may lag behind.
 
 use std::net::SocketAddr;
 
@@ -6,17 +6,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What the list says of a machine. It lags: a machine that left may still stand as live.
+/// State of a machine in the list. The list lags: a machine that has left may still be listed as live.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ListedState {
     /// Running.
     Live,
-    /// Told to leave.
+    /// Instructed to shut down.
     Leaving,
 }
 
-/// An entry of the list.
+/// A machine in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListEntry {
     /// Name of the instance or upstream.
@@ -25,7 +25,7 @@
     pub zone: Name,
     /// Address for callers (entry instances) or for requests (upstreams).
     pub address: SocketAddr,
-    /// Address for other entry instances, over UDP and TCP; upstreams have none.
+    /// UDP and TCP address for other entry instances; `None` for upstreams.
     pub peer: Option<SocketAddr>,
     /// Live or leaving.
     pub state: ListedState,
--- a/crates/kv/src/store.rs
+++ b/crates/kv/src/store.rs
@@ -1,7 +1,7 @@
-//! The key-value edge: what the product asks of a store, whoever provides it.
+//! Interface of a key-value store, independent of its implementation.
 //!
-//! Keys are text, values bytes. One revision counts all changes. A write names the revisions that it expects, so
-//! that one whose answer was lost can be told from one that never happened by reading back.
+//! Keys are text, values are bytes. A single revision counter covers all changes. A write states the revisions that it
+//! expects, so that reading back distinguishes a write whose response was lost from one that never took effect.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use futures_util::future::LocalBoxFuture;
 use thiserror::Error;
 
-/// Time for an answer besides what a watch waits. The users' sheets say 4 ms; a store that takes longer than this is
-/// slow or away.
+/// Time-out for a response, in addition to the wait time of a watch. Users specify 4 ms for their stores; a store that
+/// exceeds this time-out is slow or unreachable.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// A key with its value.
@@ -29,38 +29,38 @@
 /// A change of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// It has this value now.
+    /// The key was written.
     Put(Item),
-    /// It is gone.
+    /// The key was removed.
     Removed {
         /// The key.
         key: String,
-        /// Since when.
+        /// Revision of the removal.
         revision: u64,
     },
 }
 
-/// A part of the keys that begin alike.
+/// A page of the items under a key prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
     /// The items.
     pub items: Vec<Item>,
-    /// Whether more follow the last of them.
+    /// Whether further items follow the last one.
     pub more: bool,
     /// The store's revision.
     pub revision: u64,
 }
 
-/// What happened after a revision.
+/// Changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
-    /// From where to go on.
+    /// Revision from which to continue.
     pub revision: u64,
 }
 
-/// A lease: keys written under it vanish when it ends.
+/// A lease: keys written under it are removed when it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaseId(pub u64);
 
@@ -71,46 +71,46 @@
     pub key: String,
     /// The value.
     pub value: Bytes,
-    /// The lease it vanishes with.
+    /// The lease that the key is bound to.
     pub lease: Option<LeaseId>,
 }
 
-/// A write: all of it or nothing.
+/// An atomic write.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Write {
-    /// Keys and the revisions that they must have; 0 means that there is no such key.
+    /// Keys and their expected revisions; 0 means that the key must not exist.
     pub expect: Vec<(String, u64)>,
-    /// What to write.
+    /// Keys to write.
     pub puts: Vec<Put>,
     /// Keys to remove.
     pub removes: Vec<String>,
 }
 
-/// Why a call to the store brought nothing.
+/// Reason why a store call failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// Nothing was done.
+    /// The store refused the call; nothing was changed.
     #[error("the store refused the call with status {0}")]
     Refused(u16),
-    /// The key had another revision than expected; nothing was done.
+    /// A key did not have the expected revision; nothing was changed.
     #[error("a key has another revision than expected")]
     Conflict,
-    /// There is no such lease.
+    /// The lease does not exist.
     #[error("the lease has ended")]
     LeaseEnded,
-    /// The history that was asked for is no longer kept.
+    /// The requested history is no longer available.
     #[error("the history is no longer kept")]
     Compacted,
-    /// No answer: a write may have happened, or may yet.
+    /// No response: a write may have taken effect or may still take effect.
     #[error("could not reach the store: {0}")]
     Unknown(String),
-    /// The answer can't be read.
+    /// The response could not be decoded.
     #[error("could not read the store's answer: {0}")]
     Unreadable(String),
 }
 
 impl StoreError {
-    /// Its name in metrics.
+    /// Value of the metrics label for this error.
     pub fn label(&self) -> &'static str {
         match self {
             StoreError::Refused(_) => "refused",
@@ -123,12 +123,12 @@
     }
 }
 
-/// A store, as seen from one thread.
+/// A key-value store, used from a single thread.
 pub trait Store {
-    /// Items whose key begins with `prefix`, behind the key `after`.
+    /// Returns a page of items whose keys start with `prefix` and sort after the key `after`.
     fn range<'a>(&'a self, prefix: &'a str, after: &'a str) -> LocalBoxFuture<'a, Result<Page, StoreError>>;
 
-    /// Waits for changes of keys that begin with `prefix` after a revision, for `wait` at most.
+    /// Waits up to `wait` for changes after revision `after` to keys that start with `prefix`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
@@ -136,13 +136,13 @@
         wait: Duration,
     ) -> LocalBoxFuture<'a, Result<Changes, StoreError>>;
 
-    /// Writes; returns the revision.
+    /// Applies a write and returns its revision.
     fn write<'a>(&'a self, write: Write) -> LocalBoxFuture<'a, Result<u64, StoreError>>;
 
     /// Grants a lease.
     fn grant<'a>(&'a self, ttl: Duration) -> LocalBoxFuture<'a, Result<LeaseId, StoreError>>;
 
-    /// Renews a lease; it runs from the arrival of the call.
+    /// Renews a lease; its time starts when the call arrives at the store.
     fn renew<'a>(&'a self, lease: LeaseId) -> LocalBoxFuture<'a, Result<(), StoreError>>;
 
     /// Ends a lease.
--- a/crates/kv/src/wire.rs
+++ b/crates/kv/src/wire.rs
@@ -1,27 +1,27 @@
-//! Bodies of the platform's HTTP protocol. The stand-in uses the same types.
+//! Response bodies of the platform's HTTP protocol, also used by the stand-in.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A key's value with its version. Version 0 with no value stands for an absent key.
+/// A key's value with its version. Version 0 without a value means that the key is absent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryBody {
-    /// The key-value service's own version of the key; raised by each write to any key.
+    /// Version that the key-value service assigned to the key; increases with each write to any key.
     pub version: u64,
     /// The value in base64; `None` if the key is absent.
     pub value: Option<String>,
 }
 
-/// Answer to an accepted write.
+/// Response to an accepted write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionBody {
     /// The key's version after the write.
     pub version: u64,
 }
 
-/// Answer to a granted lease.
+/// Response to a granted lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseBody {
-    /// The lease's id.
+    /// Lease ID.
     pub id: u64,
 }
--- a/crates/peer/src/call.rs
+++ b/crates/peer/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls over TCP: one question, one answer, many in turn on a connection.
+//! Request/response calls over TCP; a connection carries many calls in sequence.
 
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -22,10 +22,10 @@
 use crate::message::Response;
 use crate::seal::ClusterKey;
 
-/// Largest frame, in bytes: a configuration of a megabyte and its frame.
+/// Maximum frame, in bytes: a configuration of 1 MB and its framing.
 pub const MAX_FRAME: usize = 2 * 1024 * 1024;
 
-/// Connections kept open to one peer.
+/// Maximum number of idle connections kept open to one peer.
 const MAX_IDLE: usize = 4;
 
 /// Smallest message, in bytes, that is compressed.
@@ -44,15 +44,16 @@
 /// Encoding byte at the start of a frame's body: the uncompressed length follows, then the compressed message.
 const COMPRESSED: u8 = 1;
 
+/// Length of a nonce, in bytes.
 const NONCE_LEN: usize = 16;
 
-/// Answers the questions of peers; the daemon's side of this package.
+/// Handles requests of peers; implemented by the daemon.
 pub trait Responder: Clone + 'static {
-    /// Answers `request`.
+    /// Handles `request` and returns the response.
     fn respond(&self, request: Request) -> impl Future<Output = Response>;
 }
 
-/// Accepts connections of peers until the listener fails. Must run on a thread with a local task set.
+/// Accepts connections from peers until the listener fails. Must run inside a `LocalSet`.
 pub async fn serve<R>(listener: TcpListener, key: ClusterKey, responder: R)
 where
     R: Responder,
@@ -62,7 +63,7 @@
         let responder = responder.clone();
         spawn_local(async move {
             if let Err(error) = answer(stream, &key, responder).await {
-                tracing::debug!(%peer, %error, "connection of a peer ended");
+                tracing::debug!(%peer, %error, "peer connection closed");
             }
         });
     }
@@ -80,7 +81,7 @@
     }
 }
 
-/// Asks peers; keeps a few connections open. Stays on one thread, cheap to clone.
+/// Sends requests to peers and keeps a few idle connections open. Cheap to clone; not `Send`.
 #[derive(Debug, Clone)]
 pub struct CallClient {
     key: ClusterKey,
@@ -88,7 +89,7 @@
 }
 
 impl CallClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(key: ClusterKey) -> CallClient {
         CallClient {
             key,
@@ -96,11 +97,11 @@
         }
     }
 
-    /// Asks the peer at `to` and waits for the answer within `limit`. Never sends a request twice.
+    /// Sends `request` to the peer at `to` and waits up to `limit` for the response. Never sends a request twice.
     ///
     /// # Errors
     ///
-    /// [`PeerError`]; [`PeerError::is_not_sent`] tells whether the peer may have acted on it.
+    /// [`PeerError`]; [`PeerError::is_not_sent`] tells whether the peer cannot have acted on it.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -119,7 +120,7 @@
         match timeout(limit, call).await {
             Ok(result) => result,
             Err(_) if *sent.borrow() => Err(PeerError::Timeout),
-            Err(_) => Err(PeerError::Connect("no connection in time".to_string())),
+            Err(_) => Err(PeerError::Connect("timed out while connecting".to_string())),
         }
     }
 
@@ -155,7 +156,7 @@
     Server,
 }
 
-/// A connection whose frames carry tags of its own key and count up in each direction.
+/// A connection whose frames are authenticated with a key of its own and numbered in each direction.
 #[derive(Debug)]
 struct Channel {
     stream: TcpStream,
@@ -185,7 +186,7 @@
         })
     }
 
-    /// Whether the peer has not closed an idle connection.
+    /// Whether an idle connection has not been closed by the peer.
     fn is_open(&self) -> bool {
         let mut byte = [0];
         matches!(self.stream.try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
@@ -238,7 +239,7 @@
     }
 }
 
-/// What a frame's tag covers besides its body: who sent it, and its number on the connection.
+/// Data that a frame's tag covers besides its body: the sending side and the frame's number on the connection.
 fn prefix(side: Side, number: u64) -> Vec<u8> {
     let mut prefix = vec![side as u8];
     prefix.extend_from_slice(&number.to_be_bytes());
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams.
+//! Authenticated datagrams over UDP.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -15,7 +15,7 @@
 use crate::seal::ClusterKey;
 use crate::seal::ReplayWindow;
 
-/// Largest datagram, in bytes: what crosses an ordinary network unfragmented.
+/// Maximum datagram, in bytes: fits an ordinary network without fragmentation.
 pub const MAX_DATAGRAM: usize = 1400;
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
     body: Datagram,
 }
 
-/// Sends and receives datagrams; stays on one thread.
+/// Socket that sends and receives datagrams; for use on a single thread.
 #[derive(Debug)]
 pub struct DatagramSocket {
     socket: UdpSocket,
@@ -38,7 +38,7 @@
 }
 
 impl DatagramSocket {
-    /// Binds to `address`. `incarnation` must be a UUIDv7 drawn anew at each start of the process.
+    /// Binds to `address`. `incarnation` must be a UUIDv7 generated at each start of the process.
     ///
     /// # Errors
     ///
@@ -53,7 +53,7 @@
         Ok(DatagramSocket::new(socket, key, sender, incarnation))
     }
 
-    /// Takes a bound socket. `incarnation` must be a UUIDv7 drawn anew at each start of the process.
+    /// Uses a bound socket. `incarnation` must be a UUIDv7 generated at each start of the process.
     pub fn new(socket: UdpSocket, key: ClusterKey, sender: Name, incarnation: Uuid) -> DatagramSocket {
         DatagramSocket {
             socket,
@@ -65,20 +65,20 @@
         }
     }
 
-    /// Where it is bound.
+    /// Returns the local address of the socket.
     ///
     /// # Errors
     ///
-    /// If the system can't tell.
+    /// If the operating system can't provide the address.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Sends `body`; returns the bytes sent.
+    /// Sends `body` and returns the number of bytes sent.
     ///
     /// # Errors
     ///
-    /// [`PeerError`] if it surely did not leave.
+    /// [`PeerError`] if the datagram was definitely not sent.
     pub async fn send(&self, to: SocketAddr, body: Datagram) -> Result<usize, PeerError> {
         let counter = self.counter.get() + 1;
         self.counter.set(counter);
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// [`PeerError`] for a datagram that is forged, replayed or can't be read; receiving goes on.
+    /// [`PeerError`] for a datagram that is forged, replayed or malformed; the socket can still receive.
     pub async fn receive(&self) -> Result<(Name, Datagram), PeerError> {
         let mut buffer = [0; MAX_DATAGRAM];
         let received = self.socket.recv_from(&mut buffer).await;
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -2,34 +2,34 @@
 
 use thiserror::Error;
 
-/// Why a message did not get through or was not accepted.
+/// Reason why a message was not delivered or not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PeerError {
-    /// No connection was made: the peer has not seen the message.
+    /// No connection was established: the peer has not received the message.
     #[error("could not connect to the peer: {0}")]
     Connect(String),
-    /// The connection broke after the message was sent: the peer may have acted on it.
-    #[error("the connection to the peer broke: {0}")]
+    /// The connection failed after the message was sent: the peer may have acted on it.
+    #[error("the connection to the peer failed: {0}")]
     Broken(String),
-    /// No answer came in time: the peer may have acted on the message.
-    #[error("the peer gave no answer in time")]
+    /// No response arrived in time: the peer may have acted on the message.
+    #[error("the peer did not respond in time")]
     Timeout,
-    /// The keyed hash doesn't fit: the sender lacks the cluster key.
-    #[error("the message's keyed hash doesn't fit")]
+    /// The keyed hash doesn't match: the sender does not have the cluster key.
+    #[error("the keyed hash of the message does not match")]
     Forged,
-    /// The message was seen before.
-    #[error("the message was seen before")]
+    /// The message was received before.
+    #[error("the message was received before")]
     Replayed,
-    /// The message can't be read.
-    #[error("could not read the message: {0}")]
+    /// The message could not be decoded.
+    #[error("could not decode the message: {0}")]
     Malformed(String),
-    /// The message is larger than what may be sent.
-    #[error("the message has {0} bytes, too many")]
+    /// The message exceeds the maximum length.
+    #[error("message too long: {0} bytes")]
     TooLong(usize),
 }
 
 impl PeerError {
-    /// Whether it is sure that the peer has not seen the message.
+    /// Whether the peer has definitely not received the message.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, PeerError::Connect(_) | PeerError::TooLong(_))
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between entry instances: postcard over UDP and TCP.
 //!
-//! UDP carries what may get lost ([`datagram`]): heartbeats and digests. TCP carries questions that want an
-//! answer ([`call`]): claims, configuration, hand-over. An instance without the cluster key can't speak to its
-//! peers: each message carries a keyed hash, and a message seen before is refused ([`seal`]).
+//! UDP carries messages that may get lost ([`datagram`]): heartbeats and digests. TCP carries requests that need a
+//! response ([`call`]): claims, configuration, hand-over. An instance without the cluster key can't communicate with
+//! its peers: each message carries a keyed hash, and replayed messages are rejected ([`seal`]).
 
 pub mod call;
 pub mod datagram;
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages themselves.
+//! Messages between instances.
 
 use std::collections::BTreeSet;
 
@@ -22,92 +22,92 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What goes over UDP: may get lost, come twice or out of order.
+/// A message over UDP: may be lost, duplicated or reordered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Only shows that the sender runs.
+    /// Shows that the sender is running.
     Ping,
     /// A heartbeat.
     Beat(Heartbeat),
-    /// The sender's work at the engines.
+    /// The sender's load on the engines.
     Load(LoadMessage),
-    /// Asks, under this number, for a proof of what the peer knows of the store.
+    /// Requests, with this number, a proof of the store revision that the peer knows.
     Prove(u64),
-    /// Answers that question.
+    /// Response to [`Datagram::Prove`].
     Proof(StoreProof),
-    /// Requests that engines began for the sender.
+    /// Number of requests that engines started for the sender.
     Counts(CountsMessage),
 }
 
-/// A question over TCP.
+/// A request over TCP.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Only asks for an answer.
+    /// Checks that the peer responds.
     Ping,
-    /// Asks the owner of a shard for a claim.
+    /// Requests a claim from the owner of a shard.
     Claim(ClaimAsk),
-    /// Asks the owner of a shard what is known of a claim.
+    /// Looks up a claim at the owner of a shard.
     Look(ClaimRef),
-    /// Tells the owner of a shard what became of a claim.
+    /// Reports the outcome of a claim to the owner of a shard.
     Edit(BucketId, Edit),
-    /// Asks for the wall clock.
+    /// Requests the peer's wall-clock time.
     Clock,
-    /// Asks for the configuration after this version.
+    /// Requests configuration updates after this version.
     Config(Version),
-    /// About requests that crash engines.
+    /// Coordinates the handling of requests that crash engines.
     Poison(PoisonRequest),
-    /// Asks to keep new work from an engine.
+    /// Asks the peer not to send new work to an engine.
     Hold(Hold),
-    /// Says that this engine may get work again.
+    /// Tells the peer that this engine may receive work again.
     Unhold(Name),
-    /// Asks what became of an order.
+    /// Requests the outcome of an order.
     Settle(SettleOrder),
-    /// Asks for a page of what the peer knows of the store: the items after this key, in key order.
+    /// Requests a page of the peer's copy of the store: the items after this key, in key order.
     Page(String),
-    /// Asks for what the peer knows of the store after this revision.
+    /// Requests the store changes after this revision that the peer knows.
     Since(u64),
 }
 
-/// The answer to a question over TCP.
+/// Response to a request over TCP.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// Answer to [`Request::Ping`].
+    /// Response to [`Request::Ping`].
     Pong,
-    /// Answer to [`Request::Claim`] and [`Request::Look`].
+    /// Response to [`Request::Claim`] and [`Request::Look`].
     Verdict(Verdict),
-    /// The message was taken.
+    /// The message was accepted.
     Taken,
-    /// Answer to [`Request::Clock`].
+    /// Response to [`Request::Clock`].
     Clock(WallTime),
-    /// Answer to [`Request::Config`].
+    /// Response to [`Request::Config`].
     Config(Update),
-    /// Answer to [`Request::Poison`].
+    /// Response to [`Request::Poison`].
     Poison(PoisonResponse),
-    /// Answer to [`Request::Hold`]: requests that the peer has at the engine.
+    /// Response to [`Request::Hold`]: number of requests that the peer has in flight at the engine.
     InFlight(u32),
-    /// Answer to [`Request::Settle`].
+    /// Response to [`Request::Settle`].
     Settled(Settlement),
-    /// Answer to [`Request::Page`]; also to [`Request::Since`], as the first page, if the peer doesn't know all changes
-    /// since that revision.
+    /// Response to [`Request::Page`]. Also the response to [`Request::Since`], as the first page, if the peer does not
+    /// know all changes since that revision.
     Page(StorePage),
-    /// The peer has reached its limit of full transfers; retry later or ask another peer.
+    /// The peer has reached its limit of concurrent full transfers; retry later or ask another peer.
     Busy,
-    /// Answer to [`Request::Since`].
+    /// Response to [`Request::Since`].
     News(StoreChanges),
-    /// The request is not served here.
+    /// This instance does not serve the request.
     Unserved,
 }
 
-/// Asks to keep new work from an engine before it is changed. Asked again while the change goes on.
+/// Asks a peer not to send new work to an engine before it is changed. Repeated while the change is in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
     /// The engine.
     pub engine: Name,
-    /// Milliseconds after which the hold lapses.
+    /// Milliseconds after which the hold expires.
     pub millis: u64,
 }
 
-/// Asks the process that opened an order what became of it.
+/// Requests the outcome of an order from the process that opened it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleOrder {
     /// The service.
@@ -120,23 +120,24 @@
     pub sequence: u64,
 }
 
-/// Answer to [`Datagram::Prove`]: the sender knew the store up to `revision` when it had nothing beyond that, `age` ago.
+/// Response to [`Datagram::Prove`]: `age` ago, the
+/// store had no changes after `revision`, and the sender knows it up to there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreProof {
-    /// The question's number.
+    /// Number of the [`Datagram::Prove`] message.
     pub question: u64,
-    /// Up to which revision.
+    /// Revision up to which the sender knows the store.
     pub revision: u64,
-    /// Milliseconds since the store had nothing beyond that, by proof.
+    /// Milliseconds since the store provably had no later changes.
     pub age: u32,
 }
 
-/// A page of what an instance knows of the store.
+/// A page of an instance's copy of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorePage {
-    /// Up to which revision.
+    /// Revision up to which the sender knows the store.
     pub revision: u64,
-    /// Milliseconds since the store had nothing beyond that.
+    /// Milliseconds since the store had no later changes.
     pub age: u32,
     /// The items.
     pub items: Vec<StoreItem>,
@@ -144,18 +145,18 @@
     pub more: bool,
 }
 
-/// What happened in the store after a revision, as an instance knows it.
+/// Store changes after a revision, as known to an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreChanges {
-    /// Up to which revision.
+    /// Revision up to which the sender knows the store.
     pub revision: u64,
-    /// Milliseconds since the store had nothing beyond that.
+    /// Milliseconds since the store had no later changes.
     pub age: u32,
     /// Items that were written.
     pub items: Vec<StoreItem>,
-    /// Keys that were removed, and at which revision.
+    /// Removed keys with the revisions of their removal.
     pub removed: Vec<(u64, String)>,
-    /// Items that were written and are too large to be told: their revisions and keys.
+    /// Revisions and keys of written items that are too large to be included.
     pub large: Vec<(u64, String)>,
 }
 
@@ -172,28 +173,28 @@
     pub created: u64,
 }
 
-/// What instances tell each other of requests that crash engines.
+/// Messages between instances about requests that crash engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PoisonRequest {
     /// An engine crashed.
     Note(CrashReport),
-    /// May this suspect run alone there?
+    /// Asks whether a suspect request may run alone on an engine.
     Ask(HoldRequest),
-    /// It runs there now: whatever else runs there must move.
+    /// The suspect now runs on this engine: all other requests must leave it.
     Vacate(Name),
-    /// It runs there no more, or was not granted by all.
+    /// The suspect no longer runs on the engine, or not all peers agreed.
     Release(HoldRequest),
-    /// It ran to its end: it is innocent.
+    /// The request completed: it is no longer a suspect.
     Clear(Fingerprint),
-    /// It is convicted.
+    /// The request is confirmed to crash engines.
     Convict(Fingerprint),
 }
 
-/// The answer to a [`PoisonRequest`].
+/// Response to a [`PoisonRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoisonResponse {
-    /// Whether the peer agrees to what was asked.
+    /// Whether the peer agrees to the request.
     pub agreed: bool,
-    /// Requests of the peer that ran on the engine that a note says has crashed.
+    /// Requests of the peer that were running on the crashed engine that a [`PoisonRequest::Note`] reports.
     pub ran: BTreeSet<Fingerprint>,
 }
--- a/crates/peer/src/seal.rs
+++ b/crates/peer/src/seal.rs
@@ -1,9 +1,9 @@
-//! Keyed hashes of messages, and refusal of replayed ones.
+//! Message authentication and replay protection.
 //!
-//! Failure guarded against: a process without the cluster key, or one that recorded old messages, speaks as an
-//! instance. Each message carries a hash keyed with the cluster key. Datagrams carry their sender's
-//! incarnation and a counter, and [`ReplayWindow`] refuses a counter that was seen. Connections mix a nonce of
-//! either side into their key, so that no frame fits another connection.
+//! Guards against a process that impersonates an instance without the cluster key or by replaying recorded messages.
+//! Each message carries a hash keyed with the cluster key. Datagrams carry their sender's incarnation and a counter,
+//! and [`ReplayWindow`] rejects counters that were already received. Connections derive their key from a nonce of each
+//! side, so that no frame is valid on another connection.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,13 @@
 
 use crate::error::PeerError;
 
-/// Bytes of a tag.
+/// Length of a tag, in bytes.
 pub const TAG_LEN: usize = 16;
 
-/// Counters behind the highest one that are still accepted, if they were not seen.
+/// Size of the replay window: counters less than this far behind the highest are accepted if not received before.
 const WINDOW_SIZE: u64 = 64;
 
-/// Key of the messages between instances.
+/// Key that authenticates messages between instances.
 #[derive(Clone)]
 pub struct ClusterKey([u8; 32]);
 
@@ -37,12 +37,12 @@
         ))
     }
 
-    /// The key of one connection, from a nonce of either side.
+    /// Derives the key of one connection from the nonces of both sides.
     pub fn session(&self, nonces: &[u8]) -> ClusterKey {
         ClusterKey(*blake3::keyed_hash(&self.0, nonces).as_bytes())
     }
 
-    /// The tag of `message`.
+    /// Computes the tag of `message`.
     pub fn tag(&self, message: &[u8]) -> [u8; TAG_LEN] {
         let hash = blake3::keyed_hash(&self.0, message);
         let (tag, _) = hash
@@ -59,14 +59,14 @@
         message
     }
 
-    /// Checks and removes the tag.
+    /// Verifies and removes the tag.
     ///
     /// # Errors
     ///
-    /// [`PeerError::Forged`] if the tag doesn't fit.
+    /// [`PeerError::Forged`] if the tag is missing or doesn't match.
     pub fn open<'a>(&self, sealed: &'a [u8]) -> Result<&'a [u8], PeerError> {
         let (message, tag) = sealed.split_last_chunk::<TAG_LEN>().ok_or(PeerError::Forged)?;
-        // Compared as hashes, in constant time.
+        // Compared as blake3 hashes, which takes constant time.
         let expected = blake3::keyed_hash(&self.0, &self.tag(message));
         match blake3::keyed_hash(&self.0, tag) == expected {
             true => Ok(message),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Refuses counters that were seen, for each sender.
+/// Rejects counters that were already received, for each sender.
 #[derive(Debug, Default)]
 pub struct ReplayWindow {
     senders: BTreeMap<Name, SenderWindow>,
@@ -89,17 +89,17 @@
 }
 
 impl ReplayWindow {
-    /// A window that has seen nothing.
+    /// Creates an empty window.
     pub fn new() -> ReplayWindow {
         ReplayWindow::default()
     }
 
-    /// Takes note of a message. Incarnations are ordered by time (UUIDv7), so that an earlier one of the same
-    /// sender is refused.
+    /// Records a message. Incarnations are ordered by time (UUIDv7), so that messages of an earlier incarnation of the
+    /// same sender are rejected.
     ///
     /// # Errors
     ///
-    /// [`PeerError::Replayed`] if it was seen, is too old to tell, or is of an earlier incarnation.
+    /// [`PeerError::Replayed`] if it was received before, is too old to tell, or is from an earlier incarnation.
     pub fn accept(&mut self, sender: &Name, incarnation: Uuid, counter: u64) -> Result<(), PeerError> {
         let fresh = SenderWindow {
             incarnation,
