--- a/crates/kv/src/client.rs
+++ b/crates/kv/src/client.rs
@@ -95,7 +95,7 @@
     base: Rc<str>,
     deadline: Duration,
     incarnation: Uuid,
-    numbers: Rc<Cell<u64>>,
+    last_number: Rc<Cell<u64>>,
     meter: Arc<CallMeter>,
 }
 
@@ -114,7 +114,7 @@
             base: Rc::from(base.trim_end_matches('/')),
             deadline,
             incarnation,
-            numbers: Rc::new(Cell::new(0)),
+            last_number: Rc::new(Cell::new(0)),
             meter: Arc::default(),
         }
     }
@@ -133,8 +133,8 @@
     pub async fn get(&self, key: &str) -> Result<Entry, KvError> {
         let url = format!("{}/v1/kv/{key}", self.base);
         let get = async {
-            let answer = self.call(self.http.get(url).send(), self.deadline).await?;
-            self.entry(answer).await.map(|(entry, _)| entry)
+            let response = self.call(self.http.get(url).send(), self.deadline).await?;
+            self.entry(response).await.map(|(entry, _)| entry)
         };
         self.metered(CallKind::Read, get).await
     }
@@ -157,14 +157,14 @@
     ) -> Result<Swap, KvError> {
         let operation = self.next_operation();
         let body = Bytes::from(envelope::wrap(operation, value));
-        let tries = self.swap_tries(key, expect, operation, body, lease);
-        match timeout(self.deadline * TOTAL_DEADLINES, tries).await {
+        let attempts = self.swap_attempts(key, expect, operation, body, lease);
+        match timeout(self.deadline * TOTAL_DEADLINES, attempts).await {
             Ok(result) => result,
             Err(_) => Err(KvError::Unresolved),
         }
     }
 
-    async fn swap_tries(
+    async fn swap_attempts(
         &self,
         key: &str,
         expect: Expect,
@@ -173,8 +173,8 @@
         lease: Option<LeaseId>,
     ) -> Result<Swap, KvError> {
         let mut ambiguous = false;
-        for tried in 0..MAX_WRITE_ATTEMPTS {
-            sleep(backoff(tried)).await;
+        for attempt in 0..MAX_WRITE_ATTEMPTS {
+            sleep(backoff(attempt)).await;
             match self.try_swap(key, expect, body.clone(), lease).await {
                 Ok(SwapAttempt::Done(version)) => return Ok(Swap::Done(version)),
                 Ok(SwapAttempt::Conflict(entry, Some(by))) if by == operation => {
@@ -207,10 +207,10 @@
         );
         let limit = wait + self.deadline;
         let watch = async {
-            let answer = self.call(self.http.get(url).timeout(limit).send(), limit).await?;
-            match answer.status().as_u16() {
+            let response = self.call(self.http.get(url).timeout(limit).send(), limit).await?;
+            match response.status().as_u16() {
                 304 => Ok(None),
-                _ => self.entry(answer).await.map(|(entry, _)| Some(entry)),
+                _ => self.entry(response).await.map(|(entry, _)| Some(entry)),
             }
         };
         self.metered(CallKind::Watch, watch).await
@@ -224,8 +224,8 @@
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseId, KvError> {
         let url = format!("{}/v1/lease?ttl_ms={}", self.base, ttl.as_millis());
         let grant = async {
-            let answer = self.call(self.http.post(url).send(), self.deadline).await?;
-            let body: LeaseBody = self.json(answer).await?;
+            let response = self.call(self.http.post(url).send(), self.deadline).await?;
+            let body: LeaseBody = self.json(response).await?;
             Ok(LeaseId(body.id))
         };
         self.metered(CallKind::Lease, grant).await
@@ -239,10 +239,10 @@
     pub async fn renew(&self, lease: LeaseId) -> Result<(), KvError> {
         let url = format!("{}/v1/lease/{}", self.base, lease.0);
         let renew = async {
-            let answer = self.call(self.http.put(url).send(), self.deadline).await?;
-            match answer.status().as_u16() {
+            let response = self.call(self.http.put(url).send(), self.deadline).await?;
+            match response.status().as_u16() {
                 404 => Err(KvError::LeaseLapsed),
-                _ => expect_success(&answer),
+                _ => expect_success(&response),
             }
         };
         self.metered(CallKind::Lease, renew).await
@@ -256,8 +256,8 @@
     pub async fn release(&self, lease: LeaseId) -> Result<(), KvError> {
         let url = format!("{}/v1/lease/{}", self.base, lease.0);
         let release = async {
-            let answer = self.call(self.http.delete(url).send(), self.deadline).await?;
-            expect_success(&answer)
+            let response = self.call(self.http.delete(url).send(), self.deadline).await?;
+            expect_success(&response)
         };
         self.metered(CallKind::Lease, release).await
     }
@@ -286,11 +286,11 @@
     /// # Errors
     ///
     /// [`KvError::Refused`] with status 429 if the store's rate limit is reached.
-    pub async fn weights(&self, model: &Name) -> Result<(), KvError> {
+    pub async fn check_weights(&self, model: &Name) -> Result<(), KvError> {
         let url = format!("{}/v1/weights/{model}", self.base);
         let read = async {
-            let answer = self.call(self.http.get(url).send(), self.deadline).await?;
-            expect_success(&answer)
+            let response = self.call(self.http.get(url).send(), self.deadline).await?;
+            expect_success(&response)
         };
         self.metered(CallKind::Weights, read).await
     }
@@ -298,8 +298,8 @@
     async fn list(&self, kind: &str) -> Result<Vec<ListEntry>, KvError> {
         let url = format!("{}/v1/list/{kind}", self.base);
         let read = async {
-            let answer = self.call(self.http.get(url).send(), self.deadline).await?;
-            self.json(answer).await
+            let response = self.call(self.http.get(url).send(), self.deadline).await?;
+            self.json(response).await
         };
         self.metered(CallKind::List, read).await
     }
@@ -319,15 +319,15 @@
         let url = format!("{}/v1/kv/{key}?expect={expect}{lease}", self.base);
         let put = async {
             let sent = self.http.put(url).send_body(body);
-            let answer = self.call(sent, self.deadline).await?;
-            match answer.status().as_u16() {
+            let response = self.call(sent, self.deadline).await?;
+            match response.status().as_u16() {
                 409 => {
-                    let (entry, by) = self.read_entry(answer).await?;
+                    let (entry, by) = self.read_entry(response).await?;
                     Ok(SwapAttempt::Conflict(entry, by))
                 }
                 410 => Err(KvError::LeaseLapsed),
                 _ => {
-                    let body: VersionBody = self.json(answer).await?;
+                    let body: VersionBody = self.json(response).await?;
                     Ok(SwapAttempt::Done(KvVersion(body.version)))
                 }
             }
@@ -350,32 +350,32 @@
     }
 
     fn next_operation(&self) -> Operation {
-        let number = self.numbers.get() + 1;
-        self.numbers.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         Operation {
             incarnation: self.incarnation,
             number,
         }
     }
 
-    async fn entry<S>(&self, answer: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
+    async fn entry<S>(&self, response: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
     where
         S: BodyStream,
     {
-        match answer.status().as_u16() {
+        match response.status().as_u16() {
             404 => Ok((absent(), None)),
             _ => {
-                expect_success(&answer)?;
-                self.read_entry(answer).await
+                expect_success(&response)?;
+                self.read_entry(response).await
             }
         }
     }
 
-    async fn read_entry<S>(&self, answer: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
+    async fn read_entry<S>(&self, response: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
     where
         S: BodyStream,
     {
-        let body: EntryBody = self.body(answer).await?;
+        let body: EntryBody = self.body(response).await?;
         let Some(text) = body.value else {
             return Ok((
                 Entry {
@@ -397,21 +397,21 @@
         Ok((entry, Some(operation)))
     }
 
-    async fn json<S, T>(&self, answer: ClientResponse<S>) -> Result<T, KvError>
+    async fn json<S, T>(&self, response: ClientResponse<S>) -> Result<T, KvError>
     where
         S: BodyStream,
         T: DeserializeOwned,
     {
-        expect_success(&answer)?;
-        self.body(answer).await
+        expect_success(&response)?;
+        self.body(response).await
     }
 
-    async fn body<S, T>(&self, mut answer: ClientResponse<S>) -> Result<T, KvError>
+    async fn body<S, T>(&self, mut response: ClientResponse<S>) -> Result<T, KvError>
     where
         S: BodyStream,
         T: DeserializeOwned,
     {
-        let read = answer.body().limit(MAX_BODY_LEN);
+        let read = response.body().limit(MAX_BODY_LEN);
         let bytes = match timeout(self.deadline, read).await {
             Ok(Ok(bytes)) => bytes,
             Ok(Err(error)) => return Err(KvError::Connection(error.to_string())),
@@ -425,7 +425,7 @@
         F: Future<Output = Result<ClientResponse<S>, SendRequestError>>,
     {
         match timeout(limit, send).await {
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err(from_send(error, limit)),
             Err(_) => Err(KvError::Timeout(limit)),
         }
@@ -469,10 +469,10 @@
     }
 }
 
-fn expect_success<S>(answer: &ClientResponse<S>) -> Result<(), KvError> {
-    match answer.status().is_success() {
+fn expect_success<S>(response: &ClientResponse<S>) -> Result<(), KvError> {
+    match response.status().is_success() {
         true => Ok(()),
-        false => Err(KvError::Refused(answer.status().as_u16())),
+        false => Err(KvError::Refused(response.status().as_u16())),
     }
 }
 
--- a/crates/peer/src/call.rs
+++ b/crates/peer/src/call.rs
@@ -62,14 +62,14 @@
         let key = key.clone();
         let responder = responder.clone();
         spawn_local(async move {
-            if let Err(error) = answer(stream, &key, responder).await {
+            if let Err(error) = handle_connection(stream, &key, responder).await {
                 tracing::debug!(%peer, %error, "peer connection closed");
             }
         });
     }
 }
 
-async fn answer<R>(stream: TcpStream, key: &ClusterKey, responder: R) -> Result<(), PeerError>
+async fn handle_connection<R>(stream: TcpStream, key: &ClusterKey, responder: R) -> Result<(), PeerError>
 where
     R: Responder,
 {
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -6,7 +6,7 @@
 use sequoiastream_core::authority::Settlement;
 use sequoiastream_core::claims::BucketId;
 use sequoiastream_core::claims::ClaimRef;
-use sequoiastream_core::claims::ClaimRequest as ClaimAsk;
+use sequoiastream_core::claims::ClaimRequest;
 use sequoiastream_core::claims::Edit;
 use sequoiastream_core::claims::Verdict;
 use sequoiastream_core::config::Update;
@@ -45,7 +45,7 @@
     /// Checks that the peer responds.
     Ping,
     /// Requests a claim from the owner of a shard.
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     /// Looks up a claim at the owner of a shard.
     Look(ClaimRef),
     /// Reports the outcome of a claim to the owner of a shard.
@@ -120,8 +120,8 @@
     pub sequence: u64,
 }
 
-/// Response to [`Datagram::Prove`]: `age` ago, the
-/// store had no changes after `revision`, and the sender knows it up to there.
+/// Response to [`Datagram::Prove`]: the sender knew the store up to `revision` at a time, `age` ago, when the store had
+/// no later changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreProof {
     /// Number of the [`Datagram::Prove`] message.
--- a/src/ops/control/authority/kv.rs
+++ b/src/ops/control/authority/kv.rs
@@ -196,7 +196,7 @@
 /// Asks the weight store whether `model` can be read, before an engine is ordered to load it.
 pub async fn ask_weights(kv: KvClient, engine: Name, model: String) -> Event {
     let checked = match Name::new(&model) {
-        Ok(model) => kv.weights(&model).await.map_err(|e| e.to_string()),
+        Ok(model) => kv.check_weights(&model).await.map_err(|e| e.to_string()),
         Err(error) => Err(error.to_string()),
     };
     if let Err(error) = &checked {
