--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -28,7 +28,8 @@
     /// Shows that the sender is running.
     Ping,
     /// A heartbeat.
-    Beat(Heartbeat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// The sender's load on the engines.
     Load(LoadMessage),
     /// Requests, with this number, a proof of the store revision that the peer knows.
@@ -47,7 +48,8 @@
     /// Requests a claim from the owner of a shard.
     Claim(ClaimRequest),
     /// Looks up a claim at the owner of a shard.
-    Look(ClaimRef),
+    #[serde(rename = "Look")]
+    Lookup(ClaimRef),
     /// Reports the outcome of a claim to the owner of a shard.
     Edit(BucketId, Edit),
     /// Requests the peer's wall-clock time.
@@ -73,10 +75,11 @@
 pub enum Response {
     /// Response to [`Request::Ping`].
     Pong,
-    /// Response to [`Request::Claim`] and [`Request::Look`].
+    /// Response to [`Request::Claim`] and [`Request::Lookup`].
     Verdict(Verdict),
     /// The message was accepted.
-    Taken,
+    #[serde(rename = "Taken")]
+    Accepted,
     /// Response to [`Request::Clock`].
     Clock(WallTime),
     /// Response to [`Request::Config`].
@@ -93,9 +96,11 @@
     /// The peer has reached its limit of concurrent full transfers; retry later or ask another peer.
     Busy,
     /// Response to [`Request::Since`].
-    News(StoreChanges),
+    #[serde(rename = "News")]
+    Changes(StoreChanges),
     /// This instance does not serve the request.
-    Unserved,
+    #[serde(rename = "Unserved")]
+    NotServed,
 }
 
 /// Asks a peer not to send new work to an engine before it is changed. Repeated while the change is in progress.
--- a/src/ops/control/membership.rs
+++ b/src/ops/control/membership.rs
@@ -116,7 +116,7 @@
         let socket = self.socket.clone();
         let metrics = self.shared.metrics.membership.clone();
         actix::spawn(async move {
-            match socket.send(to, Datagram::Beat(heartbeat)).await {
+            match socket.send(to, Datagram::Heartbeat(heartbeat)).await {
                 Ok(bytes) => {
                     metrics.heartbeats_sent.inc();
                     metrics.heartbeat_bytes.inc_by(bytes as u64);
@@ -234,7 +234,7 @@
 
     fn handle(&mut self, Received(received): Received, _: &mut Context<Self>) {
         match received {
-            Ok((name, Datagram::Beat(heartbeat))) => {
+            Ok((name, Datagram::Heartbeat(heartbeat))) => {
                 self.shared.metrics.membership.heartbeats_received.inc();
                 self.handle_event(Event::Heartbeat(name, heartbeat));
             }
--- a/src/ops/control/peers.rs
+++ b/src/ops/control/peers.rs
@@ -42,13 +42,13 @@
     async fn respond(&self, request: Request) -> Response {
         match request {
             Request::Ping => Response::Pong,
-            Request::Page(_) | Request::Since(_) => Response::Unserved,
+            Request::Page(_) | Request::Since(_) => Response::NotServed,
             Request::Claim(request) => verdict_response(self.claims.send(RequestClaim(request)).await),
-            Request::Look(claim) => verdict_response(self.claims.send(QueryClaim(claim)).await),
+            Request::Lookup(claim) => verdict_response(self.claims.send(QueryClaim(claim)).await),
             Request::Clock => Response::Clock(clock::wall_time()),
             Request::Edit(bucket, edit) => {
                 self.claims.do_send(EditClaim(bucket, edit));
-                Response::Taken
+                Response::Accepted
             }
             Request::Poison(request) => Response::Poison(handle_poison(&self.shared, &request)),
             Request::Hold(hold) => {
@@ -57,7 +57,7 @@
             }
             Request::Unhold(engine) => {
                 self.shared.unhold(&engine);
-                Response::Taken
+                Response::Accepted
             }
             Request::Settle(order) => {
                 let settlement = self.authority.send(AskSettlement::from(order)).await;
@@ -65,7 +65,7 @@
             }
             Request::Config(after) => {
                 let update = self.config.send(UpdateAfter(after)).await;
-                update.map_or(Response::Unserved, Response::Config)
+                update.map_or(Response::NotServed, Response::Config)
             }
         }
     }
--- a/src/ops/dispatch/owners.rs
+++ b/src/ops/dispatch/owners.rs
@@ -91,7 +91,10 @@
         for owner in self.ranked_owners(claim.bucket.shard) {
             let verdict = match owner == self.shared.settings.name {
                 true => self.control.claims.send(QueryClaim(claim)).await.ok(),
-                false => match self.call_owner(&owner, Request::Look(claim), OWNER_TIMEOUT).await {
+                false => match self
+                    .call_owner(&owner, Request::Lookup(claim), OWNER_TIMEOUT)
+                    .await
+                {
                     Some(Response::Verdict(verdict)) => Some(verdict),
                     _ => None,
                 },
@@ -112,7 +115,7 @@
                 return;
             }
             let request = Request::Edit(bucket, edit.clone());
-            if let Some(Response::Taken) = self.call_owner(&owner, request, OWNER_TIMEOUT).await {
+            if let Some(Response::Accepted) = self.call_owner(&owner, request, OWNER_TIMEOUT).await {
                 return;
             }
         }
--- a/src/ops/relay/peers/ask.rs
+++ b/src/ops/relay/peers/ask.rs
@@ -62,7 +62,7 @@
         };
         let sent = clock::now();
         let answer = match self.0.calls.call(peer, &request, timeout).await {
-            Ok(Response::News(changes)) if changes.revision > revision => {
+            Ok(Response::Changes(changes)) if changes.revision > revision => {
                 Some(PeerAnswer::Changes(peer, changes))
             }
             Ok(Response::Page(page)) if page.revision > revision => {
--- a/src/ops/relay/peers/mod.rs
+++ b/src/ops/relay/peers/mod.rs
@@ -158,9 +158,9 @@
             Request::Page(after) => self.page(&after),
             Request::Since(revision) => {
                 let changes = self.known.changes_since(clock::now(), revision);
-                changes.map_or_else(|| self.page(""), Response::News)
+                changes.map_or_else(|| self.page(""), Response::Changes)
             }
-            _ => Response::Unserved,
+            _ => Response::NotServed,
         }
     }
 }
@@ -255,7 +255,7 @@
 async fn receive(fleet: Fleet) {
     loop {
         match fleet.0.socket.receive().await {
-            Ok((name, Datagram::Beat(heartbeat))) => fleet.on(Event::Heartbeat(name, heartbeat)),
+            Ok((name, Datagram::Heartbeat(heartbeat))) => fleet.on(Event::Heartbeat(name, heartbeat)),
             Ok((name, Datagram::Load(message))) => fleet.on_load(&name, message),
             Ok((name, Datagram::Prove(number))) => fleet.on_proof_request(&name, number),
             Ok((_, Datagram::Proof(proof))) => fleet.on_proof(proof),
@@ -365,7 +365,7 @@
         let mut publish = false;
         for action in actions {
             match action {
-                Action::Send(to, heartbeat) => self.send(to, Datagram::Beat(heartbeat)),
+                Action::Send(to, heartbeat) => self.send(to, Datagram::Heartbeat(heartbeat)),
                 Action::Publish => publish = true,
                 Action::PeerAhead(..) | Action::Resumed => {}
             }
