--- a/crates/kv/src/store.rs
+++ b/crates/kv/src/store.rs
@@ -105,7 +105,7 @@
     #[error("could not reach the store: {0}")]
     Unknown(String),
     /// The response could not be decoded.
-    #[error("could not read the store's answer: {0}")]
+    #[error("could not decode the store's response: {0}")]
     Unreadable(String),
 }
 
