--- a/crates/kv/src/budget.rs
+++ b/crates/kv/src/budget.rs
@@ -1,5 +1,5 @@
-//! The call budget of an instance, and counting, since the platform counts each call and its rates grow more
-//! slowly than the fleet.
+//! Call budget and call counts of an instance. Both are needed because the platform counts every call, and its rate
+//! limits grow more slowly than the fleet.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -10,14 +10,14 @@
 
 use crate::error::KvError;
 
-/// Calls a second that an instance may make if nothing else is set.
+/// Default number of calls per second that an instance may make.
 pub const DEFAULT_RATE: u32 = 100;
 
-/// First bound of the pause before a call while calls fail; doubled with each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(25);
+/// Initial upper bound of the random delay before a call while calls fail; doubled with each consecutive failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 
-/// Highest bound of that pause.
-const MAX_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum upper bound of that delay.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Kinds of calls, as the platform counts them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,11 +26,11 @@
     Read,
     /// Writing a key.
     Write,
-    /// Waiting for a key to change; one call for as long as it waits.
+    /// Waiting for a key to change; counts as one call however long it waits.
     Watch,
     /// Granting, renewing or releasing a lease.
     Lease,
-    /// Reading the list of machines.
+    /// Listing machines.
     List,
     /// Reading from the weight store.
     Weights,
@@ -47,7 +47,7 @@
         CallKind::Weights,
     ];
 
-    /// The kind as a label of metrics.
+    /// Value of the metrics label for this kind.
     pub fn label(self) -> &'static str {
         match self {
             CallKind::Read => "read",
@@ -60,22 +60,23 @@
     }
 }
 
-/// Calls of one kind since the start of the process.
+/// Number of calls of one kind since the process started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CallCount {
-    /// Made.
+    /// Calls made.
     pub calls: u64,
-    /// Of these, without a usable answer.
+    /// Calls made that got no usable response.
     pub failed: u64,
-    /// Not made, since the budget was spent.
+    /// Calls not made because the budget was exhausted.
     pub refused: u64,
 }
 
-/// The call budget that all clients of one instance share: a token bucket, and what was spent.
+/// Call budget shared by all clients of one instance: a token bucket and call counters.
 ///
-/// Failure guarded against: after an outage all instances call at once what they put off, and the service goes
-/// down again. While calls fail each further call waits a random time that grows with the failures, so the
-/// calls of the fleet stay spread when the service returns, and no instance ever exceeds its rate.
+/// Guards against all instances sending their deferred calls at once after an outage, which would overload the
+/// service again. While calls fail, each further call is delayed by a random time that grows with the number of
+/// consecutive failures. The calls of the fleet therefore stay spread out when the service recovers, and no instance
+/// ever exceeds its rate.
 #[derive(Debug)]
 pub struct CallMeter {
     rate: f64,
@@ -86,7 +87,7 @@
 #[derive(Debug)]
 struct MeterState {
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
     failures: u32,
     counts: [CallCount; CallKind::ALL.len()],
 }
@@ -98,12 +99,12 @@
 }
 
 impl CallMeter {
-    /// A budget of `rate` calls a second, and twice as many at once.
+    /// Creates a budget of `rate` calls per second with bursts of up to twice that number.
     pub fn new(rate: u32) -> CallMeter {
         let burst = f64::from(rate) * 2.0;
         let state = MeterState {
             tokens: burst,
-            filled: Instant::now(),
+            refilled: Instant::now(),
             failures: 0,
             counts: Default::default(),
         };
@@ -114,22 +115,22 @@
         }
     }
 
-    /// What was spent on `kind`.
+    /// Returns the call counts of `kind`.
     pub fn count(&self, kind: CallKind) -> CallCount {
         self.lock().counts[kind as usize]
     }
 
-    /// Takes a call from the budget; returns how long to wait before it is made.
+    /// Takes one call from the budget and returns how long to wait before making it.
     ///
     /// # Errors
     ///
-    /// [`KvError::Budget`] if the wait would be longer than `limit`; the call may not be made.
+    /// [`KvError::Budget`] if the wait for the budget would exceed `limit`; the call must not be made.
     pub fn take(&self, kind: CallKind, limit: Duration) -> Result<Duration, KvError> {
         let mut state = self.lock();
         let now = Instant::now();
-        let fresh = now.duration_since(state.filled).as_secs_f64() * self.rate;
+        let fresh = now.duration_since(state.refilled).as_secs_f64() * self.rate;
         state.tokens = (state.tokens + fresh).min(self.burst);
-        state.filled = now;
+        state.refilled = now;
         let missing = (1.0 - state.tokens).max(0.0);
         let wait = Duration::from_secs_f64(missing / self.rate);
         if wait > limit {
@@ -138,10 +139,10 @@
         }
         state.tokens -= 1.0;
         state.counts[kind as usize].calls += 1;
-        Ok(wait + pause(state.failures))
+        Ok(wait + backoff(state.failures))
     }
 
-    /// Notes how a call ended.
+    /// Records the result of a call.
     pub fn end(&self, kind: CallKind, error: Option<&KvError>) {
         let mut state = self.lock();
         match error {
@@ -156,15 +157,17 @@
     fn lock(&self) -> MutexGuard<'_, MeterState> {
         self.state
             .lock()
-            .expect("no thread panics while it holds the meter")
+            .expect("no thread panics while it holds the meter's lock")
     }
 }
 
-/// A random pause after so many failures in a row.
-pub(crate) fn pause(failures: u32) -> Duration {
+/// Returns a random delay for the given number of consecutive failures.
+pub(crate) fn backoff(failures: u32) -> Duration {
     if failures == 0 {
         return Duration::ZERO;
     }
-    let bound = FIRST_PAUSE.saturating_mul(1 << failures.min(6)).min(MAX_PAUSE);
+    let bound = INITIAL_BACKOFF
+        .saturating_mul(1 << failures.min(6))
+        .min(MAX_BACKOFF);
     bound.mul_f64(rand::rng().random_range(0.0..1.0))
 }
--- a/crates/kv/src/client.rs
+++ b/crates/kv/src/client.rs
@@ -23,28 +23,28 @@
 
 use crate::budget::CallKind;
 use crate::budget::CallMeter;
-use crate::budget::pause;
+use crate::budget::backoff;
 use crate::envelope;
 use crate::envelope::Operation;
 use crate::error::KvError;
-use crate::lists::Listed;
+use crate::lists::ListEntry;
 use crate::wire::EntryBody;
 use crate::wire::LeaseBody;
 use crate::wire::VersionBody;
 
-/// Header that tells the platform which instance calls.
-const CALLER: &str = "x-caller";
+/// Request header that identifies the calling instance to the platform.
+const CALLER_HEADER: &str = "x-caller";
 
-/// How often an ambiguous write is tried and read back before it is given up as unresolved.
-const RESOLVE_TRIES: u32 = 4;
+/// Maximum number of attempts to write and read back an ambiguous write before it is reported as unresolved.
+const MAX_WRITE_ATTEMPTS: u32 = 4;
 
-/// Longest time of a write with all its tries, in deadlines of one call.
+/// Maximum duration of a write including all attempts, as a multiple of the deadline of one call.
 const TOTAL_DEADLINES: u32 = 4;
 
-/// Largest answer read, in bytes: a value of a megabyte in base64, and its frame.
-const MAX_ANSWER: usize = 2 * 1024 * 1024;
+/// Maximum response body, in bytes: a value of 1 MB in base64 and the JSON around it.
+const MAX_BODY_LEN: usize = 2 * 1024 * 1024;
 
-/// The key-value service's own version of a key; 0 stands for an absent key.
+/// Version that the key-value service assigns to a key; 0 means that the key is absent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct KvVersion(pub u64);
 
@@ -55,13 +55,13 @@
 /// A key's value and version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Version to compare with at the next swap.
+    /// Version to expect in the next swap.
     pub version: KvVersion,
     /// The value; `None` if the key is absent.
     pub value: Option<Bytes>,
 }
 
-/// What a swap compares with.
+/// Precondition of a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
     /// The key is absent.
@@ -79,47 +79,47 @@
     }
 }
 
-/// How a swap ended.
+/// Result of a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Swap {
-    /// It took effect and made this version.
+    /// The write took effect and created this version.
     Done(KvVersion),
-    /// It did not take effect: the key stands so.
+    /// The write did not take effect; holds the current entry.
     Conflict(Entry),
 }
 
-/// Client of the key-value service, the lists and the weight store. Cheap to clone; stays on one thread.
+/// Client of the key-value service, the machine lists and the weight store. Cheap to clone; not `Send`.
 #[derive(Clone)]
 pub struct KvClient {
     http: Client,
     base: Rc<str>,
     deadline: Duration,
     incarnation: Uuid,
-    numbers: Rc<Cell<u64>>,
+    last_number: Rc<Cell<u64>>,
     meter: Arc<CallMeter>,
 }
 
 impl KvClient {
-    /// A client of the platform at `base` (such as `http://127.0.0.1:7000`), whose calls end after
-    /// `deadline`. `caller` tells the platform who calls. `incarnation` must be drawn anew at each start of
-    /// the process.
+    /// Creates a client of the platform at the base URL `base` (such as `http://127.0.0.1:7000`) whose calls time out
+    /// after `deadline`. `caller` identifies the calling instance to the platform. A new `incarnation` must be
+    /// generated at each start of the process.
     pub fn new(base: &str, caller: &Name, deadline: Duration, incarnation: Uuid) -> KvClient {
         let http = Client::builder()
             .timeout(deadline)
             .disable_redirects()
-            .add_default_header((CALLER, caller.as_str()))
+            .add_default_header((CALLER_HEADER, caller.as_str()))
             .finish();
         KvClient {
             http,
             base: Rc::from(base.trim_end_matches('/')),
             deadline,
             incarnation,
-            numbers: Rc::new(Cell::new(0)),
+            last_number: Rc::new(Cell::new(0)),
             meter: Arc::default(),
         }
     }
 
-    /// Shares the call budget of `meter` with the other clients of the instance.
+    /// Uses `meter`, the call budget shared with the other clients of the instance.
     pub fn meter(mut self, meter: Arc<CallMeter>) -> KvClient {
         self.meter = meter;
         self
@@ -129,26 +129,25 @@
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time.
+    /// [`KvError`] if no usable response arrived in time.
     pub async fn get(&self, key: &str) -> Result<Entry, KvError> {
         let url = format!("{}/v1/kv/{key}", self.base);
         let get = async {
-            let answer = self.call(self.http.get(url).send(), self.deadline).await?;
-            self.entry(answer).await.map(|(entry, _)| entry)
+            let response = self.call(self.http.get(url).send(), self.deadline).await?;
+            self.entry(response).await.map(|(entry, _)| entry)
         };
         self.metered(CallKind::Read, get).await
     }
 
-    /// Writes `value` to `key` if the key still stands as `expect` says.
+    /// Writes `value` to `key` if the key satisfies `expect`.
     ///
-    /// An answer lost on the way is resolved: the same write is offered again and, on a conflict, the stored
-    /// operation is compared with ours. Since each try compares with the same version, at most one takes
-    /// effect.
+    /// If the response is lost, the same write is retried and, on a conflict, the stored operation is compared with
+    /// that of this write. Since every attempt expects the same version, at most one takes effect.
     ///
     /// # Errors
     ///
-    /// [`KvError::Unresolved`] if it could not be found out in time whether the write took effect, another
-    /// [`KvError`] if it surely did not.
+    /// [`KvError::Unresolved`] if it could not be determined in time whether the write took effect; another
+    /// [`KvError`] if it definitely did not.
     pub async fn swap(
         &self,
         key: &str,
@@ -158,14 +157,14 @@
     ) -> Result<Swap, KvError> {
         let operation = self.next_operation();
         let body = Bytes::from(envelope::wrap(operation, value));
-        let tries = self.swap_tries(key, expect, operation, body, lease);
-        match timeout(self.deadline * TOTAL_DEADLINES, tries).await {
+        let attempts = self.swap_attempts(key, expect, operation, body, lease);
+        match timeout(self.deadline * TOTAL_DEADLINES, attempts).await {
             Ok(result) => result,
             Err(_) => Err(KvError::Unresolved),
         }
     }
 
-    async fn swap_tries(
+    async fn swap_attempts(
         &self,
         key: &str,
         expect: Expect,
@@ -174,19 +173,19 @@
         lease: Option<LeaseId>,
     ) -> Result<Swap, KvError> {
         let mut ambiguous = false;
-        for tried in 0..RESOLVE_TRIES {
-            sleep(pause(tried)).await;
+        for attempt in 0..MAX_WRITE_ATTEMPTS {
+            sleep(backoff(attempt)).await;
             match self.try_swap(key, expect, body.clone(), lease).await {
-                Ok(TrySwap::Done(version)) => return Ok(Swap::Done(version)),
-                Ok(TrySwap::Conflict(entry, Some(by))) if by == operation => {
+                Ok(SwapAttempt::Done(version)) => return Ok(Swap::Done(version)),
+                Ok(SwapAttempt::Conflict(entry, Some(by))) if by == operation => {
                     return Ok(Swap::Done(entry.version));
                 }
-                // Another write came on top: ours may lie below it.
-                Ok(TrySwap::Conflict(..)) if ambiguous => return Err(KvError::Unresolved),
-                Ok(TrySwap::Conflict(entry, _)) => return Ok(Swap::Conflict(entry)),
+                // Another write replaced the value; this write may have taken effect before it.
+                Ok(SwapAttempt::Conflict(..)) if ambiguous => return Err(KvError::Unresolved),
+                Ok(SwapAttempt::Conflict(entry, _)) => return Ok(Swap::Conflict(entry)),
                 Err(error) if error.is_ambiguous() => ambiguous = true,
                 Err(error) if ambiguous => {
-                    tracing::debug!(%error, key, "write still ambiguous");
+                    tracing::debug!(%error, key, "write outcome still ambiguous");
                 }
                 Err(error) => return Err(error),
             }
@@ -194,11 +193,11 @@
         Err(KvError::Unresolved)
     }
 
-    /// Waits until `key` has another version than `after`, for at most `wait`; `None` if it has not changed.
+    /// Waits up to `wait` until the version of `key` differs from `after`; returns `None` if it did not change.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came within `wait` and the call's deadline.
+    /// [`KvError`] if no usable response arrived within `wait` plus the deadline of the call.
     pub async fn watch(&self, key: &str, after: KvVersion, wait: Duration) -> Result<Option<Entry>, KvError> {
         let url = format!(
             "{}/v1/watch/{key}?after={}&wait_ms={}",
@@ -208,42 +207,42 @@
         );
         let limit = wait + self.deadline;
         let watch = async {
-            let answer = self.call(self.http.get(url).timeout(limit).send(), limit).await?;
-            match answer.status().as_u16() {
+            let response = self.call(self.http.get(url).timeout(limit).send(), limit).await?;
+            match response.status().as_u16() {
                 304 => Ok(None),
-                _ => self.entry(answer).await.map(|(entry, _)| Some(entry)),
+                _ => self.entry(response).await.map(|(entry, _)| Some(entry)),
             }
         };
         self.metered(CallKind::Watch, watch).await
     }
 
-    /// Asks for a lease that lapses `ttl` after its last renewal.
+    /// Requests a lease that expires `ttl` after its last renewal.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time; a lease that was granted all the same lapses by itself.
+    /// [`KvError`] if no usable response arrived in time; a lease that was granted nevertheless expires by itself.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseId, KvError> {
         let url = format!("{}/v1/lease?ttl_ms={}", self.base, ttl.as_millis());
         let grant = async {
-            let answer = self.call(self.http.post(url).send(), self.deadline).await?;
-            let body: LeaseBody = self.json(answer).await?;
+            let response = self.call(self.http.post(url).send(), self.deadline).await?;
+            let body: LeaseBody = self.json(response).await?;
             Ok(LeaseId(body.id))
         };
         self.metered(CallKind::Lease, grant).await
     }
 
-    /// Renews a lease. The holder counts its time from before this call was sent.
+    /// Renews a lease. The holder must measure the lease's time from before this call was sent.
     ///
     /// # Errors
     ///
-    /// [`KvError::LeaseLapsed`] if it has lapsed; another [`KvError`] if no usable answer came in time.
+    /// [`KvError::LeaseLapsed`] if it has expired; another [`KvError`] if no usable response arrived in time.
     pub async fn renew(&self, lease: LeaseId) -> Result<(), KvError> {
         let url = format!("{}/v1/lease/{}", self.base, lease.0);
         let renew = async {
-            let answer = self.call(self.http.put(url).send(), self.deadline).await?;
-            match answer.status().as_u16() {
+            let response = self.call(self.http.put(url).send(), self.deadline).await?;
+            match response.status().as_u16() {
                 404 => Err(KvError::LeaseLapsed),
-                _ => expect_success(&answer),
+                _ => expect_success(&response),
             }
         };
         self.metered(CallKind::Lease, renew).await
@@ -253,54 +252,54 @@
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time; the lease then lapses by itself.
+    /// [`KvError`] if no usable response arrived in time; the lease then expires by itself.
     pub async fn release(&self, lease: LeaseId) -> Result<(), KvError> {
         let url = format!("{}/v1/lease/{}", self.base, lease.0);
         let release = async {
-            let answer = self.call(self.http.delete(url).send(), self.deadline).await?;
-            expect_success(&answer)
+            let response = self.call(self.http.delete(url).send(), self.deadline).await?;
+            expect_success(&response)
         };
         self.metered(CallKind::Lease, release).await
     }
 
-    /// The platform's list of entry instances, as old as its lag.
+    /// Returns the platform's list of entry instances, which may lag behind.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time.
-    pub async fn instances(&self) -> Result<Vec<Listed>, KvError> {
+    /// [`KvError`] if no usable response arrived in time.
+    pub async fn instances(&self) -> Result<Vec<ListEntry>, KvError> {
         self.list("instances").await
     }
 
-    /// The platform's list of upstreams, as old as its lag.
+    /// Returns the platform's list of upstreams, which may lag behind.
     ///
     /// # Errors
     ///
-    /// [`KvError`] if no usable answer came in time.
-    pub async fn upstreams(&self) -> Result<Vec<Listed>, KvError> {
+    /// [`KvError`] if no usable response arrived in time.
+    pub async fn upstreams(&self) -> Result<Vec<ListEntry>, KvError> {
         self.list("upstreams").await
     }
 
-    /// Asks the weight store whether `model` can be read now. The store is rate-limited: a load that starts
-    /// while it refuses would stall an engine.
+    /// Checks whether `model` can be read from the weight store now. The store is rate-limited: loading a model while
+    /// it refuses reads would stall an engine.
     ///
     /// # Errors
     ///
-    /// [`KvError::Refused`] with status 429 if the store's rate is used up.
-    pub async fn weights(&self, model: &Name) -> Result<(), KvError> {
+    /// [`KvError::Refused`] with status 429 if the store's rate limit is reached.
+    pub async fn check_weights(&self, model: &Name) -> Result<(), KvError> {
         let url = format!("{}/v1/weights/{model}", self.base);
         let read = async {
-            let answer = self.call(self.http.get(url).send(), self.deadline).await?;
-            expect_success(&answer)
+            let response = self.call(self.http.get(url).send(), self.deadline).await?;
+            expect_success(&response)
         };
         self.metered(CallKind::Weights, read).await
     }
 
-    async fn list(&self, kind: &str) -> Result<Vec<Listed>, KvError> {
+    async fn list(&self, kind: &str) -> Result<Vec<ListEntry>, KvError> {
         let url = format!("{}/v1/list/{kind}", self.base);
         let read = async {
-            let answer = self.call(self.http.get(url).send(), self.deadline).await?;
-            self.json(answer).await
+            let response = self.call(self.http.get(url).send(), self.deadline).await?;
+            self.json(response).await
         };
         self.metered(CallKind::List, read).await
     }
@@ -311,7 +310,7 @@
         expect: Expect,
         body: Bytes,
         lease: Option<LeaseId>,
-    ) -> Result<TrySwap, KvError> {
+    ) -> Result<SwapAttempt, KvError> {
         let expect = match expect {
             Expect::Absent => 0,
             Expect::Version(version) => version.0,
@@ -320,23 +319,23 @@
         let url = format!("{}/v1/kv/{key}?expect={expect}{lease}", self.base);
         let put = async {
             let sent = self.http.put(url).send_body(body);
-            let answer = self.call(sent, self.deadline).await?;
-            match answer.status().as_u16() {
+            let response = self.call(sent, self.deadline).await?;
+            match response.status().as_u16() {
                 409 => {
-                    let (entry, by) = self.entry_of(answer).await?;
-                    Ok(TrySwap::Conflict(entry, by))
+                    let (entry, by) = self.read_entry(response).await?;
+                    Ok(SwapAttempt::Conflict(entry, by))
                 }
                 410 => Err(KvError::LeaseLapsed),
                 _ => {
-                    let body: VersionBody = self.json(answer).await?;
-                    Ok(TrySwap::Done(KvVersion(body.version)))
+                    let body: VersionBody = self.json(response).await?;
+                    Ok(SwapAttempt::Done(KvVersion(body.version)))
                 }
             }
         };
         self.metered(CallKind::Write, put).await
     }
 
-    /// Makes a call within the budget and counts it.
+    /// Makes a call within the call budget and counts it.
     async fn metered<F, T>(&self, kind: CallKind, call: F) -> Result<T, KvError>
     where
         F: Future<Output = Result<T, KvError>>,
@@ -351,32 +350,32 @@
     }
 
     fn next_operation(&self) -> Operation {
-        let number = self.numbers.get() + 1;
-        self.numbers.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         Operation {
             incarnation: self.incarnation,
             number,
         }
     }
 
-    async fn entry<S>(&self, answer: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
+    async fn entry<S>(&self, response: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
     where
-        S: AnswerStream,
+        S: BodyStream,
     {
-        match answer.status().as_u16() {
+        match response.status().as_u16() {
             404 => Ok((absent(), None)),
             _ => {
-                expect_success(&answer)?;
-                self.entry_of(answer).await
+                expect_success(&response)?;
+                self.read_entry(response).await
             }
         }
     }
 
-    async fn entry_of<S>(&self, answer: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
+    async fn read_entry<S>(&self, response: ClientResponse<S>) -> Result<(Entry, Option<Operation>), KvError>
     where
-        S: AnswerStream,
+        S: BodyStream,
     {
-        let body: EntryBody = self.body(answer).await?;
+        let body: EntryBody = self.body(response).await?;
         let Some(text) = body.value else {
             return Ok((
                 Entry {
@@ -390,7 +389,7 @@
             .decode(text)
             .map_err(|e| KvError::Malformed(e.to_string()))?;
         let (operation, value) = envelope::unwrap(&bytes)
-            .ok_or_else(|| KvError::Malformed("value without its writer".to_string()))?;
+            .ok_or_else(|| KvError::Malformed("the value has no envelope".to_string()))?;
         let entry = Entry {
             version: KvVersion(body.version),
             value: Some(Bytes::copy_from_slice(value)),
@@ -398,21 +397,21 @@
         Ok((entry, Some(operation)))
     }
 
-    async fn json<S, T>(&self, answer: ClientResponse<S>) -> Result<T, KvError>
+    async fn json<S, T>(&self, response: ClientResponse<S>) -> Result<T, KvError>
     where
-        S: AnswerStream,
+        S: BodyStream,
         T: DeserializeOwned,
     {
-        expect_success(&answer)?;
-        self.body(answer).await
+        expect_success(&response)?;
+        self.body(response).await
     }
 
-    async fn body<S, T>(&self, mut answer: ClientResponse<S>) -> Result<T, KvError>
+    async fn body<S, T>(&self, mut response: ClientResponse<S>) -> Result<T, KvError>
     where
-        S: AnswerStream,
+        S: BodyStream,
         T: DeserializeOwned,
     {
-        let read = answer.body().limit(MAX_ANSWER);
+        let read = response.body().limit(MAX_BODY_LEN);
         let bytes = match timeout(self.deadline, read).await {
             Ok(Ok(bytes)) => bytes,
             Ok(Err(error)) => return Err(KvError::Connection(error.to_string())),
@@ -426,22 +425,19 @@
         F: Future<Output = Result<ClientResponse<S>, SendRequestError>>,
     {
         match timeout(limit, send).await {
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err(from_send(error, limit)),
             Err(_) => Err(KvError::Timeout(limit)),
         }
     }
 }
 
-/// The body stream of an answer.
-trait AnswerStream: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin {}
+/// Body stream of a response.
+trait BodyStream: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin {}
 
-impl<S> AnswerStream for S where
-    S: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin
-{
-}
+impl<S> BodyStream for S where S: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin {}
 
-enum TrySwap {
+enum SwapAttempt {
     Done(KvVersion),
     Conflict(Entry, Option<Operation>),
 }
@@ -453,19 +449,19 @@
     }
 }
 
-/// Turns a failure to send into an error that tells whether the call may have left.
+/// Converts a send error to an error that tells whether the request may have been sent.
 ///
-/// Failure guarded against: a write that took effect is taken for one that did not. awc reports a connection
-/// that closed after the call was sent as `Connect(Disconnected)`; taken at its word, the writer would act as
-/// if its value were not stored. The guard holds because every other connect error comes from before the
-/// connection exists, when no byte of the call can have left.
+/// Guards against treating a write that took effect as one that did not. awc reports a connection that was closed
+/// after the request was sent as `Connect(Disconnected)`; if this were treated as a connect error, the writer would
+/// assume that its value was not stored. Every other connect error occurs before the connection is established, when
+/// no byte of the request can have been sent.
 fn from_send(error: SendRequestError, limit: Duration) -> KvError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
-            KvError::Connection("closed without an answer".to_string())
+            KvError::Connection("the connection was closed without a response".to_string())
         }
         SendRequestError::Connect(ConnectError::Timeout) => {
-            KvError::Connect("no connection in time".to_string())
+            KvError::Connect("timed out while connecting".to_string())
         }
         SendRequestError::Connect(error) => KvError::Connect(error.to_string()),
         SendRequestError::Timeout => KvError::Timeout(limit),
@@ -473,10 +469,10 @@
     }
 }
 
-fn expect_success<S>(answer: &ClientResponse<S>) -> Result<(), KvError> {
-    match answer.status().is_success() {
+fn expect_success<S>(response: &ClientResponse<S>) -> Result<(), KvError> {
+    match response.status().is_success() {
         true => Ok(()),
-        false => Err(KvError::Refused(answer.status().as_u16())),
+        false => Err(KvError::Refused(response.status().as_u16())),
     }
 }
 
