--- a/crates/testsupport/src/delay.rs
+++ b/crates/testsupport/src/delay.rs
@@ -59,7 +59,7 @@
     }
 
     /// Keeps back the next `count` orders.
-    pub fn keep_next(&self, count: usize) {
+    pub fn hold_next(&self, count: usize) {
         self.state.open.send_replace(false);
         self.state.keep.send_replace(count);
     }
@@ -69,13 +69,13 @@
     /// # Panics
     ///
     /// If the relay has ended.
-    pub async fn wait_for_kept(&self, count: usize) {
+    pub async fn wait_for_held(&self, count: usize) {
         let mut kept = self.state.kept.subscribe();
         kept.wait_for(|k| *k >= count).await.expect("the relay runs");
     }
 
     /// Lets the orders go that were kept back.
-    pub fn let_go(&self) {
+    pub fn release_held(&self) {
         self.state.open.send_replace(true);
     }
 }
@@ -96,7 +96,7 @@
         if let Some(state) = &state
             && buffer[..length].starts_with(ORDER)
         {
-            keep_back(state).await;
+            hold(state).await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
             return;
@@ -104,7 +104,7 @@
     }
 }
 
-async fn keep_back(state: &State) {
+async fn hold(state: &State) {
     let keep = *state.keep.borrow();
     if keep == 0 {
         return;
--- a/tests/testsuite/authority/processes.rs
+++ b/tests/testsuite/authority/processes.rs
@@ -47,9 +47,9 @@
 
 /// Makes the holder send an order that the relay keeps back.
 async fn send_delayed_order(fleet: &Fleet, relay: &Relay, index: usize) {
-    relay.keep_next(1);
+    relay.hold_next(1);
     fleet.apply(index, "set engine e0 role decode").await;
-    relay.wait_for_kept(1).await;
+    relay.wait_for_held(1).await;
 }
 
 /// The rows of the table that a query returns, by their first cell; `None` if the query failed.
@@ -166,7 +166,7 @@
     wait_for_phase(&fleet, other, 1, "answered").await;
     fleet.apply(other, "set engine e0 role prefill").await;
     wait_for_phase(&fleet, other, 2, "answered").await;
-    relay.let_go();
+    relay.release_held();
     http::until("the late order arrives", || async {
         (engine_orders(&fleet.engines[0]).await.len() == 3).then_some(())
     })
@@ -194,7 +194,7 @@
     wait_for_counter(&fleet.daemons[other], "sequoiastream_orders_unsettled_total").await;
     wait_for_phase(&fleet, other, 1, "open").await;
     assert_eq!(engine_orders(&fleet.engines[0]).await.len(), 0);
-    relay.let_go();
+    relay.release_held();
     wait_for_phase(&fleet, other, 2, "answered").await;
     fleet.daemons[first].signal("CONT");
     fleet.wait_for_version(version).await;
@@ -286,7 +286,7 @@
             ..Fault::default()
         };
         fleet.platform_fault(&outage).await;
-        relay.let_go();
+        relay.release_held();
         wait_for_role(&fleet.engines[0], Role::Decode).await;
         let metrics_url = format!("{}/metrics", fleet.daemons[first].url());
         http::until("the holder no longer considers itself the holder", || async {
