--- a/crates/testsupport/src/answer.rs
+++ b/crates/testsupport/src/answer.rs
@@ -22,7 +22,7 @@
     /// Text read.
     pub text: String,
     /// Id of the last event that had one, to come back with.
-    pub last: String,
+    pub last_id: String,
     /// Outcome that the last event carried.
     pub outcome: Option<String>,
     /// The error that ended the answer.
@@ -62,7 +62,7 @@
             buffer: Vec::new(),
             tokens: 0,
             text: String::new(),
-            last: String::new(),
+            last_id: String::new(),
             outcome: None,
             error: None,
             done: false,
@@ -98,7 +98,7 @@
     fn take(&mut self, event: &str) {
         for line in event.lines() {
             if let Some(id) = line.strip_prefix("id: ") {
-                self.last = id.to_string();
+                self.last_id = id.to_string();
             }
             if let Some(data) = line.strip_prefix("data: ") {
                 self.take_data(data);
--- a/crates/testsupport/src/delay.rs
+++ b/crates/testsupport/src/delay.rs
@@ -25,9 +25,9 @@
 
 #[derive(Debug)]
 struct State {
-    keep: watch::Sender<usize>,
-    kept: watch::Sender<usize>,
-    open: watch::Sender<bool>,
+    remaining: watch::Sender<usize>,
+    held: watch::Sender<usize>,
+    released: watch::Sender<bool>,
 }
 
 impl Relay {
@@ -40,9 +40,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
         let state = Rc::new(State {
-            keep: watch::Sender::new(0),
-            kept: watch::Sender::new(0),
-            open: watch::Sender::new(false),
+            remaining: watch::Sender::new(0),
+            held: watch::Sender::new(0),
+            released: watch::Sender::new(false),
         });
         let shared = state.clone();
         spawn_local(async move {
@@ -60,8 +60,8 @@
 
     /// Keeps back the next `count` orders.
     pub fn hold_next(&self, count: usize) {
-        self.state.open.send_replace(false);
-        self.state.keep.send_replace(count);
+        self.state.released.send_replace(false);
+        self.state.remaining.send_replace(count);
     }
 
     /// Waits until this many orders in all have been kept back.
@@ -70,13 +70,13 @@
     ///
     /// If the relay has ended.
     pub async fn wait_for_held(&self, count: usize) {
-        let mut kept = self.state.kept.subscribe();
+        let mut kept = self.state.held.subscribe();
         kept.wait_for(|k| *k >= count).await.expect("the relay runs");
     }
 
     /// Lets the orders go that were kept back.
     pub fn release_held(&self) {
-        self.state.open.send_replace(true);
+        self.state.released.send_replace(true);
     }
 }
 
@@ -86,11 +86,11 @@
     };
     let (from_caller, to_caller) = stream.into_split();
     let (from_engine, to_engine) = engine.into_split();
-    spawn_local(pass(from_engine, to_caller, None));
-    pass(from_caller, to_engine, Some(state)).await;
+    spawn_local(forward(from_engine, to_caller, None));
+    forward(from_caller, to_engine, Some(state)).await;
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, state: Option<Rc<State>>) {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, state: Option<Rc<State>>) {
     let mut buffer = [0; 64 * 1024];
     while let Ok(length @ 1..) = from.read(&mut buffer).await {
         if let Some(state) = &state
@@ -105,12 +105,12 @@
 }
 
 async fn hold(state: &State) {
-    let keep = *state.keep.borrow();
+    let keep = *state.remaining.borrow();
     if keep == 0 {
         return;
     }
-    state.keep.send_replace(keep - 1);
-    state.kept.send_modify(|kept| *kept += 1);
-    let mut open = state.open.subscribe();
+    state.remaining.send_replace(keep - 1);
+    state.held.send_modify(|kept| *kept += 1);
+    let mut open = state.released.subscribe();
     let _ = open.wait_for(|open| *open).await;
 }
--- a/crates/testsupport/src/fleet.rs
+++ b/crates/testsupport/src/fleet.rs
@@ -360,12 +360,12 @@
     }
 
     /// How many attempts engine `index` has taken.
-    pub async fn served(&self, index: usize) -> u64 {
+    pub async fn attempts_served(&self, index: usize) -> u64 {
         http::read(&format!("{}/control/served", self.engines[index].url())).await
     }
 
     /// Waits until some engine runs a request, and returns which.
-    pub async fn serving(&self) -> usize {
+    pub async fn wait_for_serving(&self) -> usize {
         http::until("an engine runs a request", || async {
             for (index, engine) in self.engines.iter().enumerate() {
                 let load: LoadBody = http::read(&format!("{}/v1/load", engine.url())).await;
@@ -399,7 +399,7 @@
     }
 
     /// Engines that have ended.
-    pub fn lost(&mut self) -> usize {
+    pub fn exited_engines(&mut self) -> usize {
         let running = |engine: &mut Process| engine.is_running();
         let running = self.engines.iter_mut().map(running).filter(|r| *r).count();
         self.engines.len() - running
--- a/crates/testsupport/src/http.rs
+++ b/crates/testsupport/src/http.rs
@@ -21,7 +21,7 @@
     /// The header `sequoiastream-outcome`.
     pub outcome: Option<String>,
     /// The header `retry-after`, in seconds.
-    pub after: Option<u64>,
+    pub retry_after: Option<u64>,
     /// Body.
     pub body: String,
 }
@@ -99,7 +99,7 @@
     Ok(Reply {
         status: answer.status().as_u16(),
         outcome,
-        after: after.and_then(|a| a.parse().ok()),
+        retry_after: after.and_then(|a| a.parse().ok()),
         body: String::from_utf8_lossy(&body).into_owned(),
     })
 }
--- a/tests/testsuite/callers.rs
+++ b/tests/testsuite/callers.rs
@@ -64,7 +64,7 @@
         assert_eq!(error["type"], "invalid_request_error");
         assert_eq!(error["code"], "bad-request");
     }
-    assert_eq!(fleet.served(0).await, 0);
+    assert_eq!(fleet.attempts_served(0).await, 0);
 }
 
 #[actix_web::test]
--- a/tests/testsuite/claims/faults.rs
+++ b/tests/testsuite/claims/faults.rs
@@ -347,7 +347,7 @@
     for _ in 0..3 {
         let reply = order(&fleet, 1, &refused_key, "pellets").await;
         assert_eq!((reply.status, reply.outcome.as_deref()), (503, Some("not-run")));
-        assert!(reply.after.is_some(), "{}", reply.body);
+        assert!(reply.retry_after.is_some(), "{}", reply.body);
     }
     let repeated = order(&fleet, 2, &answered_key, "pellets").await;
     assert_eq!(
--- a/tests/testsuite/claims/path.rs
+++ b/tests/testsuite/claims/path.rs
@@ -91,7 +91,7 @@
     let (first, (repeat, request_status)) = futures_util::join!(order(&fleet, 0, &key, "pellets"), repeat);
     assert_eq!(first.outcome.as_deref(), Some("whole"));
     assert_eq!((repeat.status, repeat.outcome.as_deref()), (409, Some("unknown")));
-    assert!(repeat.after.is_some());
+    assert!(repeat.retry_after.is_some());
     assert_eq!(request_status["state"], "running");
     assert_eq!(runs(&fleet).await.get(&key), Some(&1));
 }
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -265,9 +265,9 @@
     fleet.platform_fault(&cut(&["i0"])).await;
     fleet.daemons[1].signal("STOP");
     wait_for_standing(&fleet, 0, "isolated").await;
-    let before = fleet.served(0).await;
+    let before = fleet.attempts_served(0).await;
     assert_eq!(refusal(&fleet, 0).await, (503, "isolated".into()));
-    assert_eq!(fleet.served(0).await, before, "`not-run` is true");
+    assert_eq!(fleet.attempts_served(0).await, before, "`not-run` is true");
     fleet.daemons[1].signal("CONT");
     wait_for_standing(&fleet, 0, "current").await;
     assert_eq!(fleet.complete(0, "which crossover", 3, 1).await.status, 200);
@@ -323,11 +323,11 @@
         })
         .await;
     }
-    let before = fleet.served(0).await;
+    let before = fleet.attempts_served(0).await;
     for index in 0..3 {
         assert_eq!(refusal(fleet, index).await, (503, "no-engine".into()));
     }
-    assert_eq!(fleet.served(0).await, before, "new work came after all");
+    assert_eq!(fleet.attempts_served(0).await, before, "new work came after all");
 }
 
 /// Streams that run at the engine, one of each daemon.
@@ -432,12 +432,16 @@
             (seen == ["silent"]).then_some(())
         };
         http::until("the paused one is missed", silent).await;
-        let served = fleet.served(0).await;
+        let served = fleet.attempts_served(0).await;
         fleet.daemons[0].signal("CONT");
         served
     };
     let (replies, served) = futures_util::join!(futures_util::future::join_all(waiting), others);
-    assert_eq!(fleet.served(0).await, served, "the drained engine got work");
+    assert_eq!(
+        fleet.attempts_served(0).await,
+        served,
+        "the drained engine got work"
+    );
     for reply in replies {
         let outcome = reply.outcome.as_deref();
         assert!(matches!(outcome, Some("whole" | "not-run")), "{reply:?}");
--- a/tests/testsuite/outcomes.rs
+++ b/tests/testsuite/outcomes.rs
@@ -50,13 +50,13 @@
     for _ in 0..40 {
         let reply = fleet.complete(0, PROMPT, 5, 1).await;
         assert_eq!(reply.outcome.as_deref(), Some("not-run"));
-        seconds.insert(reply.after.expect("a time to come back"));
+        seconds.insert(reply.retry_after.expect("a time to come back"));
     }
     assert!(
         seconds.len() > 1 && seconds.iter().all(|s| (1..=3).contains(s)),
         "{seconds:?}"
     );
-    assert_eq!(fleet.served(0).await, 0, "not-run must be true");
+    assert_eq!(fleet.attempts_served(0).await, 0, "not-run must be true");
 }
 
 /// A caller is told `not-run` of a request that ran for a while, and pays for it twice. Order: one engine breaks
@@ -74,12 +74,12 @@
         let reply = fleet.complete(0, PROMPT, 5, seed).await;
         assert_eq!(reply.outcome.as_deref(), Some("failed"), "{reply:?}");
     }
-    assert!(fleet.served(0).await >= 4);
+    assert!(fleet.attempts_served(0).await >= 4);
     fleet.engine_fault(0, &refusing()).await;
-    let served = fleet.served(0).await;
+    let served = fleet.attempts_served(0).await;
     let reply = fleet.complete(0, PROMPT, 5, 9).await;
     assert_eq!(reply.outcome.as_deref(), Some("not-run"), "{reply:?}");
-    assert_eq!(fleet.served(0).await, served);
+    assert_eq!(fleet.attempts_served(0).await, served);
 }
 
 /// Goodput per product is read from these counts: each final answer counts once, whoever gave it.
@@ -135,5 +135,5 @@
         (429, Some("not-run"))
     );
     assert_eq!(refused.json::<Value>()["error"]["code"], "too-late");
-    assert_eq!(fleet.served(0).await, 0, "not-run must be true");
+    assert_eq!(fleet.attempts_served(0).await, 0, "not-run must be true");
 }
--- a/tests/testsuite/poison.rs
+++ b/tests/testsuite/poison.rs
@@ -41,7 +41,7 @@
                 assert!(is_convicted(&again), "instance {index}: {again:?}");
             }
         }
-        assert_eq!(fleet.lost(), 2, "{prompt}");
+        assert_eq!(fleet.exited_engines(), 2, "{prompt}");
         let innocent = fleet.complete(1, "calc without harm", 20, 4).await;
         assert_eq!(innocent.outcome.as_deref(), Some("whole"));
     }
@@ -76,7 +76,7 @@
     };
     let poisons = futures_util::future::join(poison(0, "bad poison:10"), poison(1, "worse poison:30"));
     futures_util::future::join(neighbours, poisons).await;
-    let lost = fleet.lost();
+    let lost = fleet.exited_engines();
     assert!(lost <= 4, "{lost} engines lost to two requests");
 }
 
@@ -96,7 +96,7 @@
         let reply = fleet.complete(index, prompt, 20, 1).await;
         assert!(is_convicted(&reply), "instance {index}: {reply:?}");
     }
-    assert_eq!(fleet.lost(), 2);
+    assert_eq!(fleet.exited_engines(), 2);
     fleet.platform_fault(&Fault::default()).await;
     http::until("the conviction is written", || async {
         let reply = fleet.statement(1, uuid::Uuid::new_v4(), "show quarantine").await;
@@ -113,7 +113,7 @@
     let prompt = "an innocent question";
     let mut answer = fleet.stream(0, prompt, 150, 3).await;
     answer.read(10).await;
-    let serving = fleet.serving().await;
+    let serving = fleet.wait_for_serving().await;
     fleet.engines[serving].kill();
     answer.read_all().await;
     assert_eq!(answer.text, expected_text(3, prompt, 1, 150));
@@ -158,7 +158,7 @@
     let prompt = "a question through a replacement";
     let mut answer = fleet.stream(0, prompt, 150, 3).await;
     answer.read(10).await;
-    let serving = fleet.serving().await;
+    let serving = fleet.wait_for_serving().await;
     let version = fleet.apply(0, &format!("withdraw engine e{serving}")).await;
     fleet.wait_for_version(version).await;
     fleet.engines[serving].kill();
@@ -180,11 +180,11 @@
     let version = fleet.apply(1, &format!("pardon fingerprint {fingerprint}")).await;
     fleet.wait_for_version(version).await;
     for index in [1, 0] {
-        let before = fleet.lost();
+        let before = fleet.exited_engines();
         let reply = fleet.complete(index, prompt, 10, 1).await;
         assert!(is_convicted(&reply), "{reply:?}");
         // Only the first of them runs: it crashes two more engines, since none was mended.
-        assert_eq!(fleet.lost() > before, index == 1, "instance {index}");
+        assert_eq!(fleet.exited_engines() > before, index == 1, "instance {index}");
     }
 }
 
--- a/tests/testsuite/streams.rs
+++ b/tests/testsuite/streams.rs
@@ -91,7 +91,7 @@
         let fleet = two_engines().await;
         let mut answer = fleet.stream(0, PROMPT, LONG, 5).await;
         answer.read(10).await;
-        let serving = fleet.serving().await;
+        let serving = fleet.wait_for_serving().await;
         fleet.engines[serving].signal(signal);
         answer.read_all().await;
         assert_eq!(
@@ -111,7 +111,7 @@
         let fleet = two_engines().await;
         let mut answer = fleet.stream(0, PROMPT, LONG, 6).await;
         answer.read(10).await;
-        let serving = fleet.serving().await;
+        let serving = fleet.wait_for_serving().await;
         let new = fleet.start_engine();
         let statement = match change {
             "replace" => format!(
@@ -138,9 +138,9 @@
             0.0,
             "{change}: cut"
         );
-        let served = fleet.served(serving).await;
+        let served = fleet.attempts_served(serving).await;
         fleet.complete(0, PROMPT, 3, 1).await;
-        assert_eq!(fleet.served(serving).await, served, "{change}: new work");
+        assert_eq!(fleet.attempts_served(serving).await, served, "{change}: new work");
     }
 }
 
@@ -160,7 +160,7 @@
         first.read_all().await;
         assert!(first.tokens < LONG as usize, "killed too late to prove anything");
         body["stream"] = json!(streamed);
-        let rest = match fleet.ask(1, &[("last-event-id", &first.last)], &body).await {
+        let rest = match fleet.ask(1, &[("last-event-id", &first.last_id)], &body).await {
             Ok(mut answer) => {
                 answer.read_all().await;
                 answer.text
@@ -170,7 +170,7 @@
                 body["choices"][0]["text"].as_str().expect("text").to_string()
             }
         };
-        let id = first.last.split(['.', '/']).next().expect("an id");
+        let id = first.last_id.split(['.', '/']).next().expect("an id");
         let whole = fleet
             .ask(1, &[("last-event-id", &format!("{id}/0"))], &body)
             .await;
@@ -200,7 +200,7 @@
     let body = json!({"model": MODEL, "prompt": PROMPT, "max_tokens": 20, "stream": true});
     let mut first = fleet.ask(0, &[], &body).await.expect("streamed");
     first.read_all().await;
-    let id = first.last.split('.').next().expect("an id");
+    let id = first.last_id.split('.').next().expect("an id");
     let url = format!("{}/v1/completions", fleet.daemons[0].url());
     let again = format!("{id}/0");
     let headers = [
@@ -296,7 +296,7 @@
     fleet.wait_for_version(version).await;
     let mut answer = fleet.stream(0, PROMPT, LONG, 8).await;
     answer.read(10).await;
-    let old = answer.last.clone();
+    let old = answer.last_id.clone();
     load_version(&fleet, 1, 2).await;
     let version = fleet.apply(0, "resume engine e1").await;
     fleet.wait_for_version(version).await;
@@ -313,9 +313,9 @@
     });
     assert!(spliced, "{}", answer.text);
     assert!(
-        !answer.last.contains('.'),
+        !answer.last_id.contains('.'),
         "continued text can't be resumed: {}",
-        answer.last
+        answer.last_id
     );
     let body = json!({"model": MODEL, "prompt": PROMPT, "max_tokens": LONG, "seed": 8, "stream": true});
     let reply = fleet.ask(1, &[("last-event-id", &old)], &body).await;
--- a/tests/testsuite/together.rs
+++ b/tests/testsuite/together.rs
@@ -199,12 +199,12 @@
     fleet.daemons[2].kill();
     fleet.daemons.pop();
     fleet.wait_for_version(version).await;
-    let served = fleet.served(0).await;
+    let served = fleet.attempts_served(0).await;
     for seed in 0..12 {
         let reply = fleet.complete(seed % 2, PROMPT, 3, seed as u64).await;
         assert_eq!(reply.outcome.as_deref(), Some("whole"), "{reply:?}");
     }
-    assert_eq!(fleet.served(0).await, served);
+    assert_eq!(fleet.attempts_served(0).await, served);
     let kept = streams.into_iter().take(2).collect();
     assert_whole(kept, 600, "drain").await;
 }
