--- a/crates/testsupport/examples/slopes.rs
+++ b/crates/testsupport/examples/slopes.rs
@@ -1,4 +1,4 @@
-//! Measures what an idle deployment costs at several sizes: the slopes behind `docs/CAPACITY.md`.
+//! Measures the resource use of an idle deployment at several sizes: the growth rates behind `docs/CAPACITY.md`.
 //!
 //! ```console
 //! $ cargo build --release --workspace --bins
@@ -6,8 +6,8 @@
 //! ```
 //!
 //! Each case starts a platform, one stand-in engine that listens on many loopback addresses, and daemons; then
-//! it measures one daemon for some seconds: processor time of its threads, resident memory, heartbeats, calls
-//! to the platform. One JSON object a case goes to standard output.
+//! it measures one daemon for some seconds: CPU time of its threads, resident memory, heartbeats and calls to
+//! the platform. It prints one JSON object per case to standard output.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -24,19 +24,19 @@
 use sequoiastream_testsupport::process::Process;
 use serde::Serialize;
 
-/// How long a deployment settles before it is measured.
+/// Time for a deployment to settle before the measurement.
 const SETTLE: Duration = Duration::from_secs(4);
 
-/// How long it is measured.
+/// Duration of the measurement.
 const WINDOW: Duration = Duration::from_secs(12);
 
 /// Clock ticks per second in `/proc`.
 const TICKS: f64 = 100.0;
 
-/// Availability zones, as many as the design size has.
+/// Number of availability zones, the same as in the design size.
 const ZONES: usize = 12;
 
-/// Sizes of one case.
+/// Deployment size of one case.
 #[derive(Debug, Clone, Copy, Serialize)]
 struct Case {
     daemons: usize,
@@ -44,13 +44,13 @@
     products: usize,
 }
 
-/// What was measured of one daemon.
+/// Measurements of one daemon.
 #[derive(Debug, Serialize)]
 struct Measured {
     case: Case,
-    /// Processor time of all threads, in percent of a core.
+    /// CPU time of all threads, in percent of a core.
     cpu: f64,
-    /// Processor time by thread name, in percent of a core.
+    /// CPU time by thread name, in percent of a core.
     threads: BTreeMap<String, f64>,
     /// Resident memory, in MiB.
     memory: f64,
@@ -132,7 +132,7 @@
     text
 }
 
-/// The counters of daemon 0 and of the platform at one moment.
+/// Counters of daemon 0 and of the platform at one point in time.
 struct Sample {
     at: Instant,
     threads: BTreeMap<String, f64>,
--- a/crates/testsupport/src/answer.rs
+++ b/crates/testsupport/src/answer.rs
@@ -1,4 +1,4 @@
-//! A caller's side of a streamed answer.
+//! Client side of a streamed answer.
 
 use std::fmt;
 use std::pin::Pin;
@@ -13,26 +13,26 @@
 
 type Body = Pin<Box<dyn Stream<Item = Result<Bytes, PayloadError>>>>;
 
-/// A streamed answer, read as far as the test asks.
+/// A streamed answer, read incrementally by the test.
 pub struct Answer {
     body: Body,
     buffer: Vec<u8>,
-    /// Tokens read.
+    /// Number of tokens read so far.
     pub tokens: usize,
-    /// Text read.
+    /// Text read so far.
     pub text: String,
-    /// Id of the last event that had one, to come back with.
+    /// Id of the last event that had one, used to resume the stream.
     pub last_id: String,
-    /// Outcome that the last event carried.
+    /// Outcome reported by the last event.
     pub outcome: Option<String>,
     /// The error that ended the answer.
     pub error: Option<Value>,
-    /// Whether `[DONE]` came.
+    /// Whether `[DONE]` was received.
     pub done: bool,
 }
 
 impl Answer {
-    /// Asks, and reads the answer's head.
+    /// Sends the request and reads the status and headers of the answer.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
     ///
     /// # Panics
     ///
-    /// If no answer comes.
+    /// If no answer is received.
     pub async fn open(url: &str, headers: &[(&str, &str)], body: &Value) -> Result<Answer, http::Reply> {
         let mut request = http::client().post(url);
         for (name, value) in headers {
@@ -69,17 +69,17 @@
         })
     }
 
-    /// Reads until `count` tokens have come, or the answer ended.
+    /// Reads until `count` tokens have been received or the answer has ended.
     pub async fn read(&mut self, count: usize) {
         while self.tokens < count && self.read_event().await {}
     }
 
-    /// Reads to the end.
+    /// Reads to the end of the answer.
     pub async fn read_all(&mut self) {
         while self.read_event().await {}
     }
 
-    /// Reads one event; `false` if there is none.
+    /// Reads one event; returns `false` if there are no more.
     async fn read_event(&mut self) -> bool {
         loop {
             let end = self.buffer.windows(2).position(|w| w == b"\n\n");
--- a/crates/testsupport/src/delay.rs
+++ b/crates/testsupport/src/delay.rs
@@ -1,4 +1,4 @@
-//! A relay before an engine that keeps orders back: the network between a holder and an engine.
+//! A TCP relay in front of an engine that delays orders, to simulate a slow network between the holder and the engine.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,11 +12,11 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// How the first line of an order begins.
+/// Start of the request line of an order.
 const ORDER: &[u8] = b"POST /v1/order";
 
-/// A relay before an engine. It passes everything on, but keeps back as many orders as it was told to, until
-/// it is told to let them go. An order that is kept back arrives even if its sender has ended by then.
+/// A TCP relay in front of an engine. It forwards all traffic, but holds a set number of orders until they are
+/// released. A held order is delivered even if its sender has exited in the meantime.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -31,7 +31,7 @@
 }
 
 impl Relay {
-    /// Starts a relay before the engine at `to`, on the current thread.
+    /// Starts a relay in front of the engine at `to`, on the current thread.
     ///
     /// # Panics
     ///
@@ -53,28 +53,28 @@
         Relay { address, state }
     }
 
-    /// Where it listens.
+    /// The address that the relay listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Keeps back the next `count` orders.
+    /// Holds the next `count` orders.
     pub fn hold_next(&self, count: usize) {
         self.state.released.send_replace(false);
         self.state.remaining.send_replace(count);
     }
 
-    /// Waits until this many orders in all have been kept back.
+    /// Waits until `count` orders have been held in total.
     ///
     /// # Panics
     ///
-    /// If the relay has ended.
+    /// If the relay has stopped.
     pub async fn wait_for_held(&self, count: usize) {
-        let mut kept = self.state.held.subscribe();
-        kept.wait_for(|k| *k >= count).await.expect("the relay runs");
+        let mut held = self.state.held.subscribe();
+        held.wait_for(|h| *h >= count).await.expect("the relay runs");
     }
 
-    /// Lets the orders go that were kept back.
+    /// Releases the held orders.
     pub fn release_held(&self) {
         self.state.released.send_replace(true);
     }
@@ -105,12 +105,12 @@
 }
 
 async fn hold(state: &State) {
-    let keep = *state.remaining.borrow();
-    if keep == 0 {
+    let remaining = *state.remaining.borrow();
+    if remaining == 0 {
         return;
     }
-    state.remaining.send_replace(keep - 1);
-    state.held.send_modify(|kept| *kept += 1);
-    let mut open = state.released.subscribe();
-    let _ = open.wait_for(|open| *open).await;
+    state.remaining.send_replace(remaining - 1);
+    state.held.send_modify(|held| *held += 1);
+    let mut released = state.released.subscribe();
+    let _ = released.wait_for(|r| *r).await;
 }
--- a/crates/testsupport/src/fleet.rs
+++ b/crates/testsupport/src/fleet.rs
@@ -30,10 +30,10 @@
 /// Model of the engines in tests.
 pub const MODEL: &str = "ghiaccio-7b";
 
-/// Key of the messages between instances in tests.
+/// Key that authenticates messages between instances in tests.
 const CLUSTER: &str = "cluster-key-for-tests";
 
-/// Where the binaries of the workspace are.
+/// Paths of the workspace binaries.
 #[derive(Debug, Clone)]
 pub struct Binaries {
     /// The daemon.
@@ -56,7 +56,7 @@
     placement: String,
 }
 
-/// A small deployment. Its processes end with it.
+/// A small deployment. Its processes are stopped when it is dropped.
 #[derive(Debug)]
 pub struct Fleet {
     binaries: Binaries,
@@ -75,7 +75,7 @@
 }
 
 impl FleetBuilder {
-    /// One daemon, one engine, no plain upstream.
+    /// Creates a builder for one daemon, one engine and no plain upstream.
     pub fn new(binaries: Binaries) -> FleetBuilder {
         FleetBuilder {
             binaries,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Sets words added where engines are placed, such as `fencing checked`.
+    /// Sets options appended to the `place engine` statements of engines, such as `fencing checked`.
     pub fn placement(mut self, words: &str) -> Self {
         self.placement = words.to_string();
         self
@@ -124,7 +124,7 @@
         self
     }
 
-    /// Starts the processes, without any configuration.
+    /// Starts the processes without configuring them.
     pub async fn start(self) -> Fleet {
         let standin = &self.binaries.standin;
         let platform = Process::start(standin, ["platform"]);
@@ -165,7 +165,7 @@
 }
 
 impl Fleet {
-    /// Starts a daemon named after `index` and puts it on the platform's list.
+    /// Starts a daemon named after `index` and registers it in the platform's instance list.
     pub async fn start_daemon(&self, index: usize) -> Process {
         let name = format!("i{index}");
         let peer = self.reserve();
@@ -185,7 +185,7 @@
         daemon
     }
 
-    /// Lets the platform's list show daemon `index` in this state.
+    /// Sets the state of daemon `index` in the platform's instance list.
     pub async fn list_instance(&self, index: usize, state: ListedState) {
         let listed: Vec<Listed> = http::read(&format!("{}/v1/list/instances", self.platform.url())).await;
         let name = format!("i{index}");
@@ -208,7 +208,7 @@
         http::send("PUT", &url, &[], &listed).await;
     }
 
-    /// Starts engine `index` anew at its address, after it ended.
+    /// Restarts engine `index` on its address after it has exited.
     pub fn restart_engine(&mut self, index: usize) {
         let listen = format!("--listen={}", self.engines[index].address());
         let args = ["engine".to_string(), "--decode-rate=400".to_string(), listen];
@@ -216,12 +216,11 @@
         self.engines[index] = Process::start(&self.binaries.standin, args);
     }
 
-    /// Takes a free port for a daemon's peers and keeps it reserved as long as the fleet lives.
+    /// Reserves a free port for a daemon's peers for the lifetime of the fleet.
     ///
-    /// Failure guarded against: a port that was found free is given to another process before the daemon
-    /// listens, and the daemon ends with `Address already in use`. The kernel gives no port away that is bound,
-    /// and still lets the daemon listen on it, since both sockets allow the address to be used again and this
-    /// one never listens.
+    /// Without the reservation, a port found free could be assigned to another process before the daemon listens,
+    /// and the daemon would exit with `Address already in use`. The kernel does not assign a bound port to others,
+    /// but still lets the daemon listen on it, because both sockets set `SO_REUSEADDR` and this one never listens.
     fn reserve(&self) -> SocketAddr {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_reuseaddr(true).expect("an option of sockets");
@@ -256,7 +255,7 @@
         text
     }
 
-    /// Gives statements to daemon `index` and returns the accepted version.
+    /// Submits statements to daemon `index` and returns the accepted version.
     ///
     /// # Panics
     ///
@@ -272,7 +271,7 @@
         }
     }
 
-    /// Gives statements to daemon `index` under the command id `id`.
+    /// Submits statements to daemon `index` under the command id `id`.
     pub async fn statement(&self, index: usize, id: Uuid, text: &str) -> Reply {
         let body = StatementBody {
             id,
@@ -299,7 +298,7 @@
         }
     }
 
-    /// Waits until every daemon takes new work.
+    /// Waits until every daemon is ready for new work.
     pub async fn wait_until_ready(&self) {
         for daemon in &self.daemons {
             let url = format!("{}/readyz", daemon.url());
@@ -311,13 +310,13 @@
         }
     }
 
-    /// Makes the platform misbehave.
+    /// Injects a fault into the platform.
     pub async fn platform_fault(&self, fault: &Fault) {
         let url = format!("{}/control/fault", self.platform.url());
         http::send("PUT", &url, &[], fault).await;
     }
 
-    /// Asks daemon `index` to complete `prompt` with `limit` tokens from `seed`, in one body.
+    /// Asks daemon `index` to complete `prompt` with `limit` tokens from `seed`, without streaming.
     pub async fn complete(&self, index: usize, prompt: &str, limit: u32, seed: u64) -> Reply {
         let url = format!("{}/v1/completions", self.daemons[index].url());
         let body = serde_json::json!({
@@ -340,7 +339,7 @@
         answer.unwrap_or_else(|reply| panic!("{reply:?}"))
     }
 
-    /// Sends `body` to the completions of daemon `index`, with further headers.
+    /// Posts `body` to the completions endpoint of daemon `index`, with additional headers.
     ///
     /// # Errors
     ///
@@ -353,18 +352,18 @@
         Answer::open(&url, &all, body).await
     }
 
-    /// Makes engine `index` misbehave.
+    /// Injects a fault into engine `index`.
     pub async fn engine_fault(&self, index: usize, fault: &EngineFault) {
         let url = format!("{}/control/fault", self.engines[index].url());
         http::send("PUT", &url, &[], fault).await;
     }
 
-    /// How many attempts engine `index` has taken.
+    /// Number of attempts that engine `index` has accepted.
     pub async fn attempts_served(&self, index: usize) -> u64 {
         http::read(&format!("{}/control/served", self.engines[index].url())).await
     }
 
-    /// Waits until some engine runs a request, and returns which.
+    /// Waits until an engine runs a request and returns its index.
     pub async fn wait_for_serving(&self) -> usize {
         http::until("an engine runs a request", || async {
             for (index, engine) in self.engines.iter().enumerate() {
@@ -378,7 +377,7 @@
         .await
     }
 
-    /// The value of a metric without labels at daemon `index`.
+    /// Value of a metric without labels on daemon `index`.
     pub async fn metric(&self, index: usize, name: &str) -> f64 {
         let url = format!("{}/metrics", self.daemons[index].url());
         let page = http::send("GET", &url, &[], "").await.body;
@@ -386,7 +385,7 @@
         line.and_then(|v| v.parse().ok()).unwrap_or(0.0)
     }
 
-    /// Waits until each daemon knows all others.
+    /// Waits until each daemon knows all other daemons.
     pub async fn wait_for_peers(&self) {
         let others = (self.daemons.len() - 1) as f64;
         for index in 0..self.daemons.len() {
@@ -398,14 +397,14 @@
         }
     }
 
-    /// Engines that have ended.
+    /// Number of engines that have exited.
     pub fn exited_engines(&mut self) -> usize {
         let running = |engine: &mut Process| engine.is_running();
         let running = self.engines.iter_mut().map(running).filter(|r| *r).count();
         self.engines.len() - running
     }
 
-    /// Starts a further engine, with the arguments of the fleet's.
+    /// Starts an additional engine with the fleet's engine arguments.
     pub fn start_engine(&self) -> Process {
         let args = ["engine".to_string(), "--decode-rate=400".to_string()];
         Process::start(&self.binaries.standin, args)
--- a/crates/testsupport/src/http.rs
+++ b/crates/testsupport/src/http.rs
@@ -1,4 +1,4 @@
-//! Short HTTP calls of tests.
+//! Helpers for HTTP requests in tests.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest wait for an answer.
+/// Time-out for an answer.
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// An answer.
+/// An HTTP answer with its complete body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
     /// HTTP status.
@@ -22,7 +22,7 @@
     pub outcome: Option<String>,
     /// The header `retry-after`, in seconds.
     pub retry_after: Option<u64>,
-    /// Body.
+    /// The body as text.
     pub body: String,
 }
 
@@ -31,7 +31,7 @@
     ///
     /// # Panics
     ///
-    /// If it is none.
+    /// If the body is not valid JSON for `T`.
     pub fn json<T>(&self) -> T
     where
         T: DeserializeOwned,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A client for tests.
+/// Creates an HTTP client for tests.
 pub fn client() -> Client {
     Client::builder().timeout(LIMIT).disable_redirects().finish()
 }
@@ -49,7 +49,7 @@
 ///
 /// # Panics
 ///
-/// If no answer comes.
+/// If no answer is received.
 pub async fn send<B>(method: &str, url: &str, headers: &[(&str, &str)], body: &B) -> Reply
 where
     B: Serialize + ?Sized,
@@ -59,11 +59,11 @@
         .unwrap_or_else(|e| panic!("{method} {url}: {e}"))
 }
 
-/// Sends a request with a JSON body; the connection may fail.
+/// Sends a request with a JSON body and returns connection failures as errors.
 ///
 /// # Errors
 ///
-/// If no answer comes.
+/// If no answer is received.
 pub async fn try_send<B>(method: &str, url: &str, headers: &[(&str, &str)], body: &B) -> eyre::Result<Reply>
 where
     B: Serialize + ?Sized,
@@ -80,11 +80,11 @@
     reply(&mut answer).await
 }
 
-/// Reads the rest of an answer.
+/// Reads the body of an answer.
 ///
 /// # Errors
 ///
-/// If the body does not arrive.
+/// If the body cannot be read.
 pub async fn reply<S>(answer: &mut ClientResponse<S>) -> eyre::Result<Reply>
 where
     S: Stream<Item = Result<Bytes, PayloadError>>,
@@ -104,11 +104,11 @@
     })
 }
 
-/// Reads JSON.
+/// Fetches `url` and parses the body as JSON.
 ///
 /// # Panics
 ///
-/// If no such answer comes.
+/// If no answer is received, or its body is not valid JSON for `T`.
 pub async fn read<T>(url: &str) -> T
 where
     T: DeserializeOwned,
@@ -125,11 +125,11 @@
         .unwrap_or_else(|e| panic!("GET {url}: {e}"))
 }
 
-/// Reads a text.
+/// Fetches `url` as text.
 ///
 /// # Panics
 ///
-/// If no answer comes.
+/// If no answer is received.
 pub async fn text(url: &str) -> String {
     let mut answer = client()
         .get(url)
@@ -140,11 +140,11 @@
     String::from_utf8_lossy(&body).into_owned()
 }
 
-/// Repeats `probe` until it gives a value.
+/// Repeats `probe` until it returns a value.
 ///
 /// # Panics
 ///
-/// If it gives none for half a minute.
+/// If it returns none within 30 s.
 pub async fn until<F, R, T>(what: &str, mut probe: F) -> T
 where
     F: FnMut() -> R,
@@ -160,6 +160,6 @@
     };
     match tokio::time::timeout(LIMIT, tries).await {
         Ok(value) => value,
-        Err(_) => panic!("waited in vain until {what}"),
+        Err(_) => panic!("timed out waiting until {what}"),
     }
 }
--- a/crates/testsupport/src/lib.rs
+++ b/crates/testsupport/src/lib.rs
@@ -1,7 +1,7 @@
 //! Builders and process handles for the test suite.
 //!
-//! Tests run the real binaries as processes on ephemeral ports and wait on events: the line `listening` that
-//! each process prints, a version that is in force, a count that is reached.
+//! Tests run the real binaries as processes on ephemeral ports and wait for events: the line `listening` that
+//! each process prints, a version in force, or a count that has been reached.
 
 pub mod answer;
 pub mod delay;
