--- a/crates/testsupport/src/delay.rs
+++ b/crates/testsupport/src/delay.rs
@@ -1,4 +1,4 @@
-//! A relay before an engine that keeps orders back: the network between a holder and an engine.
+//! A TCP relay in front of an engine that delays orders, to simulate a slow network between the holder and the engine.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,11 +12,11 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// How the first line of an order begins.
+/// Start of the request line of an order.
 const ORDER: &[u8] = b"POST /v1/order";
 
-/// A relay before an engine. It passes everything on, but keeps back as many orders as it was told to, until
-/// it is told to let them go. An order that is kept back arrives even if its sender has ended by then.
+/// A TCP relay in front of an engine. It forwards all traffic, but holds a set number of orders until they are
+/// released. A held order is delivered even if its sender has exited in the meantime.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -25,13 +25,13 @@
 
 #[derive(Debug)]
 struct State {
-    keep: watch::Sender<usize>,
-    kept: watch::Sender<usize>,
-    open: watch::Sender<bool>,
+    remaining: watch::Sender<usize>,
+    held: watch::Sender<usize>,
+    released: watch::Sender<bool>,
 }
 
 impl Relay {
-    /// Starts a relay before the engine at `to`, on the current thread.
+    /// Starts a relay in front of the engine at `to`, on the current thread.
     ///
     /// # Panics
     ///
@@ -40,9 +40,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
         let state = Rc::new(State {
-            keep: watch::Sender::new(0),
-            kept: watch::Sender::new(0),
-            open: watch::Sender::new(false),
+            remaining: watch::Sender::new(0),
+            held: watch::Sender::new(0),
+            released: watch::Sender::new(false),
         });
         let shared = state.clone();
         spawn_local(async move {
@@ -53,30 +53,30 @@
         Relay { address, state }
     }
 
-    /// Where it listens.
+    /// The address that the relay listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Keeps back the next `count` orders.
-    pub fn keep_next(&self, count: usize) {
-        self.state.open.send_replace(false);
-        self.state.keep.send_replace(count);
+    /// Holds the next `count` orders.
+    pub fn hold_next(&self, count: usize) {
+        self.state.released.send_replace(false);
+        self.state.remaining.send_replace(count);
     }
 
-    /// Waits until this many orders in all have been kept back.
+    /// Waits until `count` orders have been held in total.
     ///
     /// # Panics
     ///
-    /// If the relay has ended.
-    pub async fn wait_for_kept(&self, count: usize) {
-        let mut kept = self.state.kept.subscribe();
-        kept.wait_for(|k| *k >= count).await.expect("the relay runs");
+    /// If the relay has stopped.
+    pub async fn wait_for_held(&self, count: usize) {
+        let mut held = self.state.held.subscribe();
+        held.wait_for(|h| *h >= count).await.expect("the relay runs");
     }
 
-    /// Lets the orders go that were kept back.
-    pub fn let_go(&self) {
-        self.state.open.send_replace(true);
+    /// Releases the held orders.
+    pub fn release_held(&self) {
+        self.state.released.send_replace(true);
     }
 }
 
@@ -86,17 +86,17 @@
     };
     let (from_caller, to_caller) = stream.into_split();
     let (from_engine, to_engine) = engine.into_split();
-    spawn_local(pass(from_engine, to_caller, None));
-    pass(from_caller, to_engine, Some(state)).await;
+    spawn_local(forward(from_engine, to_caller, None));
+    forward(from_caller, to_engine, Some(state)).await;
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, state: Option<Rc<State>>) {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, state: Option<Rc<State>>) {
     let mut buffer = [0; 64 * 1024];
     while let Ok(length @ 1..) = from.read(&mut buffer).await {
         if let Some(state) = &state
             && buffer[..length].starts_with(ORDER)
         {
-            keep_back(state).await;
+            hold(state).await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
             return;
@@ -104,13 +104,13 @@
     }
 }
 
-async fn keep_back(state: &State) {
-    let keep = *state.keep.borrow();
-    if keep == 0 {
+async fn hold(state: &State) {
+    let remaining = *state.remaining.borrow();
+    if remaining == 0 {
         return;
     }
-    state.keep.send_replace(keep - 1);
-    state.kept.send_modify(|kept| *kept += 1);
-    let mut open = state.open.subscribe();
-    let _ = open.wait_for(|open| *open).await;
+    state.remaining.send_replace(remaining - 1);
+    state.held.send_modify(|held| *held += 1);
+    let mut released = state.released.subscribe();
+    let _ = released.wait_for(|r| *r).await;
 }
