--- a/tests/testsuite/log_events.rs
+++ b/tests/testsuite/log_events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events.
+//! Checks that the documented catalogue of log events matches the code.
 
 use sequoiastream_core::log_event;
 
@@ -24,7 +24,7 @@
     assert_eq!(numbers, known);
 }
 
-/// Whoever looks up a number finds two events.
+/// Guards against two events sharing a number, so that a look-up by number is ambiguous.
 #[test]
 fn numbers_unique() {
     let mut numbers: Vec<u16> = log_event::ALL.iter().map(|e| e.number).collect();
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: who is heard, who may take work, and who is named.
+//! Membership: which instances are reachable, which may accept work, and which are advertised to callers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -112,8 +112,8 @@
     );
 }
 
-/// Requests of one conversation go to one instance, for its prefix cache; those of another elsewhere. When an
-/// instance leaves, only its conversations move.
+/// Requests of one conversation are routed to the same instance, to reuse its prefix cache; other conversations are
+/// spread over other instances. When an instance leaves, only its conversations move.
 #[test]
 fn rank_conversations() {
     let zones = ["lodi-a", "lodi-b"];
@@ -160,8 +160,8 @@
     );
 }
 
-/// Operators give their instances and zones the longest names there are. A heartbeat that outgrew a datagram would
-/// not be sent at all, and each instance would take all others for silent.
+/// Guards against heartbeats that exceed the datagram size when instances and zones have names of the maximum length.
+/// Such a heartbeat would not be sent at all, and each instance would consider all others silent.
 #[test]
 fn send_longest_names() {
     let long = |i: usize| name(&format!("i{i:0>62}"));
@@ -255,9 +255,9 @@
     (reply.status, body["error"]["reason"].clone())
 }
 
-/// An instance loses both the key-value service and its peer. Operators drain engines through others, and it
-/// doesn't know. After the stale limit it must refuse new work, and say truly that nothing ran; when it is
-/// connected again it serves.
+/// An instance loses both the key-value service and its peer, so it cannot learn that operators drain engines through
+/// other instances. After the stale limit it must refuse new work, and report correctly that nothing ran; once
+/// reconnected, it must serve again.
 #[actix_web::test]
 async fn serve_isolated() {
     let fleet = quick_fleet().daemons(2).start_configured().await;
@@ -273,8 +273,8 @@
     assert_eq!(fleet.complete(0, "which crossover", 3, 1).await.status, 200);
 }
 
-/// The key-value service is out for all. Nobody can accept a change, and all of the list hear each other: going
-/// on is safe, and a fleet that stopped would be no use to anyone.
+/// The key-value service is unavailable to all instances. No instance can accept a change, and all listed instances
+/// hear each other: continuing to serve is safe, and stopping would only make the fleet useless.
 #[actix_web::test]
 async fn serve_outage() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
@@ -286,8 +286,9 @@
     }
 }
 
-/// The same, but one of the list is silent. It may have crashed, or it may have the service and accept changes on
-/// the far side of a cut. The others must stop, or serve on if operators said so.
+/// The key-value service is unavailable and one listed instance is silent. It may have crashed, or it may be on the
+/// other side of a network partition, where it reaches the service and accepts changes. The other instances must stop
+/// serving, or continue if operators configured that.
 #[actix_web::test]
 async fn serve_cut() {
     for (rule, standing, status) in [("stop", "cut", 503), ("serve", "guessing", 200)] {
@@ -314,7 +315,7 @@
     http::send("PUT", &url, &[], &listed).await;
 }
 
-/// Waits until no daemon gives the only engine work, and checks that it stays so.
+/// Waits until no daemon sends work to the only engine, and checks that none does so afterwards.
 async fn wait_until_spared(fleet: &Fleet) {
     for index in 0..3 {
         http::until("the engine gets no work", || async {
@@ -330,7 +331,7 @@
     assert_eq!(fleet.served(0).await, before, "new work came after all");
 }
 
-/// Streams that run at the engine, one of each daemon.
+/// Starts one long stream through each daemon.
 async fn long_streams(fleet: &Fleet) -> Vec<Answer> {
     let mut streams = Vec::new();
     for index in 0..3 {
@@ -346,8 +347,8 @@
     }
 }
 
-/// The platform's list shows an engine's machine as leaving. It must get no new work within 3 s, also from an
-/// instance that is cut off from the platform; the streams that run there end whole.
+/// The platform's list marks an engine's machine as leaving. It must get no new work within 3 s, even from an instance
+/// that is disconnected from the platform; streams that already run there complete.
 #[actix_web::test]
 async fn leave_upstream_cut_instance() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
@@ -361,8 +362,8 @@
     check_whole(streams).await;
 }
 
-/// An operator withdraws an engine while streams run there and one instance is cut off from the platform. It
-/// must get no new work within 3 s of the accepted change; the streams end whole.
+/// An operator withdraws an engine while it serves streams and one instance is disconnected from the platform. The
+/// engine must get no new work within 3 s of the accepted change; its streams complete.
 #[actix_web::test]
 async fn withdraw_engine_cut_instance() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
@@ -376,7 +377,7 @@
     check_whole(streams).await;
 }
 
-/// An instance that leaves is named no more, neither by itself nor by others, while it serves on.
+/// A leaving instance is no longer advertised, neither by itself nor by others, but continues to serve.
 #[actix_web::test]
 async fn name_leaving() {
     let fleet = quick_fleet_keeping(30_000).daemons(3).start_configured().await;
@@ -407,8 +408,8 @@
     assert_eq!(states, ["leaving"]);
 }
 
-/// An instance is paused while an operator drains an engine, and callers' requests wait in its sockets. When it goes
-/// on it must not take them by the configuration from before: none may reach the drained engine.
+/// An instance is paused while an operator drains an engine, and callers' requests queue in its sockets. When it
+/// resumes, it must not route them by its outdated configuration: none may reach the drained engine.
 #[actix_web::test]
 async fn drain_paused_instance() {
     let fleet = quick_fleet()
@@ -445,8 +446,8 @@
     fleet.wait_until_ready().await;
 }
 
-/// What was known before a pause proves nothing after it: neither the key-value service's last answer, nor heartbeats
-/// that waited in the socket. Fresh evidence opens the instance again.
+/// State from before a pause is no evidence after it: neither the key-value service's last answer nor heartbeats
+/// queued in the socket. Only fresh evidence lets the instance accept work again.
 #[test]
 fn judge_after_pause() {
     let about = |name: &str| InstanceInfo {
--- a/tests/testsuite/metrics.rs
+++ b/tests/testsuite/metrics.rs
@@ -1,11 +1,11 @@
-//! The page of metrics.
+//! Checks that the documented list of metrics matches the code.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Names that the sources register: the first text after each call of `register`, or after the encoder that a
-/// collector gives its families.
+/// Returns the metric names that the sources register: the first string literal after each call of `register`, or after
+/// the encoder that a collector passes to its families.
 fn registered() -> BTreeSet<String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/util/metrics");
     let mut names = BTreeSet::new();
--- a/tests/testsuite/outcomes.rs
+++ b/tests/testsuite/outcomes.rs
@@ -1,4 +1,4 @@
-//! What callers are told, and when.
+//! Outcomes reported to callers, and their timing.
 
 use std::collections::BTreeSet;
 
@@ -22,9 +22,9 @@
     }
 }
 
-/// A refusal with half a minute to spare comes after half a minute, and the truck leaves empty. Order: no engine
-/// can take a request; another answer that takes half a second began before. Cause: the refusal is held, or
-/// engines are tried again until the deadline. The refusal must come first.
+/// Guards against a refusal that is delayed until the deadline, when the caller can no longer do anything else. It
+/// would be delayed if it were held back, or if engines were retried until the deadline. No engine can accept the
+/// request, and another answer that takes half a second starts first: the refusal must arrive before that answer.
 #[actix_web::test]
 async fn refuse_when_decided() {
     let fleet = fleet().engines(1).start_configured().await;
@@ -39,8 +39,8 @@
     assert_eq!((reply.status, reply.outcome.as_deref()), (503, Some("not-run")));
 }
 
-/// All callers of a second come back in the same second and are refused together again. Cause: they are all
-/// told the same time to come back.
+/// Guards against callers that were refused in the same second all retrying in the same second and being refused
+/// again, because all were given the same retry time.
 #[actix_web::test]
 async fn refuse_come_back_differs() {
     let fleet = fleet().engines(1).start_configured().await;
@@ -59,8 +59,8 @@
     assert_eq!(fleet.served(0).await, 0, "not-run must be true");
 }
 
-/// A caller is told `not-run` of a request that ran for a while, and pays for it twice. Order: one engine breaks
-/// off in mid-answer, the other refuses. Cause: the last attempt alone decides.
+/// Guards against reporting `not-run` for a request that did run, so that the caller pays for it twice: one engine
+/// breaks off in mid-answer and the other refuses, and only the last attempt determines the outcome.
 #[actix_web::test]
 async fn refuse_after_run() {
     let fleet = fleet().engines(2).start_configured().await;
@@ -82,7 +82,7 @@
     assert_eq!(fleet.served(0).await, served);
 }
 
-/// Goodput per product is read from these counts: each final answer counts once, whoever gave it.
+/// Goodput per product is computed from these counters: each final answer counts once, whichever component gave it.
 #[actix_web::test]
 async fn outcomes_counted() {
     let fleet = fleet().engines(1).plain(1).start_configured().await;
@@ -99,8 +99,8 @@
     }
 }
 
-/// An answer that comes after its deadline is worth nothing, yet holds an engine. Order: a request sets a
-/// deadline that can be met; its only engine stalls in mid-answer.
+/// Guards against an answer that is useless after its deadline still occupying an engine. The deadline is feasible
+/// when the request starts, but its only engine stalls in mid-answer.
 #[actix_web::test]
 async fn deadline_passes() {
     let fleet = fleet().engines(1).start_configured().await;
@@ -122,8 +122,8 @@
     );
 }
 
-/// A request that no engine can finish in time is refused before it takes an engine from others, and the caller
-/// can do something else at once.
+/// A request that no engine can finish in time is refused before it takes engine capacity from others, so that the
+/// caller can react at once.
 #[actix_web::test]
 async fn deadline_hopeless() {
     let fleet = fleet().engines(1).start_configured().await;
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: caller, daemon, upstream, with the configuration from the platform.
+//! End-to-end requests: caller, daemon and upstream, with the configuration from the platform.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,8 +30,8 @@
     );
 }
 
-/// A caller names the service instead of the model and is told that no engine can take work, though all are idle.
-/// Cause: its word goes to engines, which know only the model's name, and each declines.
+/// Guards against reporting that no engine can accept work, though all are idle, when a caller names the service
+/// instead of the model: engines know only the model's name and decline a forwarded service name.
 #[actix_web::test]
 async fn completion_by_service() {
     let fleet = fleet().start_configured().await;
@@ -59,9 +59,9 @@
     );
 }
 
-/// A service that breaks every call gets three times its calls, and that on top of what made it break. Order: both of its
-/// upstreams lose their answers while thirty calls come that may be repeated. Cause: each call is sent again without
-/// asking the retry budget of its product.
+/// Guards against tripling the load on a service whose calls all fail, on top of what made them fail, because calls are
+/// retried without consulting the retry budget of the product. Both upstreams lose their answers while thirty
+/// repeatable calls arrive.
 #[actix_web::test]
 async fn plain_calls_within_budget() {
     let fleet = fleet().plain(2).start_configured().await;
@@ -84,11 +84,11 @@
         let of: BTreeMap<String, u32> = http::read(&format!("{}/control/runs", plain.url())).await;
         runs += of.values().sum::<u32>();
     }
-    // Thirty, ten that a product has saved up, and one for every five.
+    // Thirty calls, plus ten retries that a product has saved up, plus one retry for every five calls.
     assert!((30..=46).contains(&runs), "{runs} runs");
 }
 
-/// A caller is told that no upstream can take work, while it was the retry budget that kept it from the second one.
+/// Guards against reporting that no upstream can accept work when it was the retry budget that denied a second attempt.
 #[actix_web::test]
 async fn plain_call_denied_by_budget() {
     let fleet = fleet().plain(2).start_configured().await;
--- a/tests/testsuite/peer.rs
+++ b/tests/testsuite/peer.rs
@@ -108,8 +108,8 @@
     }
 }
 
-/// An instance that is far behind asks a peer for the configuration and can't read the answer: a field that is left
-/// out when it is empty shifts all that follows, since postcard writes no names.
+/// Guards against an unreadable configuration answer to an instance that is far behind: postcard writes no field names,
+/// so a field that is omitted when empty shifts all that follow.
 #[actix_web::test]
 async fn call_config_whole() {
     #[derive(Debug, Clone)]
--- a/tests/testsuite/platform.rs
+++ b/tests/testsuite/platform.rs
@@ -25,7 +25,7 @@
 /// Deadline of the clients' calls.
 const DEADLINE: Duration = Duration::from_millis(600);
 
-/// What a swap must come to.
+/// Expected outcome of a swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     Done,
@@ -35,7 +35,7 @@
     Unresolved,
 }
 
-/// A platform and nothing else.
+/// Starts a platform without daemons or upstreams.
 async fn platform() -> Fleet {
     fleet().daemons(0).engines(0).start().await
 }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Each fault, what a swap comes to under it, and whether its value stands afterwards.
+/// For each fault: the outcome of a swap under it, and whether the swap's value is stored afterwards.
 #[actix_web::test]
 async fn swap_table() {
     let cases = [
@@ -109,7 +109,7 @@
     }
 }
 
-/// What a swap comes to against what stands in the key.
+/// The outcome of a swap for each prior state of the key.
 #[actix_web::test]
 async fn swap_against_table() {
     let fleet = platform().await;
@@ -153,7 +153,7 @@
     assert_eq!(unchanged, Ok(None));
 }
 
-/// What leases come to under each fault. A lost answer is never told as one that took effect.
+/// The outcome of lease calls under each fault. A lost answer is never reported as success.
 #[actix_web::test]
 async fn lease_table() {
     let cases = [
@@ -178,12 +178,12 @@
     }
 }
 
-/// A writer's answer is lost; before it tries again another writer reads its value and overwrites it. It must
-/// not be told that it lost the race, since its value stood and was acted on, nor that its value stands.
+/// A writer's answer is lost, and before it retries, another writer reads its value and overwrites it. The first must
+/// not be told that it lost the race, since its value was stored and acted on, nor that its value is stored.
 #[actix_web::test]
 async fn swap_overwritten_after_lost_answer() {
     let fleet = platform().await;
-    // The first waits so long that the second surely comes in between.
+    // The first writer's delay is long enough for the second to write in between.
     let a = patient(&fleet.platform.url(), Duration::from_secs(2));
     let b = client(&fleet.platform.url());
     fault(&fleet, losing(1)).await;
@@ -200,8 +200,8 @@
     assert_eq!(first, Err(KvError::Unresolved));
 }
 
-/// Eight writers count up one key while answers are lost. The count is the number of swaps that took effect:
-/// at least those told as done, and no more than those and the unresolved ones.
+/// Eight writers increment one key while answers are lost. The final count is the number of swaps that took effect:
+/// at least those reported as done, and at most those plus the unresolved ones.
 #[actix_web::test]
 async fn swap_concurrent_writers() {
     const WRITERS: usize = 8;
@@ -240,8 +240,8 @@
     );
 }
 
-/// An instance that calls too much takes the service from all others. Past its budget a call waits its turn,
-/// or is not made at all if that took too long.
+/// Guards against an instance that calls too often and starves all others of the service. Beyond its budget, a call
+/// waits for its turn, or is not made at all if the wait would be too long.
 #[test]
 fn meter_budget_spent() {
     let meter = CallMeter::new(10);
@@ -268,8 +268,8 @@
     );
 }
 
-/// After an outage all instances come back at once, and the service goes down again. While calls fail, each
-/// further one waits a random time; the first good answer ends that.
+/// Guards against all instances reconnecting at once after an outage and overloading the service again. While calls
+/// fail, each further call waits a random time; the first successful answer ends that.
 #[test]
 fn meter_outage_pauses() {
     let meter = CallMeter::new(1_000);
@@ -299,8 +299,8 @@
     KvClient::new(base, &caller, deadline, Uuid::new_v4())
 }
 
-/// The platform takes each write and closes the connection without an answer. The writer must not be told
-/// that its write did not take effect: it may have. Cause: awc reports such a close as a failed connect.
+/// The platform reads each write and closes the connection without an answer. The writer must not be told that its
+/// write did not take effect, since it may have. awc reports such a close as a failed connect.
 #[actix_web::test]
 async fn swap_closed_without_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
@@ -315,7 +315,7 @@
     assert_eq!(result, Err(KvError::Unresolved));
 }
 
-/// Nothing listens where the platform should. The write surely did not take effect, and the writer is told so.
+/// Nothing listens at the platform's address. The write cannot have taken effect, and the writer is told so.
 #[actix_web::test]
 async fn swap_refused_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
--- a/tests/testsuite/poison.rs
+++ b/tests/testsuite/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash engines, with real processes: engines lost are counted, neighbours must be whole.
+//! Requests that crash engines, with real processes: lost engines are counted, concurrent requests must complete.
 
 use sequoiastream_core::poison::Fingerprint;
 use sequoiastream_standin::engine::EngineFault;
@@ -26,9 +26,9 @@
     (reply.status, reply.outcome.as_deref()) == (422, Some("failed"))
 }
 
-/// One request after another takes the engines down until nobody is served. Order: a request crashes its
-/// engine, is resumed on the next, and its caller repeats it through each instance the moment it hears.
-/// Cause: no instance knows what the request did before, or not in time.
+/// Guards against a request that crashes every engine in turn until nobody is served. It crashes its engine, is resumed
+/// on the next, and its caller repeats it through each instance as soon as it gets the answer, while no instance
+/// knows, or knows in time, what the request did before.
 #[actix_web::test]
 async fn convict_repeated_everywhere() {
     for prompt in ["calc poison:3 please", "calc poison:60 late"] {
@@ -47,9 +47,9 @@
     }
 }
 
-/// The neighbours of a poisonous request get half answers, or are refused as if they were poisonous.
-/// Order: two poisonous requests crash engines on which others stream. Cause: whatever ran on a crashed engine
-/// is blamed, or two suspects run on one engine and the wrong one is blamed.
+/// Guards against requests that run beside a poisonous request being truncated, or refused as poisonous. Two poisonous
+/// requests crash engines on which others stream. It happens if every request on a crashed engine is blamed, or if
+/// two suspects run on one engine and the wrong one is blamed.
 #[actix_web::test]
 async fn convict_two_with_neighbours() {
     let mut fleet = deployment(7, 2).await;
@@ -80,8 +80,8 @@
     assert!(lost <= 4, "{lost} engines lost to two requests");
 }
 
-/// The platform is out; a poisonous request takes two engines, its caller repeats it through another
-/// instance and takes two more. Cause: the conviction only goes through the key-value service.
+/// Guards against a poisonous request that crashes two engines, is repeated through another instance and crashes two
+/// more during a platform outage, because its conviction is shared only through the key-value service.
 #[actix_web::test]
 async fn convict_platform_out() {
     let mut fleet = deployment(5, 2).await;
@@ -105,8 +105,8 @@
     .await;
 }
 
-/// An innocent request is refused because its engine was killed under it. Order: an engine is killed while a
-/// request streams; the request runs again, alone, to its end. Cause: one crash is taken for proof.
+/// Guards against refusing an innocent request because one crash is taken for proof. Its engine is killed while it
+/// streams; it must run again, alone, to its end.
 #[actix_web::test]
 async fn suspect_innocent() {
     let mut fleet = deployment(3, 2).await;
@@ -124,8 +124,8 @@
     assert_eq!(fleet.metric(0, "sequoiastream_convictions_total").await, 0.0);
 }
 
-/// A request is refused for good because engines closed its connections. Order: both engines break off in
-/// mid-answer, again and again, and go on running. Cause: a broken connection is taken for a crash.
+/// Guards against permanently refusing a request because broken connections are taken for crashes. Both engines break
+/// off in mid-answer repeatedly and continue to run.
 #[actix_web::test]
 async fn suspect_connections_broken() {
     let fleet = deployment(2, 1).await;
@@ -150,8 +150,8 @@
     assert_eq!(fleet.metric(0, "sequoiastream_crashed_streams_total").await, 0.0);
 }
 
-/// Requests come under suspicion because an operator stopped an engine. Order: an engine is withdrawn and its
-/// process ended while it streams. Cause: a planned stop is taken for a crash.
+/// Guards against suspecting requests because a planned stop is taken for a crash: an operator withdraws an engine and
+/// its process ends while it streams.
 #[actix_web::test]
 async fn suspect_engine_withdrawn() {
     let mut fleet = deployment(2, 1).await;
@@ -167,9 +167,9 @@
     assert_eq!(fleet.metric(0, "sequoiastream_crashed_streams_total").await, 0.0);
 }
 
-/// An operator pardons a request after the engines were mended, and it is still refused. Order: it crashes two
-/// engines and is convicted; the operator pardons it; it is sent again. Cause: an instance keeps a record of
-/// its own of the conviction.
+/// Guards against refusing a request that an operator pardoned after the engines were repaired, because an instance
+/// keeps its own record of the conviction. The request crashes two engines, is convicted and pardoned, and is sent
+/// again.
 #[actix_web::test]
 async fn pardon_runs_again() {
     let mut fleet = deployment(5, 2).await;
@@ -183,12 +183,12 @@
         let before = fleet.lost();
         let reply = fleet.complete(index, prompt, 10, 1).await;
         assert!(is_convicted(&reply), "{reply:?}");
-        // Only the first of them runs: it crashes two more engines, since none was mended.
+        // Only the first of them runs: it crashes two more engines, since none was repaired.
         assert_eq!(fleet.lost() > before, index == 1, "instance {index}");
     }
 }
 
-/// An operator's own quarantine holds on every instance, and so does its end.
+/// A quarantine set by an operator takes effect on every instance, and so does its removal.
 #[actix_web::test]
 async fn quarantine_by_operator() {
     let fleet = deployment(1, 2).await;
--- a/tests/testsuite/promises.rs
+++ b/tests/testsuite/promises.rs
@@ -1,10 +1,10 @@
-//! The page of promises.
+//! Checks that the tests named on the page of promises exist.
 
 use std::fs;
 use std::path::Path;
 use std::path::PathBuf;
 
-/// The functions of the test suite's sources, as `module::function`.
+/// Returns the functions in the test suite's sources, as `module::function`.
 fn functions(folder: &Path, prefix: &str) -> Vec<String> {
     let mut names = Vec::new();
     for entry in fs::read_dir(folder).expect("the sources").flatten() {
@@ -31,14 +31,14 @@
     names
 }
 
-/// Somebody trusts a promise because a test is named beside it, and there is no such test.
+/// Guards against a documented promise that names a test which does not exist.
 #[test]
 fn page_names_tests() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let known = functions(&root.join("tests/testsuite"), "");
     let page = include_str!("../../docs/PROMISES.md");
     let quoted = page.split('`').skip(1).step_by(2);
-    // A text with blanks is a block of commands.
+    // A code span that contains white space is a block of commands.
     let named = quoted.filter(|n| n.contains("::") && !n.contains(char::is_whitespace));
     let missing: Vec<&str> = named.filter(|n| !known.iter().any(|k| k == n)).collect();
     assert_eq!(missing, Vec::<&str>::new());
