--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -48,7 +48,7 @@
     Name::new(text).expect("a name")
 }
 
-fn cut(names: &[&str]) -> Fault {
+fn partition(names: &[&str]) -> Fault {
     Fault {
         cut: names.iter().map(|n| n.to_string()).collect(),
         ..Fault::default()
@@ -66,7 +66,7 @@
 fn judge_cases() {
     let stale = Duration::from_secs(15);
     let (fresh, old) = (Some(Duration::from_secs(1)), Some(Duration::from_secs(60)));
-    let witness = |own, peers, heard, silent| Reachability {
+    let reachability = |own, peers, heard, silent| Reachability {
         own_contact: own,
         peer_contact: peers,
         listed: true,
@@ -75,37 +75,41 @@
     };
     let unlisted = Reachability {
         listed: false,
-        ..witness(None, None, 2, 0)
+        ..reachability(None, None, 2, 0)
     };
     let cases = [
-        ("hears the service", witness(fresh, None, 0, 7), Standing::Current),
+        (
+            "hears the service",
+            reachability(fresh, None, 0, 7),
+            Standing::Current,
+        ),
         (
             "hears a peer that does",
-            witness(old, fresh, 7, 0),
+            reachability(old, fresh, 7, 0),
             Standing::Current,
         ),
         (
             "all are heard, none does",
-            witness(old, old, 7, 0),
+            reachability(old, old, 7, 0),
             Standing::Outage,
         ),
         (
             "alone in the deployment",
-            witness(old, None, 0, 0),
+            reachability(old, None, 0, 0),
             Standing::Outage,
         ),
-        ("one is silent", witness(old, old, 6, 1), Standing::Cut),
-        ("hears nobody", witness(old, None, 0, 7), Standing::Isolated),
+        ("one is silent", reachability(old, old, 6, 1), Standing::Cut),
+        ("hears nobody", reachability(old, None, 0, 7), Standing::Isolated),
         ("never had a list", unlisted, Standing::Cut),
     ];
-    for (case, witness, expected) in cases {
+    for (case, reachability, expected) in cases {
         assert_eq!(
-            evaluate_standing(&witness, stale, PartitionPolicy::Stop),
+            evaluate_standing(&reachability, stale, PartitionPolicy::Stop),
             expected,
             "{case}"
         );
     }
-    let split = witness(old, old, 6, 1);
+    let split = reachability(old, old, 6, 1);
     assert_eq!(
         evaluate_standing(&split, stale, PartitionPolicy::Serve),
         Standing::Guessing
@@ -262,7 +266,7 @@
 async fn serve_isolated() {
     let fleet = quick_fleet().daemons(2).start_configured().await;
     wait_until_met(&fleet).await;
-    fleet.platform_fault(&cut(&["i0"])).await;
+    fleet.platform_fault(&partition(&["i0"])).await;
     fleet.daemons[1].signal("STOP");
     wait_for_standing(&fleet, 0, "isolated").await;
     let before = fleet.served(0).await;
@@ -316,7 +320,7 @@
 }
 
 /// Waits until no daemon sends work to the only engine, and checks that none does so afterwards.
-async fn wait_until_spared(fleet: &Fleet) {
+async fn wait_until_unused(fleet: &Fleet) {
     for index in 0..3 {
         http::until("the engine gets no work", || async {
             let reply = fleet.complete(index, "which crossover", 1, 1).await;
@@ -340,7 +344,7 @@
     streams
 }
 
-async fn check_whole(streams: Vec<Answer>) {
+async fn check_completed(streams: Vec<Answer>) {
     for mut stream in streams {
         stream.read_all().await;
         assert_eq!((stream.outcome.as_deref(), stream.tokens), (Some("whole"), 900));
@@ -353,13 +357,13 @@
 async fn leave_upstream_cut_instance() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
     wait_until_met(&fleet).await;
-    fleet.platform_fault(&cut(&["i2"])).await;
+    fleet.platform_fault(&partition(&["i2"])).await;
     let streams = long_streams(&fleet).await;
     let listed = Instant::now();
     list_leaving(&fleet, 0).await;
-    wait_until_spared(&fleet).await;
+    wait_until_unused(&fleet).await;
     assert!(listed.elapsed() < PROMISE, "{:?}", listed.elapsed());
-    check_whole(streams).await;
+    check_completed(streams).await;
 }
 
 /// An operator withdraws an engine while it serves streams and one instance is disconnected from the platform. The
@@ -368,13 +372,13 @@
 async fn withdraw_engine_cut_instance() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
     wait_until_met(&fleet).await;
-    fleet.platform_fault(&cut(&["i2"])).await;
+    fleet.platform_fault(&partition(&["i2"])).await;
     let streams = long_streams(&fleet).await;
     fleet.apply(0, "withdraw engine e0").await;
     let accepted = Instant::now();
-    wait_until_spared(&fleet).await;
+    wait_until_unused(&fleet).await;
     assert!(accepted.elapsed() < PROMISE, "{:?}", accepted.elapsed());
-    check_whole(streams).await;
+    check_completed(streams).await;
 }
 
 /// A leaving instance is no longer advertised, neither by itself nor by others, but continues to serve.
--- a/tests/testsuite/outcomes.rs
+++ b/tests/testsuite/outcomes.rs
@@ -15,7 +15,7 @@
 
 const PROMPT: &str = "will the truck be full";
 
-fn refusing() -> EngineFault {
+fn refuse_all() -> EngineFault {
     EngineFault {
         refuse: true,
         ..EngineFault::default()
@@ -30,7 +30,7 @@
     let fleet = fleet().engines(1).start_configured().await;
     let mut running = fleet.stream(0, PROMPT, 400, 1).await;
     running.read(1).await;
-    fleet.engine_fault(0, &refusing()).await;
+    fleet.engine_fault(0, &refuse_all()).await;
     let refused = Box::pin(fleet.complete(0, PROMPT, 5, 2));
     let reply = match select(refused, Box::pin(running.read_all())).await {
         Either::Left((reply, _)) => reply,
@@ -69,13 +69,13 @@
         ..EngineFault::default()
     };
     fleet.engine_fault(0, &ends).await;
-    fleet.engine_fault(1, &refusing()).await;
+    fleet.engine_fault(1, &refuse_all()).await;
     for seed in 0..4 {
         let reply = fleet.complete(0, PROMPT, 5, seed).await;
         assert_eq!(reply.outcome.as_deref(), Some("failed"), "{reply:?}");
     }
     assert!(fleet.served(0).await >= 4);
-    fleet.engine_fault(0, &refusing()).await;
+    fleet.engine_fault(0, &refuse_all()).await;
     let served = fleet.served(0).await;
     let reply = fleet.complete(0, PROMPT, 5, 9).await;
     assert_eq!(reply.outcome.as_deref(), Some("not-run"), "{reply:?}");
--- a/tests/testsuite/platform.rs
+++ b/tests/testsuite/platform.rs
@@ -44,7 +44,7 @@
     fleet.platform_fault(&fault).await;
 }
 
-fn losing(lose: u32) -> Fault {
+fn lose_answers(lose: u32) -> Fault {
     Fault {
         lose,
         ..Fault::default()
@@ -84,9 +84,9 @@
         ("outage", outage(), Outcome::Refused, false),
         ("slow", slow(50), Outcome::Done, true),
         ("too slow", slow(1_800), Outcome::Unresolved, true),
-        ("an answer lost", losing(1), Outcome::Done, true),
-        ("two answers lost", losing(2), Outcome::Done, true),
-        ("all answers lost", losing(9), Outcome::Unresolved, true),
+        ("an answer lost", lose_answers(1), Outcome::Done, true),
+        ("two answers lost", lose_answers(2), Outcome::Done, true),
+        ("all answers lost", lose_answers(9), Outcome::Unresolved, true),
     ];
     let fleet = platform().await;
     let kv = client(&fleet.platform.url());
@@ -160,7 +160,7 @@
         ("none", Fault::default(), Ok(())),
         ("outage", outage(), Err(KvError::Refused(503))),
         ("too slow", slow(1_800), Err(KvError::Timeout(DEADLINE))),
-        ("answer lost", losing(1), Err(KvError::Timeout(DEADLINE))),
+        ("answer lost", lose_answers(1), Err(KvError::Timeout(DEADLINE))),
     ];
     let fleet = platform().await;
     let kv = client(&fleet.platform.url());
@@ -184,9 +184,9 @@
 async fn swap_overwritten_after_lost_answer() {
     let fleet = platform().await;
     // The first writer's delay is long enough for the second to write in between.
-    let a = patient(&fleet.platform.url(), Duration::from_secs(2));
+    let a = client_with_deadline(&fleet.platform.url(), Duration::from_secs(2));
     let b = client(&fleet.platform.url());
-    fault(&fleet, losing(1)).await;
+    fault(&fleet, lose_answers(1)).await;
     let second = async {
         let seen = http::until("the first value stands", || async {
             let entry = b.get("key").await.expect("an answer");
@@ -207,7 +207,7 @@
     const WRITERS: usize = 8;
     const SWAPS: usize = 12;
     let fleet = platform().await;
-    fault(&fleet, losing(6)).await;
+    fault(&fleet, lose_answers(6)).await;
     let writers = (0..WRITERS).map(|_| async {
         let kv = client(&fleet.platform.url());
         let (mut done, mut unresolved) = (0_u64, 0_u64);
@@ -291,10 +291,10 @@
 }
 
 fn client(base: &str) -> KvClient {
-    patient(base, DEADLINE)
+    client_with_deadline(base, DEADLINE)
 }
 
-fn patient(base: &str, deadline: Duration) -> KvClient {
+fn client_with_deadline(base: &str, deadline: Duration) -> KvClient {
     let caller = Name::new("i0").expect("a name");
     KvClient::new(base, &caller, deadline, Uuid::new_v4())
 }
