--- a/tests/testsuite/outcomes.rs
+++ b/tests/testsuite/outcomes.rs
@@ -60,7 +60,7 @@
 }
 
 /// Guards against reporting `not-run` for a request that did run, so that the caller pays for it twice: one engine
-/// breaks off in mid-answer and the other refuses, and only the last attempt determines the outcome.
+/// breaks off in mid-answer and the other refuses. It happens if only the last attempt determines the outcome.
 #[actix_web::test]
 async fn refuse_after_run() {
     let fleet = fleet().engines(2).start_configured().await;
