--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: who is heard, who may take work, and who is named.
+//! Membership: which instances are reachable, which may accept work, and which are advertised to callers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     Name::new(text).expect("a name")
 }
 
-fn cut(names: &[&str]) -> Fault {
+fn partition(names: &[&str]) -> Fault {
     Fault {
         cut: names.iter().map(|n| n.to_string()).collect(),
         ..Fault::default()
@@ -66,7 +66,7 @@
 fn judge_cases() {
     let stale = Duration::from_secs(15);
     let (fresh, old) = (Some(Duration::from_secs(1)), Some(Duration::from_secs(60)));
-    let witness = |own, peers, heard, silent| Reachability {
+    let reachability = |own, peers, heard, silent| Reachability {
         own_contact: own,
         peer_contact: peers,
         listed: true,
@@ -75,45 +75,49 @@
     };
     let unlisted = Reachability {
         listed: false,
-        ..witness(None, None, 2, 0)
+        ..reachability(None, None, 2, 0)
     };
     let cases = [
-        ("hears the service", witness(fresh, None, 0, 7), Standing::Current),
+        (
+            "hears the service",
+            reachability(fresh, None, 0, 7),
+            Standing::Current,
+        ),
         (
             "hears a peer that does",
-            witness(old, fresh, 7, 0),
+            reachability(old, fresh, 7, 0),
             Standing::Current,
         ),
         (
             "all are heard, none does",
-            witness(old, old, 7, 0),
+            reachability(old, old, 7, 0),
             Standing::Outage,
         ),
         (
             "alone in the deployment",
-            witness(old, None, 0, 0),
+            reachability(old, None, 0, 0),
             Standing::Outage,
         ),
-        ("one is silent", witness(old, old, 6, 1), Standing::Cut),
-        ("hears nobody", witness(old, None, 0, 7), Standing::Isolated),
+        ("one is silent", reachability(old, old, 6, 1), Standing::Cut),
+        ("hears nobody", reachability(old, None, 0, 7), Standing::Isolated),
         ("never had a list", unlisted, Standing::Cut),
     ];
-    for (case, witness, expected) in cases {
+    for (case, reachability, expected) in cases {
         assert_eq!(
-            evaluate_standing(&witness, stale, PartitionPolicy::Stop),
+            evaluate_standing(&reachability, stale, PartitionPolicy::Stop),
             expected,
             "{case}"
         );
     }
-    let split = witness(old, old, 6, 1);
+    let split = reachability(old, old, 6, 1);
     assert_eq!(
         evaluate_standing(&split, stale, PartitionPolicy::Serve),
         Standing::Guessing
     );
 }
 
-/// Requests of one conversation go to one instance, for its prefix cache; those of another elsewhere. When an
-/// instance leaves, only its conversations move.
+/// Requests of one conversation are routed to the same instance, to reuse its prefix cache; other conversations are
+/// spread over other instances. When an instance leaves, only its conversations move.
 #[test]
 fn rank_conversations() {
     let zones = ["lodi-a", "lodi-b"];
@@ -160,8 +164,8 @@
     );
 }
 
-/// Operators give their instances and zones the longest names there are. A heartbeat that outgrew a datagram would
-/// not be sent at all, and each instance would take all others for silent.
+/// Guards against heartbeats that exceed the datagram size when instances and zones have names of the maximum length.
+/// Such a heartbeat would not be sent at all, and each instance would consider all others silent.
 #[test]
 fn send_longest_names() {
     let long = |i: usize| name(&format!("i{i:0>62}"));
@@ -255,14 +259,14 @@
     (reply.status, body["error"]["reason"].clone())
 }
 
-/// An instance loses both the key-value service and its peer. Operators drain engines through others, and it
-/// doesn't know. After the stale limit it must refuse new work, and say truly that nothing ran; when it is
-/// connected again it serves.
+/// An instance loses both the key-value service and its peer, so it cannot learn that operators drain engines through
+/// other instances. After the stale limit it must refuse new work, and report correctly that nothing ran; once
+/// reconnected, it must serve again.
 #[actix_web::test]
 async fn serve_isolated() {
     let fleet = quick_fleet().daemons(2).start_configured().await;
     wait_until_met(&fleet).await;
-    fleet.platform_fault(&cut(&["i0"])).await;
+    fleet.platform_fault(&partition(&["i0"])).await;
     fleet.daemons[1].signal("STOP");
     wait_for_standing(&fleet, 0, "isolated").await;
     let before = fleet.attempts_served(0).await;
@@ -273,8 +277,8 @@
     assert_eq!(fleet.complete(0, "which crossover", 3, 1).await.status, 200);
 }
 
-/// The key-value service is out for all. Nobody can accept a change, and all of the list hear each other: going
-/// on is safe, and a fleet that stopped would be no use to anyone.
+/// The key-value service is unavailable to all instances. No instance can accept a change, and all listed instances
+/// hear each other: continuing to serve is safe, and stopping would only make the fleet useless.
 #[actix_web::test]
 async fn serve_outage() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
@@ -286,8 +290,9 @@
     }
 }
 
-/// The same, but one of the list is silent. It may have crashed, or it may have the service and accept changes on
-/// the far side of a cut. The others must stop, or serve on if operators said so.
+/// The key-value service is unavailable and one listed instance is silent. It may have crashed, or it may be on the
+/// other side of a network partition, where it reaches the service and accepts changes. The other instances must stop
+/// serving, or continue if operators configured that.
 #[actix_web::test]
 async fn serve_cut() {
     for (rule, standing, status) in [("stop", "cut", 503), ("serve", "guessing", 200)] {
@@ -314,8 +319,8 @@
     http::send("PUT", &url, &[], &listed).await;
 }
 
-/// Waits until no daemon gives the only engine work, and checks that it stays so.
-async fn wait_until_spared(fleet: &Fleet) {
+/// Waits until no daemon sends work to the only engine, and checks that none does so afterwards.
+async fn wait_until_unused(fleet: &Fleet) {
     for index in 0..3 {
         http::until("the engine gets no work", || async {
             let reply = fleet.complete(index, "which crossover", 1, 1).await;
@@ -330,7 +335,7 @@
     assert_eq!(fleet.attempts_served(0).await, before, "new work came after all");
 }
 
-/// Streams that run at the engine, one of each daemon.
+/// Starts one long stream through each daemon.
 async fn long_streams(fleet: &Fleet) -> Vec<Answer> {
     let mut streams = Vec::new();
     for index in 0..3 {
@@ -339,44 +344,44 @@
     streams
 }
 
-async fn check_whole(streams: Vec<Answer>) {
+async fn check_completed(streams: Vec<Answer>) {
     for mut stream in streams {
         stream.read_all().await;
         assert_eq!((stream.outcome.as_deref(), stream.tokens), (Some("whole"), 900));
     }
 }
 
-/// The platform's list shows an engine's machine as leaving. It must get no new work within 3 s, also from an
-/// instance that is cut off from the platform; the streams that run there end whole.
+/// The platform's list marks an engine's machine as leaving. It must get no new work within 3 s, even from an instance
+/// that is disconnected from the platform; streams that already run there complete.
 #[actix_web::test]
 async fn leave_upstream_cut_instance() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
     wait_until_met(&fleet).await;
-    fleet.platform_fault(&cut(&["i2"])).await;
+    fleet.platform_fault(&partition(&["i2"])).await;
     let streams = long_streams(&fleet).await;
     let listed = Instant::now();
     list_leaving(&fleet, 0).await;
-    wait_until_spared(&fleet).await;
+    wait_until_unused(&fleet).await;
     assert!(listed.elapsed() < PROMISE, "{:?}", listed.elapsed());
-    check_whole(streams).await;
+    check_completed(streams).await;
 }
 
-/// An operator withdraws an engine while streams run there and one instance is cut off from the platform. It
-/// must get no new work within 3 s of the accepted change; the streams end whole.
+/// An operator withdraws an engine while it serves streams and one instance is disconnected from the platform. The
+/// engine must get no new work within 3 s of the accepted change; its streams complete.
 #[actix_web::test]
 async fn withdraw_engine_cut_instance() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
     wait_until_met(&fleet).await;
-    fleet.platform_fault(&cut(&["i2"])).await;
+    fleet.platform_fault(&partition(&["i2"])).await;
     let streams = long_streams(&fleet).await;
     fleet.apply(0, "withdraw engine e0").await;
     let accepted = Instant::now();
-    wait_until_spared(&fleet).await;
+    wait_until_unused(&fleet).await;
     assert!(accepted.elapsed() < PROMISE, "{:?}", accepted.elapsed());
-    check_whole(streams).await;
+    check_completed(streams).await;
 }
 
-/// An instance that leaves is named no more, neither by itself nor by others, while it serves on.
+/// A leaving instance is no longer advertised, neither by itself nor by others, but continues to serve.
 #[actix_web::test]
 async fn name_leaving() {
     let fleet = quick_fleet_keeping(30_000).daemons(3).start_configured().await;
@@ -407,8 +412,8 @@
     assert_eq!(states, ["leaving"]);
 }
 
-/// An instance is paused while an operator drains an engine, and callers' requests wait in its sockets. When it goes
-/// on it must not take them by the configuration from before: none may reach the drained engine.
+/// An instance is paused while an operator drains an engine, and callers' requests queue in its sockets. When it
+/// resumes, it must not route them by its outdated configuration: none may reach the drained engine.
 #[actix_web::test]
 async fn drain_paused_instance() {
     let fleet = quick_fleet()
@@ -449,8 +454,8 @@
     fleet.wait_until_ready().await;
 }
 
-/// What was known before a pause proves nothing after it: neither the key-value service's last answer, nor heartbeats
-/// that waited in the socket. Fresh evidence opens the instance again.
+/// State from before a pause is no evidence after it: neither the key-value service's last answer nor heartbeats
+/// queued in the socket. Only fresh evidence lets the instance accept work again.
 #[test]
 fn judge_after_pause() {
     let about = |name: &str| InstanceInfo {
