--- a/tests/testsuite/policy/limits.rs
+++ b/tests/testsuite/policy/limits.rs
@@ -12,16 +12,16 @@
 
 use super::name;
 
-/// Engine seconds of each request.
+/// Engine time that each request takes, in seconds.
 const COST: f64 = 0.05;
 
-/// Engines of the service: it works off so many engine seconds a second.
+/// Number of engines of the service, which is the engine seconds that it processes per second.
 const ENGINES: usize = 8;
 
-/// Time to its deadline of each request, in seconds.
+/// Time from each request's arrival to its deadline, in seconds.
 const LEFT: f64 = 3.0;
 
-/// A service that works off its backlog in order, and the limiter before it.
+/// A service that processes its backlog in order, behind a limiter.
 struct Model {
     limiter: Limiter,
     backlog: f64,
@@ -63,15 +63,14 @@
     runs.count()
 }
 
-// Orders of a modest product are refused or late while another floods the system with ten times its share. The
-// greedy one's requests fill the engines' queues, so that nobody's deadline can be met. Cause: admission by
-// deadline alone.
+// Guards against admission by deadline alone. A product that sends ten times its share would fill the engines'
+// queues, so that no deadline can be met and requests of a product within its share are refused or late.
 #[test]
 fn admit_greedy_product() {
     let mut model = Model::new();
     let (modest, greedy) = (name("modest"), name("greedy"));
     let mut verdicts = Vec::new();
-    // The modest product asks for 0.3 of the engine time at a share of 40%; the greedy one for 1.0 at 10%.
+    // The modest product requests 0.3 of the engine time with a share of 40%; the greedy one 1.0 with a share of 10%.
     for millis in (1_000..31_000).step_by(5) {
         let now = Time::from_millis(millis);
         if millis % 20 == 0 {
@@ -125,8 +124,8 @@
     );
 }
 
-/// A product that uses its share of a large service is refused at a small one, though it has asked little there.
-/// Cause: what it used was held against whichever service it asked last.
+/// Guards against usage that is counted against the service that a product called last: a product that uses its share
+/// of a large service would be refused at a small one, although it has requested little there.
 #[test]
 fn admit_services_apart() {
     let (large, small, product) = (name("assistente"), name("ordini"), name("dispatch"));
--- a/tests/testsuite/policy/mod.rs
+++ b/tests/testsuite/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Routing, limits, retries and role changes: the decisions with fixed seeds, and one small run of load.
+//! Routing, limits, retries and role changes: decisions made with fixed seeds, and one small load test.
 
 mod limits;
 mod load;
--- a/tests/testsuite/policy/retries.rs
+++ b/tests/testsuite/policy/retries.rs
@@ -2,8 +2,8 @@
 
 use super::name;
 
-// Engines come back after an outage and fall over again. All requests that fail are sent up to three times, beside
-// the fresh ones. Cause: each request decides alone that it may be tried again.
+// Guards against retries that each request decides on alone. After an outage, every failed request would be sent up
+// to three times in addition to the new ones, and the recovering engines would be overloaded and fail again.
 #[test]
 fn retry_outage_end() {
     const FRESH: u32 = 1_000;
@@ -20,7 +20,7 @@
                 attempt += 1;
             }
         }
-        // Ten retries are there before the first request; from then on nothing comes on top of the share.
+        // The budget starts with ten retries; after that it grows only by its share of requests.
         let start = if round == 0 { 10 } else { 0 };
         assert!(
             sent <= FRESH * 12 / 10 + start,
--- a/tests/testsuite/policy/roles.rs
+++ b/tests/testsuite/policy/roles.rs
@@ -14,7 +14,7 @@
 
 const AWAY: Duration = Duration::from_secs(3);
 
-/// Engine by engine, what `speed` carries of prompts alone is about 7,000 tokens a second in role prefill.
+/// With `speed`, one engine in role prefill processes about 7,000 prompt tokens per second.
 const HEAVY: Demand = Demand {
     prefill: 50_000.0,
     decode: 500.0,
@@ -43,7 +43,7 @@
     }
 }
 
-/// A planner that saw `demand` for three minutes, and the time at their end.
+/// Returns a planner that observed `demand` for three minutes, and the time at the end of them.
 fn planner(demand: Demand) -> (Planner, Time) {
     let mut planner = Planner::new(Policy::Adaptive, AWAY);
     for second in 1..=180 {
@@ -67,12 +67,13 @@
 #[test]
 fn plan_price_beats_gain() {
     assert_eq!(plan(LIGHT, &evidence(0)), None);
-    // The same shift isn't worth a change to those who weigh changes most.
+    // With the highest weight on the cost of changes, the same shift does not justify a change.
     assert_eq!(plan(HEAVY, &evidence(100)), None);
 }
 
-// Engines change back and forth, though the mix shifted once. Load reports are five seconds late, and show the roles
-// of before the last change. Cause: a decision on evidence older than the lag that is reckoned with.
+// Guards against decisions based on load reports that are older than the lag that is allowed for. Reports that are
+// five seconds late show the roles before the last change; engines would change back and forth although the mix
+// shifted once.
 #[test]
 fn plan_late_reports() {
     let mut late = evidence(0);
@@ -99,7 +100,7 @@
     assert_eq!(planner.plan(now + Duration::from_secs(1), &seen), None);
     let engine = seen.engines.iter_mut().find(|e| e.name == first.engine);
     engine.expect("the engine is there").role = first.role;
-    // The change took effect; the service rests before the next.
+    // The change took effect; the service waits before the next one.
     assert_eq!(planner.plan(now + Duration::from_secs(4), &seen), None);
     let next = planner.plan(now + Duration::from_secs(11), &seen);
     assert_ne!(next.expect("another change pays").engine, first.engine);
--- a/tests/testsuite/policy/routing.rs
+++ b/tests/testsuite/policy/routing.rs
@@ -50,9 +50,9 @@
     choice.expect("an engine takes work").name
 }
 
-// Answers get slow in waves though engines are idle. All instances read the same load reports, in which one engine
-// is the emptiest; until the next report every request of every instance goes there. Cause: a choice by the report
-// alone.
+// Guards against routing by the load report alone. All instances read the same reports, in which one engine has the
+// least load; until the next report every instance would send every request there, and latency would rise in waves
+// while other engines are idle.
 #[test]
 fn route_stale_reports() {
     let snapshot = snapshot(8);
@@ -91,8 +91,8 @@
     );
 }
 
-// Checks with the same standards text crowd on one engine and each is processed anew. The engine evicted the
-// prefix, but that event was among those that got lost. Cause: a belief kept across a gap.
+// Guards against cache knowledge that is kept across a gap in the event stream. If the event that reports an eviction
+// is lost, requests with the same prefix would all go to one engine, which processes the prefix anew for each.
 #[test]
 fn route_cache_gap() {
     let snapshot = snapshot(8);
@@ -154,8 +154,8 @@
     assert_ne!(chosen(&mut router, &snapshot, &chat, NOW), name("e0"));
 }
 
-// A service of one engine refuses everything for half a second after a single answer broke off. Cause: an engine
-// that failed an attempt gets no work for a moment, even where there is no other.
+// Guards against a service of one engine that refuses all requests for half a second after a single answer broke off:
+// an engine that failed an attempt is avoided for a short time, but not if there is no other engine.
 #[test]
 fn route_only_suspects() {
     let snapshot = snapshot(2);
--- a/tests/testsuite/shutdown.rs
+++ b/tests/testsuite/shutdown.rs
@@ -57,7 +57,7 @@
     assert_eq!(idle.step(Time::from_millis(13_000), 0), Phase::Drained);
 }
 
-/// What the callers of a run saw.
+/// Counts and faults that the callers of a test run observed.
 #[derive(Debug, Default)]
 struct Seen {
     streams: Cell<u32>,
@@ -71,7 +71,7 @@
     cell.set(cell.get() + 1);
 }
 
-/// A caller that keeps an address for as long as it was told.
+/// A caller that caches an address for as long as the answer allows.
 struct Caller {
     client: Client,
     index: u64,
@@ -93,7 +93,7 @@
                 _ => self.order(to).await,
             };
             if let Err(fault) = result {
-                // One fault is enough to fail; a caller that went on would only repeat it.
+                // One fault is enough to fail the test; a caller that continued would only repeat it.
                 self.seen.stop.set(true);
                 let mut faults = self.seen.faults.borrow_mut();
                 faults.push(format!("caller {} turn {turn} at {to}: {fault}", self.index));
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The address to use now; asks again when the answer may be kept no longer.
+    /// Returns the address to use now, and requests it again once the cached answer has expired.
     async fn address(&mut self) -> SocketAddr {
         if Instant::now() < self.until {
             return self.addresses[0];
@@ -109,7 +109,7 @@
         for known in self.addresses.clone() {
             let asked = Instant::now();
             let url = format!("http://{known}/v1/addresses?conversation={}", self.index);
-            // An address that was kept too long may be gone; any other serves as well for asking.
+            // The instance at an expired address may be gone; any other instance can answer the request as well.
             let Ok(mut answer) = self.client.get(url).bearer_auth(KEY).send().await else {
                 continue;
             };
@@ -203,9 +203,9 @@
     }
 }
 
-/// Operators replace all eight instances one after another while callers stream, look up and order. Nobody may see
-/// a cut stream, a closed connection or a lost order, as long as callers keep an address only for the time they
-/// were told.
+/// Operators replace all eight instances one after another while callers stream, look up and order. No caller may see
+/// a truncated stream, a closed connection or a lost order, as long as it caches an address only for the time that
+/// the answer allows.
 #[actix_web::test]
 async fn replace_all_under_load() {
     let mut fleet = quick_fleet()
@@ -214,7 +214,7 @@
         .plain(1)
         .start_configured()
         .await;
-    // The whole of the engines is this product's, so that admission refuses none of this light load.
+    // This product has the whole engine capacity as its share, so that admission refuses none of this light load.
     let version = fleet.apply(0, "alter product dispatch share 100").await;
     fleet.wait_for_version(version).await;
     wait_until_named(&fleet, 8).await;
@@ -263,8 +263,8 @@
     assert_eq!(doubled, 0, "orders ran twice");
 }
 
-/// A caller comes back to an address long after it was to be asked again. The instance, which is about to exit,
-/// must say truly that nothing ran, and who takes the request; the stream that it still has ends whole.
+/// A caller uses an address long after it expired. The instance, which is about to exit, must report correctly that
+/// nothing ran and which instance accepts the request; the stream that it still serves must end complete.
 #[actix_web::test]
 async fn refuse_stopping() {
     let mut fleet = quick_fleet_keeping(100).daemons(2).start_configured().await;
@@ -287,8 +287,8 @@
     assert!(fleet.daemons[0].wait().success());
 }
 
-/// An engine stand-in is told to end while a stream runs and a daemon asks for its load again and again. The
-/// stream must end whole, and the engine must not wait for the daemon's connection.
+/// An engine stand-in is told to exit while a stream runs and a daemon polls its load. The stream must end complete,
+/// and the engine must not wait for the daemon's connection to close.
 #[actix_web::test]
 async fn standin_finishes_stream() {
     let mut fleet = quick_fleet().start_configured().await;
@@ -299,7 +299,7 @@
     assert!(fleet.engines[0].wait().success());
 }
 
-/// Asks `url` again and again over one kept connection until an answer says that the connection ends.
+/// Requests `url` repeatedly over one persistent connection until a response announces that the connection closes.
 async fn wait_for_close(client: &Client, url: &str) {
     http::until("the connection ends with an answer", || async {
         let answer = client
@@ -313,8 +313,8 @@
     .await;
 }
 
-/// A caller keeps a connection in constant use. A leaving instance must end it with an answer: one that waited for
-/// it to fall idle would cut it in the end, with a request on its way.
+/// A caller keeps a connection in constant use. An instance that shuts down must close it with a response: if it
+/// waited for the connection to become idle, it would in the end close it with a request in flight.
 #[actix_web::test]
 async fn end_kept_connection() {
     let fleet = quick_fleet_keeping(20_000).start_configured().await;
@@ -325,8 +325,9 @@
     wait_for_close(&client, &url).await;
 }
 
-/// An operator stops an instance whose log nobody reads any more, and it never ends. Order: the reader of its standard
-/// error ends; a line is to be written; SIGTERM comes. Cause: the failed write makes the thread panic that stops.
+/// Guards against an instance that never exits because its log is no longer read. The reader of its standard error
+/// ends, a line is to be written and SIGTERM arrives: the failed write would make the thread panic that handles the
+/// shutdown.
 #[actix_web::test]
 async fn stop_log_unread() {
     let fixed = [
--- a/tests/testsuite/streams.rs
+++ b/tests/testsuite/streams.rs
@@ -1,4 +1,4 @@
-//! Whole answers through failing engines and instances, with real processes. The stand-in's text is a pure
+//! Complete answers despite failing engines and instances, with real processes. The stand-in's text is a pure
 //! function of seed, prompt, model version and offset, so each test compares byte for byte.
 
 use sequoiastream_standin::engine::EngineFault;
@@ -26,9 +26,9 @@
         .await
 }
 
-/// A clerk sees text of another request, a word twice, a word missing, or half an answer.
-/// Order: an engine answers twice, crossed, from a closed attempt, with a gap, without an end, or not at all.
-/// Cause: pieces are passed on as they come, and an attempt that ends early is taken for the whole.
+/// Guards against pieces that are forwarded unchecked and against an attempt that ends early but counts as complete.
+/// An engine answers twice, with another request's text, from a closed attempt, with a gap, without an end, or not at
+/// all; the caller would see text of another request, repeated or missing words, or half an answer.
 #[actix_web::test]
 async fn stream_faulty_engine() {
     let fleet = two_engines().await;
@@ -83,8 +83,8 @@
     assert!(fleet.metric(0, "sequoiastream_resumes_total").await > 0.0);
 }
 
-/// An engineer's answer stops in mid-sentence. Order: the engine is killed, or hangs with its connection open,
-/// while it streams. Cause: nobody takes the answer up on another engine at the offset.
+/// Guards against an answer that stops in the middle because it is not resumed on another engine at its offset, when
+/// its engine is killed, or hangs with its connection open, while it streams.
 #[actix_web::test]
 async fn stream_engine_lost() {
     for signal in ["KILL", "STOP"] {
@@ -103,8 +103,8 @@
     }
 }
 
-/// A planned change cuts a confirmation. Order: an operator drains, withdraws or replaces the engine that
-/// streams it. Cause: a change takes effect on running streams instead of on new ones only.
+/// Guards against a planned change that takes effect on running streams instead of on new ones only: an operator
+/// drains, withdraws or replaces the engine that streams an answer, which would be truncated.
 #[actix_web::test]
 async fn stream_planned_change() {
     for change in ["drain", "withdraw", "replace"] {
@@ -144,9 +144,9 @@
     }
 }
 
-/// A driver's connection dies with its entry instance; he asks again elsewhere and gets another answer, or one
-/// with a gap. Order: the instance is killed in mid-stream. Cause: another instance knows neither the seed nor
-/// what was delivered; so both must lie in what the caller brings back.
+/// An entry instance is killed in the middle of a stream, and the caller reconnects to another one. That instance
+/// knows neither the seed nor what was delivered, so both must be in what the caller sends back; otherwise the caller
+/// would get a different answer, or one with a gap.
 #[actix_web::test]
 async fn come_back_entry_killed() {
     for streamed in [true, false] {
@@ -188,8 +188,8 @@
     }
 }
 
-/// A competitor learns a request id and reads the answer with it. Order: another product asks with a
-/// `Last-Event-ID` of the first. Cause: the id alone finds the answer.
+/// Guards against an id that alone gives access to an answer: another product that learns a request id sends the
+/// first product's `Last-Event-ID` and would read its answer.
 #[actix_web::test]
 async fn come_back_other_product() {
     let fleet = fleet().start_configured().await;
@@ -237,8 +237,8 @@
     }
 }
 
-/// Engines stay busy for callers that left, and those that wait get nothing. Order: a caller disconnects while its
-/// engine is silent. Cause: that the caller is gone is seen only when the next token can't be delivered.
+/// Guards against a disconnect that is noticed only when the next token can't be delivered. If a caller disconnects
+/// while its engine is silent, the engine would stay busy for it and waiting callers would get nothing.
 #[actix_web::test]
 async fn cancel_caller_gone() {
     let fleet = fleet()
@@ -280,10 +280,10 @@
     .await;
 }
 
-/// The second half of a verdict is of another model than the first. Order: a version is rolled out engine by
-/// engine, and the last engine of the old version is killed in mid-stream. Cause: an answer is resumed on any
-/// engine, by seed. The engine must be given the text so far, and vouches for going on from it; a caller that
-/// comes back to an instance without that text is told that the answer failed.
+/// Guards against an answer whose second half is of another model version, because it is resumed by seed on any
+/// engine. A version is rolled out engine by engine, and the last engine of the old version is killed in the middle
+/// of a stream. The new engine must be given the text so far and confirm that it continues from it; a caller that
+/// reconnects to an instance without that text is told that the answer failed.
 #[actix_web::test]
 async fn resume_other_version() {
     let mut fleet = fleet()
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Where the binaries under test are, and what several modules ask of a fleet.
+//! Paths of the binaries under test, and helpers for fleets that several modules share.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 use sequoiastream_testsupport::http::Reply;
 use uuid::Uuid;
 
-/// A builder of fleets of the binaries that were built with this test.
+/// Returns a builder of fleets that run the binaries built with this test.
 pub fn fleet() -> FleetBuilder {
     let daemon = PathBuf::from(env!("CARGO_BIN_EXE_sequoiastreamd"));
     let standin = daemon.with_file_name("sequoiastream-standin");
@@ -24,12 +24,12 @@
     })
 }
 
-/// A builder of fleets whose limits of membership and shutdown are short.
+/// Returns a builder of fleets with short time limits for membership and shutdown.
 pub fn quick_fleet() -> FleetBuilder {
     quick_fleet_keeping(600)
 }
 
-/// The same, with callers that keep an address for `keep` milliseconds.
+/// Like [`quick_fleet`], with callers that cache an address for `keep` milliseconds.
 pub fn quick_fleet_keeping(keep: u32) -> FleetBuilder {
     fleet()
         .daemon_arg("--heartbeat-ms=100")
@@ -42,7 +42,7 @@
         .daemon_arg("--kv-deadline-ms=500")
 }
 
-/// A statement of `who` under a new id.
+/// Returns a statement by `who` with a new id.
 pub fn statement(who: &str, text: &str) -> StatementBody {
     StatementBody {
         id: Uuid::now_v7(),
@@ -54,14 +54,14 @@
     }
 }
 
-/// Gives `body` to daemon `index`.
+/// Sends `body` to daemon `index`.
 pub async fn give(fleet: &Fleet, index: usize, body: &StatementBody) -> Reply {
     let url = format!("{}/operator/statement", fleet.daemons[index].url());
     let token = format!("Bearer {TOKEN}");
     http::send("POST", &url, &[("authorization", &token)], body).await
 }
 
-/// What was accepted.
+/// Parses the body of a reply that accepted a statement.
 pub fn accepted(reply: &Reply) -> AcceptedBody {
     match reply.json() {
         ReplyBody::Accepted(accepted) => accepted,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The column `column` of the table that `query` shows at daemon `index`.
+/// Returns the column `column` of the table that daemon `index` answers to `query`.
 pub async fn column(fleet: &Fleet, index: usize, query: &str, column: &str) -> Vec<String> {
     let reply = give(fleet, index, &statement("tester", query)).await;
     let ReplyBody::Table(table) = reply.json() else {
@@ -79,7 +79,7 @@
     table.rows.iter().map(|row| row[at].clone()).collect()
 }
 
-/// Waits until daemon `index` stands so towards the configuration in force.
+/// Waits until daemon `index` reports this standing towards the configuration in force.
 pub async fn wait_for_standing(fleet: &Fleet, index: usize, standing: &str) {
     let query = format!("show instances where instance = i{index}");
     http::until("the instance stands so", || async {
@@ -89,7 +89,7 @@
     .await;
 }
 
-/// Waits until every daemon has heard of all others.
+/// Waits until every daemon knows all others.
 pub async fn wait_until_met(fleet: &Fleet) {
     for index in 0..fleet.daemons.len() {
         http::until("all are heard of", || async {
--- a/tests/testsuite/suspects.rs
+++ b/tests/testsuite/suspects.rs
@@ -1,4 +1,4 @@
-//! The records of requests that crash engines: seeded runs over several instances.
+//! Records of requests that crash engines, tested in seeded simulations of several instances.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -63,7 +63,7 @@
     repeats: u32,
 }
 
-/// Instances, engines and requests; messages between instances arrive at once.
+/// Simulated instances, engines and requests; messages between instances arrive immediately.
 struct Fleet {
     rng: StdRng,
     now: Time,
@@ -235,7 +235,7 @@
         }
     }
 
-    /// What an instance does when a stream broke: note, tell, judge, tell.
+    /// Handles a broken stream as an instance does: records the crash, reports it, judges it and reports the verdict.
     fn judge(&mut self, index: usize, attempt: Uuid, ask: Option<HoldRequest>) {
         let instance = self.requests[index].instance;
         let note = self.records[instance]
@@ -308,9 +308,9 @@
     }
 }
 
-/// Two requests that crash their engines at any point, twelve that don't, three instances, callers that repeat
-/// through any of them: no request takes more than two engines, no innocent is convicted, and nearly all
-/// innocents end whole.
+/// Two requests that crash their engines at any point, twelve that don't, three instances, and callers that retry
+/// through any of them: no request crashes more than two engines, no innocent request is convicted, and nearly all
+/// innocent ones complete.
 #[test]
 fn convict_seeded_runs() {
     let (mut whole, mut convicted) = (0, 0);
@@ -340,8 +340,8 @@
     }
 }
 
-/// An innocent request is refused for good because a cable was pulled twice while it ran. Cause: silence is
-/// taken for a crash.
+/// Guards against silence that counts as a crash: an innocent request would be refused permanently because the
+/// network failed twice while it ran.
 #[test]
 fn judge_silent_engines() {
     let mut records = CrashRecords::new(name("i0"));
@@ -354,8 +354,8 @@
     assert_eq!(records.suspicion(later, fingerprint(0)), Suspicion::Unsuspected);
 }
 
-/// A neighbour is refused with the request that crashed both its engines. Order: it runs beside one poisonous
-/// request, then beside another. Cause: two crashes are taken for proof.
+/// Guards against two crashes that count as proof: a request that runs next to one poisonous request, then next to
+/// another, would be refused along with the requests that crashed both its engines.
 #[test]
 fn judge_beside_another() {
     let mut records = CrashRecords::new(name("i0"));
@@ -392,8 +392,8 @@
     );
 }
 
-/// A caller loses patience and sends its request again through another instance while the first still runs; it
-/// crashes a second engine there, and a third. The second attempt must stop when the first one's crash is told.
+/// A caller retries its request through another instance while the first attempt still runs, and it would crash a
+/// second engine there, and a third. The second attempt must stop when the crash of the first one is reported.
 #[test]
 fn note_stops_elsewhere() {
     let mut records = CrashRecords::new(name("i0"));
@@ -408,7 +408,7 @@
     );
 }
 
-/// Two instances ask for the same engine, or for the same suspect, at the same time: exactly one gets it.
+/// Two instances request a hold on the same engine, or for the same suspect, at the same time: exactly one gets it.
 #[test]
 fn ask_at_once() {
     let ask = |fingerprint_index: usize, engine_index: usize, from: &str| HoldRequest {
--- a/tests/testsuite/together.rs
+++ b/tests/testsuite/together.rs
@@ -1,4 +1,4 @@
-//! Planned changes and planned stops while something fails beside them.
+//! Planned changes and planned stops that coincide with failures.
 
 use sequoiastream_operator::wire::ReplyBody;
 use sequoiastream_standin::engine::expected_text;
@@ -15,7 +15,7 @@
 
 const PROMPT: &str = "how many kilos of pellets for forty boxes";
 
-/// What fails at the platform beside a planned change.
+/// Platform faults that coincide with a planned change.
 fn platform_faults() -> Vec<(&'static str, Fault)> {
     let fault = Fault::default;
     vec![
@@ -50,7 +50,7 @@
     ]
 }
 
-/// Streams through every instance of `fleet`, each of `limit` tokens.
+/// Starts a stream of `limit` tokens through every instance of `fleet`.
 async fn streams(fleet: &Fleet, limit: u32) -> Vec<Answer> {
     let mut streams = Vec::new();
     for index in 0..fleet.daemons.len() {
@@ -61,7 +61,7 @@
     streams
 }
 
-/// Reads `streams` to their end: each must be whole, byte for byte.
+/// Reads `streams` to their end and checks that each is complete, byte for byte.
 async fn assert_whole(streams: Vec<Answer>, limit: u32, what: &str) {
     for (seed, mut stream) in streams.into_iter().enumerate() {
         stream.read_all().await;
@@ -74,7 +74,7 @@
     }
 }
 
-/// The index of the instance that holds the authority of `assistente`.
+/// Returns the index of the instance that holds the authority of `assistente`.
 async fn holder(fleet: &Fleet) -> usize {
     http::until("an instance holds the lease", || async {
         let leases = column(fleet, 0, "show leases", "lease").await;
@@ -83,8 +83,8 @@
     .await
 }
 
-/// An operator stops an instance, as for a replacement, while the platform fails in one way or the other. Its
-/// callers must not pay for both: the stream ends whole and the process ends by itself, with success.
+/// An operator stops an instance, as for a replacement, while the platform has one of several faults. Callers must
+/// not be affected by the combination: the stream ends complete and the process exits by itself, with success.
 #[actix_web::test]
 async fn stop_platform_faults() {
     for (what, fault) in platform_faults() {
@@ -98,8 +98,8 @@
     }
 }
 
-/// An instance that is being stopped is paused in the middle of it, and goes on. Its stream must still end whole,
-/// and it must not exit for a time that passed while it was paused.
+/// An instance is paused during its shutdown and then continues. Its stream must still end complete, and it must not
+/// exit because of a time limit that passed while it was paused.
 #[actix_web::test]
 async fn stop_paused() {
     let mut fleet = quick_fleet_keeping(100).daemons(2).start_configured().await;
@@ -117,7 +117,8 @@
     assert!(fleet.daemons[0].wait().success());
 }
 
-/// An instance is stopped and a moment later its peer is killed. What the first still serves must end whole.
+/// An instance is stopped, and shortly afterwards its peer is killed. Streams that the first still serves must end
+/// complete.
 #[actix_web::test]
 async fn stop_peer_killed() {
     let mut fleet = quick_fleet_keeping(100).daemons(2).start_configured().await;
@@ -131,7 +132,7 @@
 }
 
 /// An operator changes an engine's role while callers stream from it, and the platform fails at that moment. The
-/// change may come late or not at all, but no answer may be cut for it.
+/// change may be late or not happen at all, but no answer may be truncated by it.
 #[actix_web::test]
 async fn role_change_platform_faults() {
     for (what, fault) in platform_faults() {
@@ -151,8 +152,8 @@
     }
 }
 
-/// The instance that is to give the order is killed while it waits for the engine to run empty. The answers that run
-/// there through other instances must end whole, and the change must come from its successor.
+/// The instance that is to order the role change is killed while it waits for the engine to become idle. Answers that
+/// stream from the engine through other instances must end complete, and its successor must make the change.
 #[actix_web::test]
 async fn role_change_holder_killed() {
     let mut fleet = quick_fleet()
@@ -183,8 +184,8 @@
     assert_eq!(cut, 0);
 }
 
-/// An operator drains an engine while one instance is killed and the platform is slow. Once the change is in force
-/// on the others, the engine gets nothing new; what runs there ends whole.
+/// An operator drains an engine while one instance is killed and the platform is slow. Once the change is in force on
+/// the other instances, the engine gets no new requests; those that run there end complete.
 #[actix_web::test]
 async fn drain_instance_killed_platform_slow() {
     let mut fleet = quick_fleet().daemons(3).engines(2).start_configured().await;
@@ -209,8 +210,8 @@
     assert_whole(kept, 600, "drain").await;
 }
 
-/// An operator's command and a repeat of it reach two instances at once while answers of the platform are lost: it
-/// takes effect once, and streams through the engine that it drains end whole.
+/// An operator's command and a retry of it reach two instances at once while answers of the platform are lost: it
+/// takes effect once, and streams through the engine that it drains end complete.
 #[actix_web::test]
 async fn drain_repeated_answers_lost() {
     let fleet = quick_fleet().daemons(2).engines(2).start_configured().await;
--- a/tests/testsuite/upstream.rs
+++ b/tests/testsuite/upstream.rs
@@ -1,4 +1,4 @@
-//! The client of upstreams: what it may claim about a request that failed.
+//! The upstream client: what it may report about a request that failed.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -36,10 +36,9 @@
     }
 }
 
-/// A buyer orders dry ice; the order desk books it and dies before it answers. The HTTP client reports the
-/// closed connection as a failure to connect, the instance says `not-run`, the buyer orders again, and two
-/// trucks come. Cause: awc uses its connect error `Disconnected` also for a connection that closed after the
-/// request was sent.
+/// Guards against an order that runs twice. An upstream executes an order and dies before it answers; awc uses its
+/// connect error `Disconnected` also for a connection that closed after the request was sent. If that counted as a
+/// failure to connect, the instance would report `not-run` and the caller would order again.
 #[actix_web::test]
 async fn send_closed_after_request() {
     let address = close_after_request();
