--- a/tests/testsuite/policy/roles.rs
+++ b/tests/testsuite/policy/roles.rs
@@ -14,7 +14,7 @@
 
 const AWAY: Duration = Duration::from_secs(3);
 
-/// With `speed`, one engine in role prefill processes about 7,000 prompt tokens per second.
+/// With `speed`, one engine in role prefill processes about 7,000 tokens per second of prompts alone.
 const HEAVY: Demand = Demand {
     prefill: 50_000.0,
     decode: 500.0,
