--- a/tests/testsuite/config_fleet.rs
+++ b/tests/testsuite/config_fleet.rs
@@ -6,18 +6,18 @@
 
 use crate::support::accepted;
 use crate::support::column;
-use crate::support::give;
 use crate::support::quick_fleet;
+use crate::support::send_statement;
 use crate::support::statement;
+use crate::support::wait_for_members;
 use crate::support::wait_for_standing;
-use crate::support::wait_until_met;
 
 /// An instance that is disconnected from the key-value service must learn from its peers that an engine was drained
 /// through another instance. Otherwise it would send work to that engine for as long as it is disconnected.
 #[actix_web::test]
 async fn apply_cut_instance() {
     let fleet = quick_fleet().daemons(4).engines(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let cut = Fault {
         cut: vec!["i2".to_string()],
         ..Fault::default()
@@ -25,7 +25,7 @@
     fleet.platform_fault(&cut).await;
     let mut body = statement("amina", "drain engine e0");
     body.wait = true;
-    let reply = accepted(&give(&fleet, 0, &body).await);
+    let reply = accepted(&send_statement(&fleet, 0, &body).await);
     assert_eq!((reply.version, reply.in_force, reply.known), (2, 4, 4));
     fleet.wait_for_version(2).await;
     let states = column(&fleet, 2, "show engines where engine = e0", "state").await;
@@ -37,7 +37,7 @@
 #[actix_web::test]
 async fn apply_slow_service() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let slow = Fault {
         delay: 400,
         ..Fault::default()
@@ -45,7 +45,7 @@
     fleet.platform_fault(&slow).await;
     let mut body = statement("amina", "drain engine e0");
     body.wait = true;
-    let reply = accepted(&give(&fleet, 0, &body).await);
+    let reply = accepted(&send_statement(&fleet, 0, &body).await);
     assert_eq!((reply.version, reply.in_force, reply.known), (2, 3, 3));
 }
 
@@ -55,12 +55,16 @@
 #[actix_web::test]
 async fn apply_racing() {
     let fleet = quick_fleet().daemons(3).engines(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let mut drain = statement("amina", "drain engine e0");
     let mut role = statement("baraka", "set engine e0 role decode");
     drain.base = Some(1);
     role.base = Some(1);
-    let (a, b) = join(give(&fleet, 0, &drain), give(&fleet, 1, &role)).await;
+    let (a, b) = join(
+        send_statement(&fleet, 0, &drain),
+        send_statement(&fleet, 1, &role),
+    )
+    .await;
     let (won, lost, winner) = match a.status {
         200 => (a, b, "amina: drain engine e0"),
         _ => (b, a, "baraka: set engine e0 role decode"),
@@ -70,7 +74,7 @@
     assert!(lost.body.contains(&names), "{}", lost.body);
     let mut other = statement("chiku", "drain engine e1");
     other.base = Some(1);
-    assert_eq!(accepted(&give(&fleet, 2, &other).await).version, 3);
+    assert_eq!(accepted(&send_statement(&fleet, 2, &other).await).version, 3);
 }
 
 /// The key-value service writes a change but its response is lost, and the operator submits the command again through
@@ -78,15 +82,15 @@
 #[actix_web::test]
 async fn apply_answer_lost() {
     let fleet = quick_fleet().daemons(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let lost = Fault {
         lose: 1,
         ..Fault::default()
     };
     fleet.platform_fault(&lost).await;
     let body = statement("amina", "create product studio key \"secret-of-studio\" share 5");
-    let first = accepted(&give(&fleet, 0, &body).await);
-    let again = accepted(&give(&fleet, 1, &body).await);
+    let first = accepted(&send_statement(&fleet, 0, &body).await);
+    let again = accepted(&send_statement(&fleet, 1, &body).await);
     assert_eq!((first.version, first.repeated), (2, false));
     assert_eq!((again.version, again.repeated), (2, true));
     let statements = column(&fleet, 1, "show changes", "statement").await;
@@ -101,7 +105,7 @@
 #[actix_web::test]
 async fn apply_stale_peer() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     fleet.daemons[2].signal("STOP");
     let mut version = 1;
     for round in 0..40 {
@@ -127,14 +131,14 @@
 #[actix_web::test]
 async fn apply_paused_writer() {
     let fleet = quick_fleet().daemons(2).engines(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let slow = Fault {
         delay: 300,
         ..Fault::default()
     };
     fleet.platform_fault(&slow).await;
     let body = statement("amina", "drain engine e0");
-    let writer = give(&fleet, 0, &body);
+    let writer = send_statement(&fleet, 0, &body);
     let others = async {
         let puts = || async {
             let stats: sequoiastream_standin::platform::Stats =
@@ -172,7 +176,7 @@
 #[actix_web::test]
 async fn restart_service_out() {
     let mut fleet = quick_fleet().daemons(3).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let outage = Fault {
         outage: true,
         ..Fault::default()
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -38,8 +38,8 @@
 use crate::support::column;
 use crate::support::quick_fleet;
 use crate::support::quick_fleet_keeping;
+use crate::support::wait_for_members;
 use crate::support::wait_for_standing;
-use crate::support::wait_until_met;
 
 /// Time after which a leaving upstream gets no new work.
 const PROMISE: Duration = Duration::from_secs(3);
@@ -261,7 +261,7 @@
 #[actix_web::test]
 async fn serve_isolated() {
     let fleet = quick_fleet().daemons(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     fleet.platform_fault(&cut(&["i0"])).await;
     fleet.daemons[1].signal("STOP");
     wait_for_standing(&fleet, 0, "isolated").await;
@@ -278,7 +278,7 @@
 #[actix_web::test]
 async fn serve_outage() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     fleet.platform_fault(&outage()).await;
     for index in 0..3 {
         wait_for_standing(&fleet, index, "outage").await;
@@ -293,7 +293,7 @@
     for (rule, standing, status) in [("stop", "cut", 503), ("serve", "guessing", 200)] {
         let fleet = quick_fleet().daemons(3).daemon_arg(&format!("--on-cut={rule}"));
         let fleet = fleet.start_configured().await;
-        wait_until_met(&fleet).await;
+        wait_for_members(&fleet).await;
         fleet.platform_fault(&outage()).await;
         fleet.daemons[2].signal("STOP");
         wait_for_standing(&fleet, 0, standing).await;
@@ -351,7 +351,7 @@
 #[actix_web::test]
 async fn leave_upstream_cut_instance() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     fleet.platform_fault(&cut(&["i2"])).await;
     let streams = long_streams(&fleet).await;
     let listed = Instant::now();
@@ -366,7 +366,7 @@
 #[actix_web::test]
 async fn withdraw_engine_cut_instance() {
     let fleet = quick_fleet().daemons(3).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     fleet.platform_fault(&cut(&["i2"])).await;
     let streams = long_streams(&fleet).await;
     fleet.apply(0, "withdraw engine e0").await;
@@ -380,7 +380,7 @@
 #[actix_web::test]
 async fn name_leaving() {
     let fleet = quick_fleet_keeping(30_000).daemons(3).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let named = |index: usize| {
         let url = format!("{}/v1/addresses?conversation=c", fleet.daemons[index].url());
         async move {
@@ -417,7 +417,7 @@
         .engines(2)
         .start_configured()
         .await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     fleet.daemons[0].signal("STOP");
     let waiting = (0..12).map(|seed| fleet.complete(0, "short turn", 3, seed));
     let others = async {
--- a/tests/testsuite/policy/limits.rs
+++ b/tests/testsuite/policy/limits.rs
@@ -19,7 +19,7 @@
 const ENGINES: usize = 8;
 
 /// Time from each request's arrival to its deadline, in seconds.
-const LEFT: f64 = 3.0;
+const TIME_LEFT: f64 = 3.0;
 
 /// A service that processes its backlog in order, behind a limiter.
 struct Model {
@@ -37,7 +37,7 @@
         }
     }
 
-    fn ask(&mut self, now: Time, product: &Name, share: u32) -> Admission {
+    fn request(&mut self, now: Time, product: &Name, share: u32) -> Admission {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         self.backlog = (self.backlog - passed * ENGINES as f64).max(0.0);
@@ -48,7 +48,7 @@
         let need = RequestCost {
             cost: COST,
             total: self.backlog / ENGINES as f64 + 0.5,
-            left: LEFT,
+            left: TIME_LEFT,
         };
         let verdict = self.limiter.admit(now, product, owed, need);
         if !matches!(verdict, Admission::Refused(..)) {
@@ -74,9 +74,9 @@
     for millis in (1_000..31_000).step_by(5) {
         let now = Time::from_millis(millis);
         if millis % 20 == 0 {
-            verdicts.push(model.ask(now, &modest, 40));
+            verdicts.push(model.request(now, &modest, 40));
         }
-        let _ = model.ask(now, &greedy, 10);
+        let _ = model.request(now, &greedy, 10);
     }
     let part = admitted(&verdicts) as f64 / verdicts.len() as f64;
     assert!(part >= 0.95, "{part} of the modest product's requests ran");
@@ -88,15 +88,15 @@
     let (owner, borrower) = (name("owner"), name("borrower"));
     let mut lent = 0;
     for millis in (1_000..11_000).step_by(10) {
-        let verdict = model.ask(Time::from_millis(millis), &borrower, 10);
+        let verdict = model.request(Time::from_millis(millis), &borrower, 10);
         lent += usize::from(verdict == Admission::Borrowed);
     }
     assert!(lent > 500, "{lent} of 1000 requests ran on unused share");
     let mut verdicts = Vec::new();
     for millis in (11_000..14_000).step_by(10) {
         let now = Time::from_millis(millis);
-        let _ = model.ask(now, &borrower, 10);
-        verdicts.push(model.ask(now, &owner, 80));
+        let _ = model.request(now, &borrower, 10);
+        verdicts.push(model.request(now, &owner, 80));
     }
     let late = &verdicts[verdicts.len() * 2 / 3..];
     assert_eq!(admitted(late), late.len());
@@ -137,7 +137,7 @@
     let need = |cost| RequestCost {
         cost,
         total: 0.1,
-        left: LEFT,
+        left: TIME_LEFT,
     };
     for step in 0..400 {
         let now = Time::from_millis(1_000 + step * 20);
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -55,7 +55,7 @@
 }
 
 /// Sends `body` to daemon `index`.
-pub async fn give(fleet: &Fleet, index: usize, body: &StatementBody) -> Reply {
+pub async fn send_statement(fleet: &Fleet, index: usize, body: &StatementBody) -> Reply {
     let url = format!("{}/operator/statement", fleet.daemons[index].url());
     let token = format!("Bearer {TOKEN}");
     http::send("POST", &url, &[("authorization", &token)], body).await
@@ -71,7 +71,7 @@
 
 /// Returns the column `column` of the table that daemon `index` answers to `query`.
 pub async fn column(fleet: &Fleet, index: usize, query: &str, column: &str) -> Vec<String> {
-    let reply = give(fleet, index, &statement("tester", query)).await;
+    let reply = send_statement(fleet, index, &statement("tester", query)).await;
     let ReplyBody::Table(table) = reply.json() else {
         panic!("{reply:?}");
     };
@@ -90,7 +90,7 @@
 }
 
 /// Waits until every daemon knows all others.
-pub async fn wait_until_met(fleet: &Fleet) {
+pub async fn wait_for_members(fleet: &Fleet) {
     for index in 0..fleet.daemons.len() {
         http::until("all are heard of", || async {
             let seen = column(fleet, index, "show instances where state = live", "instance").await;
--- a/tests/testsuite/suspects.rs
+++ b/tests/testsuite/suspects.rs
@@ -43,11 +43,11 @@
     Running {
         engine: usize,
         attempt: Uuid,
-        ask: Option<HoldRequest>,
+        hold_request: Option<HoldRequest>,
     },
     Broken {
         attempt: Uuid,
-        ask: Option<HoldRequest>,
+        hold_request: Option<HoldRequest>,
     },
     Whole,
     Refused,
@@ -57,10 +57,10 @@
 struct Request {
     instance: usize,
     fingerprint: Fingerprint,
-    fatal: Option<u32>,
+    crash_offset: Option<u32>,
     offset: u32,
     phase: Phase,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Simulated instances, engines and requests; messages between instances arrive immediately.
@@ -71,7 +71,7 @@
     alive: Vec<bool>,
     requests: Vec<Request>,
     lost: BTreeMap<Fingerprint, u32>,
-    numbers: u128,
+    last_id: u128,
 }
 
 impl Fleet {
@@ -80,10 +80,10 @@
         let requests = (0..INNOCENT + POISONOUS).map(|index| Request {
             instance: rng.random_range(0..INSTANCES),
             fingerprint: fingerprint(index),
-            fatal: (index >= INNOCENT).then(|| rng.random_range(0..LENGTH)),
+            crash_offset: (index >= INNOCENT).then(|| rng.random_range(0..LENGTH)),
             offset: 0,
             phase: Phase::Waiting,
-            repeats: 0,
+            retries: 0,
         });
         Fleet {
             requests: requests.collect(),
@@ -94,7 +94,7 @@
                 .collect(),
             alive: vec![true; ENGINES],
             lost: BTreeMap::new(),
-            numbers: 0,
+            last_id: 0,
         }
     }
 
@@ -103,21 +103,28 @@
         let index = self.rng.random_range(0..self.requests.len());
         match self.requests[index].phase.clone() {
             Phase::Waiting => self.start(index),
-            Phase::Running { engine, attempt, ask } => self.run(index, engine, attempt, ask),
-            Phase::Broken { attempt, ask } => self.judge(index, attempt, ask),
-            Phase::Refused if self.requests[index].repeats < 3 => self.repeat(index),
+            Phase::Running {
+                engine,
+                attempt,
+                hold_request,
+            } => self.run(index, engine, attempt, hold_request),
+            Phase::Broken {
+                attempt,
+                hold_request,
+            } => self.handle_broken(index, attempt, hold_request),
+            Phase::Refused if self.requests[index].retries < 3 => self.retry(index),
             Phase::Refused | Phase::Whole => {}
         }
     }
 
     /// The caller sends its request again, through another instance.
-    fn repeat(&mut self, index: usize) {
+    fn retry(&mut self, index: usize) {
         let instance = self.rng.random_range(0..INSTANCES);
         let request = &mut self.requests[index];
         request.instance = instance;
         request.offset = 0;
         request.phase = Phase::Waiting;
-        request.repeats += 1;
+        request.retries += 1;
     }
 
     fn start(&mut self, index: usize) {
@@ -150,46 +157,46 @@
             return;
         };
         let instance = self.requests[index].instance;
-        let ask = HoldRequest {
+        let hold_request = HoldRequest {
             fingerprint: self.requests[index].fingerprint,
             engine: engine(chosen),
             from: name(&format!("i{instance}")),
             millis: 1_000_000,
         };
-        if !self.records[instance].reserve(self.now, &ask) {
+        if !self.records[instance].reserve(self.now, &hold_request) {
             return;
         }
         let now = self.now;
         let others = (0..INSTANCES).filter(|i| *i != instance);
         let mut agreed = true;
         for other in others {
-            agreed &= self.records[other].on_hold_request(now, &ask);
+            agreed &= self.records[other].on_hold_request(now, &hold_request);
         }
-        match agreed && self.records[instance].grant(&ask) {
+        match agreed && self.records[instance].grant(&hold_request) {
             true => {
-                self.vacate(&ask.engine);
-                self.begin(index, chosen, Some(ask));
+                self.move_attempts(&hold_request.engine);
+                self.begin(index, chosen, Some(hold_request));
             }
-            false => self.release(&ask),
+            false => self.release(&hold_request),
         }
     }
 
-    fn vacate(&mut self, engine: &Name) {
+    fn move_attempts(&mut self, engine: &Name) {
         for instance in 0..INSTANCES {
             let moving = self.records[instance].attempts_to_move(engine);
             self.stop(instance, &moving);
         }
     }
 
-    fn release(&mut self, ask: &HoldRequest) {
+    fn release(&mut self, hold_request: &HoldRequest) {
         for records in &mut self.records {
-            records.release(ask);
+            records.release(hold_request);
         }
     }
 
-    fn begin(&mut self, index: usize, engine_index: usize, ask: Option<HoldRequest>) {
-        self.numbers += 1;
-        let attempt = Uuid::from_u128(self.numbers);
+    fn begin(&mut self, index: usize, engine_index: usize, hold_request: Option<HoldRequest>) {
+        self.last_id += 1;
+        let attempt = Uuid::from_u128(self.last_id);
         let request = &mut self.requests[index];
         let records = &mut self.records[request.instance];
         let begun = records.begin(self.now, attempt, request.fingerprint, &engine(engine_index));
@@ -198,13 +205,13 @@
         request.phase = Phase::Running {
             engine: engine_index,
             attempt,
-            ask,
+            hold_request,
         };
     }
 
-    fn run(&mut self, index: usize, engine_index: usize, attempt: Uuid, ask: Option<HoldRequest>) {
+    fn run(&mut self, index: usize, engine_index: usize, attempt: Uuid, hold_request: Option<HoldRequest>) {
         let request = &mut self.requests[index];
-        if request.fatal == Some(request.offset) {
+        if request.crash_offset == Some(request.offset) {
             return self.crash(index, engine_index);
         }
         request.offset += 1;
@@ -214,12 +221,12 @@
         request.phase = Phase::Whole;
         let (instance, fingerprint) = (request.instance, request.fingerprint);
         self.records[instance].end(attempt);
-        if let Some(ask) = ask {
+        if let Some(hold_request) = hold_request {
             for records in &mut self.records {
                 records.clear(fingerprint);
             }
-            self.convict_guilty(instance);
-            self.release(&ask);
+            self.confirm_suspects(instance);
+            self.release(&hold_request);
         }
     }
 
@@ -227,54 +234,65 @@
         self.alive[engine_index] = false;
         *self.lost.entry(self.requests[index].fingerprint).or_default() += 1;
         for request in &mut self.requests {
-            if let Phase::Running { engine, attempt, ask } = request.phase.clone()
+            if let Phase::Running {
+                engine,
+                attempt,
+                hold_request,
+            } = request.phase.clone()
                 && engine == engine_index
             {
-                request.phase = Phase::Broken { attempt, ask };
+                request.phase = Phase::Broken {
+                    attempt,
+                    hold_request,
+                };
             }
         }
     }
 
     /// Handles a broken stream as an instance does: records the crash, reports it, judges it and reports the verdict.
-    fn judge(&mut self, index: usize, attempt: Uuid, ask: Option<HoldRequest>) {
+    fn handle_broken(&mut self, index: usize, attempt: Uuid, hold_request: Option<HoldRequest>) {
         let instance = self.requests[index].instance;
-        let note = self.records[instance]
+        let report = self.records[instance]
             .crash_report(attempt, Evidence::Crashed)
             .expect("it runs");
-        let mut ran = note.ran.clone();
-        self.take(instance, &note);
+        let mut ran = report.ran.clone();
+        self.deliver_report(instance, &report);
         for other in (0..INSTANCES).filter(|i| *i != instance) {
-            ran.extend(self.records[other].requests_on(&note.incident));
-            self.take(other, &note);
+            ran.extend(self.records[other].requests_on(&report.incident));
+            self.deliver_report(other, &report);
         }
-        self.take(instance, &CrashReport { ran, ..note });
-        self.convict_guilty(instance);
+        self.deliver_report(instance, &CrashReport { ran, ..report });
+        self.confirm_suspects(instance);
         self.records[instance].end(attempt);
-        if let Some(ask) = ask {
-            self.release(&ask);
+        if let Some(hold_request) = hold_request {
+            self.release(&hold_request);
         }
         let request = &mut self.requests[index];
         request.phase = Phase::Waiting;
     }
 
-    fn take(&mut self, instance: usize, note: &CrashReport) {
-        let stop = self.records[instance].on_crash_report(self.now, note);
+    fn deliver_report(&mut self, instance: usize, report: &CrashReport) {
+        let stop = self.records[instance].on_crash_report(self.now, report);
         self.stop(instance, &stop);
     }
 
     fn stop(&mut self, instance: usize, stop: &[Uuid]) {
         for request in &mut self.requests {
-            if let Phase::Running { attempt, ask, .. } = request.phase.clone()
+            if let Phase::Running {
+                attempt,
+                hold_request,
+                ..
+            } = request.phase.clone()
                 && stop.contains(&attempt)
             {
-                assert_eq!(ask, None, "a suspect with a hold is stopped");
+                assert_eq!(hold_request, None, "a suspect with a hold is stopped");
                 self.records[instance].end(attempt);
                 request.phase = Phase::Waiting;
             }
         }
     }
 
-    fn convict_guilty(&mut self, instance: usize) {
+    fn confirm_suspects(&mut self, instance: usize) {
         for fingerprint in self.records[instance].confirm_suspects(self.now) {
             for records in &mut self.records {
                 records.confirm(self.now, fingerprint);
@@ -287,7 +305,7 @@
             assert!(*lost <= 2, "seed {seed}: {lost} engines lost to {fingerprint}");
         }
         for records in &self.records {
-            for request in self.requests.iter().filter(|r| r.fatal.is_none()) {
+            for request in self.requests.iter().filter(|r| r.crash_offset.is_none()) {
                 let standing = records.suspicion(self.now, request.fingerprint);
                 assert_ne!(
                     standing,
@@ -299,7 +317,9 @@
         let mut holders = BTreeSet::new();
         for request in &self.requests {
             if let Phase::Running {
-                engine, ask: Some(_), ..
+                engine,
+                hold_request: Some(_),
+                ..
             } = &request.phase
             {
                 assert!(holders.insert(*engine), "seed {seed}: two suspects on one engine");
@@ -320,16 +340,16 @@
             fleet.step();
             fleet.check(seed);
         }
-        let innocent = fleet.requests.iter().filter(|r| r.fatal.is_none());
+        let innocent = fleet.requests.iter().filter(|r| r.crash_offset.is_none());
         whole += innocent.filter(|r| r.phase == Phase::Whole).count();
-        let poisonous = fleet.requests.iter().filter(|r| r.fatal.is_some());
+        let poisonous = fleet.requests.iter().filter(|r| r.crash_offset.is_some());
         convicted += poisonous.filter(|r| r.phase == Phase::Refused).count();
     }
     assert!(whole > INNOCENT * 198, "only {whole} innocents ended whole");
     assert!(convicted > POISONOUS * 190, "only {convicted} convicted");
 }
 
-fn note(number: u128, evidence: Evidence, ran: &[usize]) -> CrashReport {
+fn report(number: u128, evidence: Evidence, ran: &[usize]) -> CrashReport {
     CrashReport {
         incident: Incident {
             engine: engine(0),
@@ -346,7 +366,7 @@
 fn judge_silent_engines() {
     let mut records = CrashRecords::new(name("i0"));
     for number in 1..4 {
-        records.on_crash_report(Time::ZERO, &note(number, Evidence::Silent, &[0]));
+        records.on_crash_report(Time::ZERO, &report(number, Evidence::Silent, &[0]));
     }
     assert!(records.confirm_suspects(Time::ZERO).is_empty());
     assert_eq!(records.suspicion(Time::ZERO, fingerprint(0)), Suspicion::Pending);
@@ -360,16 +380,16 @@
 fn judge_beside_another() {
     let mut records = CrashRecords::new(name("i0"));
     let (neighbour, first, second) = (0, 1, 2);
-    records.on_crash_report(Time::ZERO, &note(1, Evidence::Crashed, &[neighbour, first]));
+    records.on_crash_report(Time::ZERO, &report(1, Evidence::Crashed, &[neighbour, first]));
     let later = Time::from_millis(5);
-    records.on_crash_report(later, &note(2, Evidence::Crashed, &[neighbour, second]));
+    records.on_crash_report(later, &report(2, Evidence::Crashed, &[neighbour, second]));
     assert!(records.confirm_suspects(later).is_empty());
     assert_eq!(
         records.suspicion(later, fingerprint(neighbour)),
         Suspicion::Pending
     );
     let last = Time::from_millis(9);
-    records.on_crash_report(last, &note(3, Evidence::Crashed, &[second]));
+    records.on_crash_report(last, &report(3, Evidence::Crashed, &[second]));
     assert_eq!(records.confirm_suspects(last), vec![fingerprint(second)]);
     assert_eq!(
         records.suspicion(last, fingerprint(neighbour)),
@@ -382,7 +402,7 @@
     let mut records = CrashRecords::new(name("i0"));
     for number in 0..MAX_RECORDS + 200 {
         let time = Time::from_millis(number as u64);
-        records.on_crash_report(time, &note(number as u128, Evidence::Crashed, &[number]));
+        records.on_crash_report(time, &report(number as u128, Evidence::Crashed, &[number]));
         records.confirm(time, fingerprint(number + 1_000_000));
     }
     assert!(
@@ -399,7 +419,7 @@
     let mut records = CrashRecords::new(name("i0"));
     let attempt = Uuid::from_u128(5);
     assert!(records.begin(Time::ZERO, attempt, fingerprint(0), &engine(1)));
-    let stop = records.on_crash_report(Time::ZERO, &note(1, Evidence::Crashed, &[0]));
+    let stop = records.on_crash_report(Time::ZERO, &report(1, Evidence::Crashed, &[0]));
     assert_eq!(stop, vec![attempt]);
     records.end(attempt);
     assert!(
@@ -411,15 +431,15 @@
 /// Two instances request a hold on the same engine, or for the same suspect, at the same time: exactly one gets it.
 #[test]
 fn ask_at_once() {
-    let ask = |fingerprint_index: usize, engine_index: usize, from: &str| HoldRequest {
+    let hold_request = |fingerprint_index: usize, engine_index: usize, from: &str| HoldRequest {
         fingerprint: fingerprint(fingerprint_index),
         engine: engine(engine_index),
         from: name(from),
         millis: 1_000,
     };
     let cases = [
-        ("same engine", ask(1, 0, "i0"), ask(2, 0, "i1")),
-        ("same suspect", ask(1, 0, "i0"), ask(1, 1, "i1")),
+        ("same engine", hold_request(1, 0, "i0"), hold_request(2, 0, "i1")),
+        ("same suspect", hold_request(1, 0, "i0"), hold_request(1, 1, "i1")),
     ];
     for (case, first, second) in cases {
         let (mut here, mut there) = (CrashRecords::new(name("i0")), CrashRecords::new(name("i1")));
--- a/tests/testsuite/together.rs
+++ b/tests/testsuite/together.rs
@@ -11,7 +11,7 @@
 use crate::support::column;
 use crate::support::quick_fleet;
 use crate::support::quick_fleet_keeping;
-use crate::support::wait_until_met;
+use crate::support::wait_for_members;
 
 const PROMPT: &str = "how many kilos of pellets for forty boxes";
 
@@ -89,7 +89,7 @@
 async fn stop_platform_faults() {
     for (what, fault) in platform_faults() {
         let mut fleet = quick_fleet_keeping(100).daemons(2).start_configured().await;
-        wait_until_met(&fleet).await;
+        wait_for_members(&fleet).await;
         let streams = streams(&fleet, 800).await;
         fleet.platform_fault(&fault).await;
         fleet.daemons[0].signal("TERM");
@@ -103,7 +103,7 @@
 #[actix_web::test]
 async fn stop_paused() {
     let mut fleet = quick_fleet_keeping(100).daemons(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let streams = streams(&fleet, 800).await;
     fleet.daemons[0].signal("TERM");
     fleet.daemons[0].signal("STOP");
@@ -122,7 +122,7 @@
 #[actix_web::test]
 async fn stop_peer_killed() {
     let mut fleet = quick_fleet_keeping(100).daemons(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let mut stream = fleet.stream(0, PROMPT, 800, 0).await;
     stream.read(1).await;
     fleet.daemons[0].signal("TERM");
@@ -141,7 +141,7 @@
             .engine_arg("--away=100")
             .start_configured()
             .await;
-        wait_until_met(&fleet).await;
+        wait_for_members(&fleet).await;
         holder(&fleet).await;
         let streams = streams(&fleet, 800).await;
         fleet.apply(1, "set engine e0 role decode").await;
@@ -162,7 +162,7 @@
         .engine_arg("--away=100")
         .start_configured()
         .await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let first = holder(&fleet).await;
     let others: Vec<usize> = (0..3).filter(|i| *i != first).collect();
     let mut answers = Vec::new();
@@ -189,7 +189,7 @@
 #[actix_web::test]
 async fn drain_instance_killed_platform_slow() {
     let mut fleet = quick_fleet().daemons(3).engines(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let slow = Fault {
         delay: 200,
         ..Fault::default()
@@ -215,7 +215,7 @@
 #[actix_web::test]
 async fn drain_repeated_answers_lost() {
     let fleet = quick_fleet().daemons(2).engines(2).start_configured().await;
-    wait_until_met(&fleet).await;
+    wait_for_members(&fleet).await;
     let streams = streams(&fleet, 600).await;
     let lost = Fault {
         lose: 1,
