--- a/tests/testsuite/policy/limits.rs
+++ b/tests/testsuite/policy/limits.rs
@@ -12,16 +12,16 @@
 
 use super::name;
 
-/// Engine seconds of each request.
+/// Engine time that each request takes, in seconds.
 const COST: f64 = 0.05;
 
-/// Engines of the service: it works off so many engine seconds a second.
+/// Number of engines of the service, which is the engine seconds that it processes per second.
 const ENGINES: usize = 8;
 
-/// Time to its deadline of each request, in seconds.
-const LEFT: f64 = 3.0;
+/// Time from each request's arrival to its deadline, in seconds.
+const TIME_LEFT: f64 = 3.0;
 
-/// A service that works off its backlog in order, and the limiter before it.
+/// A service that processes its backlog in order, behind a limiter.
 struct Model {
     limiter: Limiter,
     backlog: f64,
@@ -37,7 +37,7 @@
         }
     }
 
-    fn ask(&mut self, now: Time, product: &Name, share: u32) -> Admission {
+    fn request(&mut self, now: Time, product: &Name, share: u32) -> Admission {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         self.backlog = (self.backlog - passed * ENGINES as f64).max(0.0);
@@ -48,7 +48,7 @@
         let need = RequestCost {
             cost: COST,
             total: self.backlog / ENGINES as f64 + 0.5,
-            left: LEFT,
+            left: TIME_LEFT,
         };
         let verdict = self.limiter.admit(now, product, owed, need);
         if !matches!(verdict, Admission::Refused(..)) {
@@ -63,21 +63,20 @@
     runs.count()
 }
 
-// Orders of a modest product are refused or late while another floods the system with ten times its share. The
-// greedy one's requests fill the engines' queues, so that nobody's deadline can be met. Cause: admission by
-// deadline alone.
+// Guards against admission by deadline alone. A product that sends ten times its share would fill the engines'
+// queues, so that no deadline can be met and requests of a product within its share are refused or late.
 #[test]
 fn admit_greedy_product() {
     let mut model = Model::new();
     let (modest, greedy) = (name("modest"), name("greedy"));
     let mut verdicts = Vec::new();
-    // The modest product asks for 0.3 of the engine time at a share of 40%; the greedy one for 1.0 at 10%.
+    // The modest product requests 0.3 of the engine time with a share of 40%; the greedy one 1.0 with a share of 10%.
     for millis in (1_000..31_000).step_by(5) {
         let now = Time::from_millis(millis);
         if millis % 20 == 0 {
-            verdicts.push(model.ask(now, &modest, 40));
+            verdicts.push(model.request(now, &modest, 40));
         }
-        let _ = model.ask(now, &greedy, 10);
+        let _ = model.request(now, &greedy, 10);
     }
     let part = admitted(&verdicts) as f64 / verdicts.len() as f64;
     assert!(part >= 0.95, "{part} of the modest product's requests ran");
@@ -89,15 +88,15 @@
     let (owner, borrower) = (name("owner"), name("borrower"));
     let mut lent = 0;
     for millis in (1_000..11_000).step_by(10) {
-        let verdict = model.ask(Time::from_millis(millis), &borrower, 10);
+        let verdict = model.request(Time::from_millis(millis), &borrower, 10);
         lent += usize::from(verdict == Admission::Borrowed);
     }
     assert!(lent > 500, "{lent} of 1000 requests ran on unused share");
     let mut verdicts = Vec::new();
     for millis in (11_000..14_000).step_by(10) {
         let now = Time::from_millis(millis);
-        let _ = model.ask(now, &borrower, 10);
-        verdicts.push(model.ask(now, &owner, 80));
+        let _ = model.request(now, &borrower, 10);
+        verdicts.push(model.request(now, &owner, 80));
     }
     let late = &verdicts[verdicts.len() * 2 / 3..];
     assert_eq!(admitted(late), late.len());
@@ -125,8 +124,8 @@
     );
 }
 
-/// A product that uses its share of a large service is refused at a small one, though it has asked little there.
-/// Cause: what it used was held against whichever service it asked last.
+/// Guards against usage that is counted against the service that a product called last: a product that uses its share
+/// of a large service would be refused at a small one, although it has requested little there.
 #[test]
 fn admit_services_apart() {
     let (large, small, product) = (name("assistente"), name("ordini"), name("dispatch"));
@@ -138,7 +137,7 @@
     let need = |cost| RequestCost {
         cost,
         total: 0.1,
-        left: LEFT,
+        left: TIME_LEFT,
     };
     for step in 0..400 {
         let now = Time::from_millis(1_000 + step * 20);
